--- a/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
+++ b/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
@@ -16,7 +16,7 @@
 use wingspur_protocol::{BoxList, BoxState, ListedBox, Manifest};
 use wingspur_state::{
     AccountLimiter, AttemptOutcome, Bundle, CallerLimits, EvidenceEntry, EvidenceReport,
-    Floor, Judge, Limits, RetryRules, Route, RouteClass, RouteTable, Service,
+    Floor, Limits, OutlierDetector, RetryRules, Route, RouteClass, RouteTable, Service,
     ServiceTable,
 };
 
@@ -161,7 +161,7 @@
     let operation_us = time_us(|| {
         index = (index + 1) % size;
         let from = format!("box-{index}");
-        judge.receive(&from, &"data-centre-0".to_owned(), &report, now);
+        judge.record_report(&from, &"data-centre-0".to_owned(), &report, now);
     });
     row("judge hears a report", size, bytes, operation_us)
 }
@@ -171,16 +171,16 @@
     // Twenty-seven steps in all, within the time that reports stay fresh.
     let operation_us = time_us_of(3, || {
         now += Duration::from_millis(100);
-        black_box(judge.step(now));
+        black_box(judge.tick(now));
     });
     row("judge step", size, bytes, operation_us)
 }
 
-fn busy_judge(size: usize) -> (Judge, EvidenceReport, Instant, f64) {
+fn busy_judge(size: usize) -> (OutlierDetector, EvidenceReport, Instant, f64) {
     let service = service_of(&Scenario::quiet(30, size));
     let now = Instant::now();
     let region = Region::new(ALLOCATOR);
-    let mut judge = Judge::new(&service, 1, None, now);
+    let mut judge = OutlierDetector::new(&service, 1, None, now);
     let entry = |server| EvidenceEntry {
         server,
         observations: 2,
@@ -193,7 +193,7 @@
         entries,
     };
     for index in 0..size {
-        judge.receive(
+        judge.record_report(
             &format!("box-{index}"),
             &"data-centre-0".to_owned(),
             &report,
--- a/crates/wingspur-bench/src/replay.rs
+++ b/crates/wingspur-bench/src/replay.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use wingspur_state::{
-    AttemptId, AttemptOutcome, BackendServer, Detection, Floor, Judge, Limits,
-    RetryRules, Service, ServiceTable, Standing, TICK, Verdict,
+    AttemptId, AttemptOutcome, BackendServer, Detection, EVIDENCE_TICK, EjectionState,
+    Floor, Limits, OutlierDetector, RetryRules, Service, ServiceTable, Verdict,
 };
 
 use crate::baseline::Baseline;
@@ -95,7 +95,7 @@
     baselines: Vec<Baseline>,
     box_ids: Vec<String>,
     data_centres: Vec<String>,
-    judge: Judge,
+    judge: OutlierDetector,
     sent: Vec<Verdict>,
     ends: BinaryHeap<Reverse<End>>,
     held_ms: Vec<Vec<Option<f64>>>,
@@ -157,7 +157,7 @@
                 .map(|_| Baseline::new(decider, scenario.servers))
                 .collect(),
             box_ids: (0..boxes).map(|index| format!("box-{index:02}")).collect(),
-            judge: Judge::new(&service, 1, None, base),
+            judge: OutlierDetector::new(&service, 1, None, base),
             sent: vec![quiet; boxes],
             ends: BinaryHeap::new(),
             held_ms: vec![vec![None; boxes]; scenario.servers],
@@ -207,7 +207,7 @@
                 self.end_one();
             } else {
                 self.tick();
-                self.next_tick_ms += TICK.as_secs_f64() * 1000.0;
+                self.next_tick_ms += EVIDENCE_TICK.as_secs_f64() * 1000.0;
             }
         }
         self.now_ms = at_ms;
@@ -220,7 +220,9 @@
         let now = self.instant(end.at_ms);
         let table = &mut self.tables[end.box_index];
         match end.kind {
-            EndKind::Head => table.head(end.attempt, AttemptOutcome::Answered, now),
+            EndKind::Head => {
+                table.record_response_head(end.attempt, AttemptOutcome::Answered, now)
+            }
             EndKind::Finish(outcome) => {
                 table.finish(end.attempt, outcome, now);
                 let good = outcome == AttemptOutcome::Answered;
@@ -238,7 +240,8 @@
             self.reports += 1;
             if self.decider == Decider::Wingspur {
                 let home = &self.data_centres[index];
-                self.judge.receive(&self.box_ids[index], home, &report, now);
+                self.judge
+                    .record_report(&self.box_ids[index], home, &report, now);
                 let verdict = self.judge.verdict(home);
                 self.tables[index].apply(&verdict, now);
                 self.sent[index] = verdict;
@@ -251,11 +254,11 @@
     }
 
     fn step_judge(&mut self, now: Instant) {
-        self.judge.step(now);
-        if let Some(record) = self.judge.proposal() {
-            self.judge.adopt(record, now);
+        self.judge.tick(now);
+        if let Some(record) = self.judge.pending_record() {
+            self.judge.apply_record(record, now);
         }
-        self.least_slots_in = self.least_slots_in.min(self.judge.slots_in());
+        self.least_slots_in = self.least_slots_in.min(self.judge.available_slots());
         for index in 0..self.tables.len() {
             let verdict = self.judge.verdict(&self.data_centres[index]);
             if verdict != self.sent[index] {
@@ -272,7 +275,7 @@
             for server in 0..self.held_ms.len() {
                 let held = match self.decider {
                     Decider::Wingspur | Decider::OwnEvidence => {
-                        table.standing(server, now) != Standing::In
+                        table.ejection_state(server, now) != EjectionState::Active
                     }
                     Decider::ConsecutiveErrors | Decider::SuccessRate => {
                         self.baselines[index].is_out(server, self.now_ms)
--- a/crates/wingspur-coordination/src/fleet_contact.rs
+++ b/crates/wingspur-coordination/src/fleet_contact.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use wingspur_state::Contact;
+use wingspur_state::MembershipState;
 
 /// When a box was in touch with the whole fleet.
 ///
@@ -63,21 +63,21 @@
     }
 
     /// Whether the box may use its part of what is shared over a window.
-    pub fn standing(&self, window: Duration, now: Instant) -> Contact {
+    pub fn standing(&self, window: Duration, now: Instant) -> MembershipState {
         let Some((since, last)) = self.spell else {
-            return Contact::OutOfTouch;
+            return MembershipState::Disconnected;
         };
         if now.saturating_duration_since(last) > TOUCH {
-            return Contact::OutOfTouch;
+            return MembershipState::Disconnected;
         }
         let waits_for = match self.is_from_the_first(since) {
             true => ON_WAY + TOUCH + MARGIN,
             false => join_after(window),
         };
         if now.saturating_duration_since(since) < waits_for {
-            return Contact::Joining;
+            return MembershipState::Joining;
         }
-        Contact::Joined
+        MembershipState::Joined
     }
 }
 
@@ -107,7 +107,7 @@
 /// Boxes that start together are linked within a second or two.
 const FIRST_CONTACT: Duration = Duration::from_secs(3);
 /// A resend reaches its server within this, or never.
-const ON_WAY: Duration = wingspur_state::RESEND_ON_WAY;
+const ON_WAY: Duration = wingspur_state::MAX_RESEND_TRANSIT;
 /// A number of boxes reaches every box within this: on each of the two links to it a sign of
 /// life comes each 0.2 s, and one that is silent for a second is given up.
 const NEWS: Duration = Duration::from_millis(2600);
--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use wingspur_protocol::{CensusNote, FleetNote, LeftPart};
-use wingspur_state::{BoxKey, Contact, DataCentreId, FleetStanding};
+use wingspur_state::{BoxKey, DataCentreId, FleetMembership, MembershipState};
 
 use crate::fleet_count::LONGEST_HOLD;
 use crate::{
@@ -253,18 +253,18 @@
         window: Duration,
         known: &Announced,
         now: Instant,
-    ) -> FleetStanding {
+    ) -> FleetMembership {
         self.note_contact(known, now);
         let span = join_after(window);
         // Counts that are not held for the span would divide the slack by too few.
         let contact = match span <= LONGEST_HOLD {
             true => self.contact.standing(window, now),
-            false => Contact::OutOfTouch,
+            false => MembershipState::Disconnected,
         };
-        FleetStanding {
+        FleetMembership {
             // Each tick counts: a request need not.
             boxes: self.count.most(span, now).max(known.boxes),
-            contact,
+            state: contact,
         }
     }
 
--- a/crates/wingspur-coordination/src/lending_desk.rs
+++ b/crates/wingspur-coordination/src/lending_desk.rs
@@ -5,8 +5,8 @@
 
 use wingspur_protocol::{Lendable, Lending, LoanAnswer, LoanRequest};
 use wingspur_state::{
-    AllowanceTerms, Borrowed, Borrower, BorrowerAsk, DataCentreId, PartClock, Pool,
-    StockAsk, Stocked,
+    AcquireOutcome, DataCentreId, LeaseClient, LeaseDemand, PrefetchGrant,
+    PrefetchRequest, QuotaPool, QuotaTerms, ShareHistory,
 };
 
 use crate::LinkId;
@@ -18,11 +18,11 @@
 #[derive(Debug)]
 pub struct LendingDesk {
     /// This box's part of allowances that each hub holds its own part of.
-    clock: PartClock,
+    clock: ShareHistory,
     /// Its parts of allowances that the hub of one data centre holds for all.
-    place_clocks: BTreeMap<DataCentreId, PartClock>,
-    pools: HashMap<Lendable, Pool>,
-    borrowers: HashMap<Lendable, Borrower>,
+    place_clocks: BTreeMap<DataCentreId, ShareHistory>,
+    pools: HashMap<Lendable, QuotaPool>,
+    borrowers: HashMap<Lendable, LeaseClient>,
     /// Requests of callers that wait, the first first.
     waiting: HashMap<Lendable, VecDeque<Waiting>>,
     /// What this box has not enough of, and asks other hubs for; by the last question.
@@ -35,7 +35,7 @@
 /// Who waits for one of an allowance.
 #[derive(Debug)]
 struct Waiting {
-    tell: async_channel::Sender<Borrowed>,
+    tell: async_channel::Sender<AcquireOutcome>,
     reserve: Reserve,
     since: Instant,
 }
@@ -50,7 +50,7 @@
 }
 
 /// Where somebody who waits is told what came of it.
-pub type Told = async_channel::Receiver<Borrowed>;
+pub type Told = async_channel::Receiver<AcquireOutcome>;
 
 /// The share of a pool's room beyond one that a less urgent request leaves to others.
 pub type Reserve = f32;
@@ -156,7 +156,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Allowance {
     /// What it grants over all boxes.
-    pub terms: AllowanceTerms,
+    pub terms: QuotaTerms,
     /// Who holds its parts.
     pub held_by: HeldBy,
 }
@@ -168,7 +168,7 @@
     /// A box that starts now.
     pub fn new(now: Instant) -> Self {
         Self {
-            clock: PartClock::new(now),
+            clock: ShareHistory::new(now),
             place_clocks: BTreeMap::new(),
             pools: HashMap::new(),
             borrowers: HashMap::new(),
@@ -181,14 +181,15 @@
 
     /// Notes this box's parts from now on.
     pub fn note_parts(&mut self, standing: &Standing, now: Instant) {
-        self.clock.note(standing.part, now);
+        self.clock.record_share(standing.part, now);
         for place in &standing.places {
             let name = &place.data_centre;
             if !self.place_clocks.contains_key(name) {
-                self.place_clocks.insert(name.clone(), PartClock::new(now));
+                self.place_clocks
+                    .insert(name.clone(), ShareHistory::new(now));
             }
             let clock = self.place_clocks.get_mut(name);
-            clock.expect("it is there").note(place.part, now);
+            clock.expect("it is there").record_share(place.part, now);
         }
     }
 
@@ -205,7 +206,7 @@
         standing: &Standing,
         find: FindAllowance<'_>,
         now: Instant,
-    ) -> (Result<Borrowed, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
         match standing.own_hub {
             Some(hub) => self.want_of_hub(of, reserve, hub, now),
             None => self.want_of_pool(of, reserve, standing, find, now),
@@ -219,11 +220,13 @@
         reserve: Reserve,
         hub: LinkId,
         now: Instant,
-    ) -> (Result<Borrowed, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
         let borrower = self.borrowers.entry(of).or_default();
-        let outcome = match borrower.want(now) {
-            Borrowed::Waits | Borrowed::Unknown => Err(self.wait_for(of, reserve, now)),
-            Borrowed::Refused(more_in) if comes_soon(more_in) => {
+        let outcome = match borrower.try_acquire(now) {
+            AcquireOutcome::Pending | AcquireOutcome::Unknown => {
+                Err(self.wait_for(of, reserve, now))
+            }
+            AcquireOutcome::Refused(more_in) if comes_soon(more_in) => {
                 Err(self.wait_for(of, reserve, now))
             }
             outcome => Ok(outcome),
@@ -239,19 +242,19 @@
         standing: &Standing,
         find: FindAllowance<'_>,
         now: Instant,
-    ) -> (Result<Borrowed, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
         let found = find(of);
         let lenders = found.as_ref().map(|found| standing.lenders_of(found));
         let lenders = lenders.unwrap_or_default();
         let ahead = self.waiting.get(&of).map_or(0, VecDeque::len);
         let asked = (of, reserve, ahead);
         let outcome = self.take_of_pool(asked, found.as_ref(), standing, now);
-        if outcome == Borrowed::Taken {
+        if outcome == AcquireOutcome::Acquired {
             return (Ok(outcome), LendingMessages::new());
         }
         if lenders.is_empty() || self.is_quiet(of, now) {
             let outcome = match self.with_quiet(of, outcome) {
-                Borrowed::Refused(more_in) if !comes_soon(more_in) => Ok(outcome),
+                AcquireOutcome::Refused(more_in) if !comes_soon(more_in) => Ok(outcome),
                 _ => Err(self.wait_for(of, reserve, now)),
             };
             return (outcome, LendingMessages::new());
@@ -269,18 +272,18 @@
         found: Option<&Allowance>,
         standing: &Standing,
         now: Instant,
-    ) -> Borrowed {
+    ) -> AcquireOutcome {
         let (clock, places) = (&self.clock, &self.place_clocks);
         let Some((found, clock)) = held(found, standing, clock, places) else {
-            return Borrowed::Unknown;
+            return AcquireOutcome::Unknown;
         };
         let pool = self.pools.entry(of).or_default();
-        if pool.lend_at_once(1, reserve.into(), &found.terms, clock, now) == 1 {
-            return Borrowed::Taken;
+        if pool.lease_on_demand(1, reserve.into(), &found.terms, clock, now) == 1 {
+            return AcquireOutcome::Acquired;
         }
         match may_tell(found, clock) || is_behind_too_many(ahead, found, clock) {
-            false => Borrowed::Unknown,
-            true => Borrowed::Refused(comes_in(pool, found, clock, ahead)),
+            false => AcquireOutcome::Unknown,
+            true => AcquireOutcome::Refused(comes_in(pool, found, clock, ahead)),
         }
     }
 
@@ -297,7 +300,8 @@
         for count in [count, 0] {
             let number = self.number();
             let borrower = self.borrowers.entry(of).or_default();
-            let Some(ask) = borrower.ask(number, count, may_be_stocked(of), now) else {
+            let Some(ask) = borrower.next_request(number, count, may_be_stocked(of), now)
+            else {
                 continue;
             };
             let request = LoanRequest {
@@ -309,8 +313,8 @@
                 wanted: 0.0,
             };
             let request = match ask {
-                BorrowerAsk::Urgent(urgent) => LoanRequest { urgent, ..request },
-                BorrowerAsk::Stock { held, wanted } => LoanRequest {
+                LeaseDemand::OnDemand(urgent) => LoanRequest { urgent, ..request },
+                LeaseDemand::Prefetch { held, wanted } => LoanRequest {
                     held,
                     wanted,
                     ..request
@@ -366,13 +370,13 @@
         let Some((found, clock)) = held(found, standing, clock, places) else {
             return answer;
         };
-        let ask = StockAsk {
+        let ask = PrefetchRequest {
             borrower: link,
             held: request.held,
             wanted: request.wanted,
         };
         let pool = self.pools.entry(request.of).or_default();
-        let stocked = pool.stock(&ask, &found.terms, clock, now);
+        let stocked = pool.lease_prefetch(&ask, &found.terms, clock, now);
         LoanAnswer {
             stock: stocked.amount,
             renewed: stocked.renewed,
@@ -395,7 +399,7 @@
         };
         let (urgent, reserve) = (request.urgent, request.reserve.into());
         let pool = self.pools.entry(request.of).or_default();
-        let lent = pool.lend_at_once(urgent, reserve, &found.terms, clock, now);
+        let lent = pool.lease_on_demand(urgent, reserve, &found.terms, clock, now);
         let missing = (urgent - lent) as usize;
         let more_in = match is_behind_too_many(missing, found, clock) {
             true => Some(millis(comes_in(pool, found, clock, missing))),
@@ -424,7 +428,7 @@
             return None;
         }
         let pool = self.pools.entry(of).or_default();
-        Some(pool.next_in(&found.terms, clock))
+        Some(pool.time_to_next_token(&found.terms, clock))
     }
 
     /// Takes in the answer of another box.
@@ -448,19 +452,19 @@
         let Some(borrower) = self.borrowers.get_mut(&of) else {
             return LendingMessages::new();
         };
-        let stocked = Stocked {
+        let stocked = PrefetchGrant {
             amount: answer.stock,
             renewed: answer.renewed,
         };
-        borrower.take_stock(answer.number, &stocked, now);
+        borrower.apply_prefetch_grant(answer.number, &stocked, now);
         let (number, urgent) = (answer.number, answer.urgent);
-        let granted = borrower.take_urgent(number, urgent, more_in, now);
+        let granted = borrower.apply_on_demand_grant(number, urgent, more_in, now);
         let refusal = borrower.refusal(now);
         let (granted, ends) = granted.unwrap_or((0, now));
         let spare = granted - self.tell_waiting(of, granted, refusal, now);
         if spare > 0 {
             let borrower = self.borrowers.entry(of).or_default();
-            borrower.keep_spare(spare, ends);
+            borrower.retain_unused(spare, ends);
         }
         match standing.own_hub {
             Some(hub) => self.ask_hub(of, hub, now),
@@ -474,7 +478,7 @@
         &mut self,
         of: Lendable,
         granted: u32,
-        rest: Option<Borrowed>,
+        rest: Option<AcquireOutcome>,
         now: Instant,
     ) -> u32 {
         let Some(waiting) = self.waiting.get_mut(&of) else {
@@ -487,9 +491,9 @@
         let granted = (granted as usize).min(waiting.len());
         for waiting in waiting.drain(..granted) {
             // One that gives up at this moment does not listen: what it was lent is void.
-            let _ = waiting.tell.try_send(Borrowed::Taken);
+            let _ = waiting.tell.try_send(AcquireOutcome::Acquired);
         }
-        if let Some(outcome @ Borrowed::Refused(more_in)) = rest {
+        if let Some(outcome @ AcquireOutcome::Refused(more_in)) = rest {
             let mut is_first = true;
             waiting.retain(|waiting| {
                 let waits_on = waiting.may_wait_for(more_in, is_first, now);
@@ -507,14 +511,16 @@
     }
 
     /// A refusal with what other hubs said a moment ago of when they have more.
-    fn with_quiet(&self, of: Lendable, outcome: Borrowed) -> Borrowed {
-        let (Borrowed::Refused(more_in), Some(quiet)) = (outcome, self.quiet.get(&of))
+    fn with_quiet(&self, of: Lendable, outcome: AcquireOutcome) -> AcquireOutcome {
+        let (AcquireOutcome::Refused(more_in), Some(quiet)) =
+            (outcome, self.quiet.get(&of))
         else {
             return outcome;
         };
         let mut told = quiet.told;
         told.add(Some(more_in));
-        told.known().map_or(Borrowed::Unknown, Borrowed::Refused)
+        told.known()
+            .map_or(AcquireOutcome::Unknown, AcquireOutcome::Refused)
     }
 
     /// Whether other hubs were asked a moment ago, and had none.
@@ -595,11 +601,11 @@
         let more_in = told.known();
         let Some((link, number)) = search.asker else {
             let rest = more_in.filter(|_| search.missing > 0);
-            let rest = rest.map(Borrowed::Refused);
+            let rest = rest.map(AcquireOutcome::Refused);
             let told = self.tell_waiting(of, search.found, rest, now);
             if search.found > told && found.is_some() {
                 let pool = self.pools.entry(of).or_default();
-                pool.give_back(search.found - told);
+                pool.return_unused(search.found - told);
             }
             return LendingMessages::new();
         };
@@ -658,7 +664,7 @@
         for reserve in reserves {
             let asked = (of, reserve, 0);
             match self.take_of_pool(asked, found.as_ref(), standing, now) {
-                Borrowed::Taken => {
+                AcquireOutcome::Acquired => {
                     self.tell_waiting(of, 1, None, now);
                 }
                 outcome => {
@@ -820,19 +826,19 @@
 fn held<'a>(
     found: Option<&'a Allowance>,
     standing: &Standing,
-    clock: &'a PartClock,
-    place_clocks: &'a BTreeMap<DataCentreId, PartClock>,
-) -> Option<(&'a Allowance, &'a PartClock)> {
+    clock: &'a ShareHistory,
+    place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
+) -> Option<(&'a Allowance, &'a ShareHistory)> {
     let found = found.filter(|found| standing.part_of(found) > 0.0)?;
     Some((found, clock_of(clock, place_clocks, &found.held_by)))
 }
 
 /// The clock by which the parts of an allowance earn.
 fn clock_of<'a>(
-    clock: &'a PartClock,
-    place_clocks: &'a BTreeMap<DataCentreId, PartClock>,
+    clock: &'a ShareHistory,
+    place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
     held_by: &HeldBy,
-) -> &'a PartClock {
+) -> &'a ShareHistory {
     match held_by {
         HeldBy::EachHub => clock,
         // Where no hub stands for a data centre, each hub keeps its own part.
@@ -842,14 +848,19 @@
 
 /// Whether an empty pool tells that the account has used what it may: not while parts are
 /// under way, as after losses of boxes. Who asks then waits for what comes with them.
-fn may_tell(found: &Allowance, clock: &PartClock) -> bool {
-    !clock.is_young(&found.terms) && !clock.has_shrunk(&found.terms)
+fn may_tell(found: &Allowance, clock: &ShareHistory) -> bool {
+    !clock.has_grown_recently(&found.terms) && !clock.has_shrunk_recently(&found.terms)
 }
 
 /// When there should be one for who comes behind so many others.
-fn comes_in(pool: &Pool, found: &Allowance, clock: &PartClock, ahead: usize) -> Duration {
-    let next_in = pool.next_in(&found.terms, clock);
-    let minted_per_s = found.terms.per_s * clock.part();
+fn comes_in(
+    pool: &QuotaPool,
+    found: &Allowance,
+    clock: &ShareHistory,
+    ahead: usize,
+) -> Duration {
+    let next_in = pool.time_to_next_token(&found.terms, clock);
+    let minted_per_s = found.terms.per_s * clock.share();
     let queue_s = ahead as f64 / minted_per_s.max(LEAST_MINTED_PER_S);
     next_in + Duration::from_secs_f64(queue_s).min(LONGEST_QUEUE)
 }
@@ -865,10 +876,10 @@
 ///
 /// A part that is only coming, as after losses of boxes, says little of what it will mint:
 /// then those of an account beneath its limit may all wait.
-fn is_behind_too_many(waiting: usize, found: &Allowance, clock: &PartClock) -> bool {
+fn is_behind_too_many(waiting: usize, found: &Allowance, clock: &ShareHistory) -> bool {
     let part = match may_tell(found, clock) {
-        true => clock.part(),
-        false => clock.most_lately().max(PART_TO_COME),
+        true => clock.share(),
+        false => clock.max_recent_share().max(PART_TO_COME),
     };
     let minted = found.terms.per_s * part * PATIENCE.as_secs_f64();
     waiting as f64 >= minted.max(1.0)
--- a/crates/wingspur-coordination/src/link_plan.rs
+++ b/crates/wingspur-coordination/src/link_plan.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use wingspur_protocol::{BoxRecord, LinkRole};
-use wingspur_state::{BoxId, DataCentreId, FleetDivision};
+use wingspur_state::{BoxId, DataCentreId, FleetSize};
 
 use crate::hash_of;
 
@@ -125,8 +125,8 @@
     }
 
     /// How a fleet of `boxes` is divided, as far as its counts are concerned.
-    pub fn division(&self, boxes: usize) -> FleetDivision {
-        FleetDivision {
+    pub fn division(&self, boxes: usize) -> FleetSize {
+        FleetSize {
             boxes,
             data_centres: self.other_data_centres().len() + 1,
         }
--- a/crates/wingspur-coordination/src/quarantine_desk.rs
+++ b/crates/wingspur-coordination/src/quarantine_desk.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use wingspur_state::{
-    KnownQuarantine, REMEMBERED, RequestFingerprint, SourceId, StoreEra, StorePosition,
-    SuspectRequests,
+    RequestFingerprint, SUSPECT_RETENTION, SourceId, StoreEra, StorePosition,
+    StoredQuarantine, SuspectRequests,
 };
 
 /// What a box has let through of requests in quarantine.
@@ -98,7 +98,7 @@
         now: Instant,
     ) -> DeskStep {
         let known = suspects.quarantine(request);
-        let likelier = suspects.likelier(request);
+        let likelier = suspects.likelier_culprits(request);
         let has_likelier = !likelier.is_empty();
         let out_for = self.out_for(request, &likelier, suspects, now);
         let (own, era) = (self.own, self.era);
@@ -132,7 +132,7 @@
     pub fn open(
         &mut self,
         request: RequestFingerprint,
-        known: Option<&KnownQuarantine>,
+        known: Option<&StoredQuarantine>,
         now: Instant,
     ) -> Option<QuarantineCount> {
         let (own, on) = (self.own, StorePosition::start_of(self.era));
@@ -193,7 +193,8 @@
     /// Forgets what nobody has asked for in a long time.
     pub fn tidy(&mut self, now: Instant) {
         self.cases.retain(|_, case| {
-            now.saturating_duration_since(case.touched) < REMEMBERED || case.is_counting
+            now.saturating_duration_since(case.touched) < SUSPECT_RETENTION
+                || case.is_counting
         });
     }
 
@@ -214,8 +215,8 @@
         }
         let others = likelier
             .iter()
-            .filter_map(|other| suspects.is_out_until(*other, ENDS_SERVERS_IN));
-        let own = suspects.is_out_until(request, TRY_LASTS);
+            .filter_map(|other| suspects.permit_in_flight_until(*other, ENDS_SERVERS_IN));
+        let own = suspects.permit_in_flight_until(request, TRY_LASTS);
         let until = others.chain(own).max();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
@@ -259,7 +260,7 @@
 
     /// Takes in that a write whose answer was lost stands in the store after all: what was
     /// let through on it is counted there.
-    fn note_counted(&mut self, known: Option<&KnownQuarantine>, own: SourceId) {
+    fn note_counted(&mut self, known: Option<&StoredQuarantine>, own: SourceId) {
         let (Some(last), Some(known)) = (self.last_count, known) else {
             return;
         };
@@ -270,9 +271,9 @@
 }
 
 /// When the store forgets a request in quarantine.
-fn ends_in(known: Option<&KnownQuarantine>, now: Instant) -> Duration {
-    known.map_or(REMEMBERED, |known| {
-        (known.heard + REMEMBERED).saturating_duration_since(now)
+fn ends_in(known: Option<&StoredQuarantine>, now: Instant) -> Duration {
+    known.map_or(SUSPECT_RETENTION, |known| {
+        (known.heard + SUSPECT_RETENTION).saturating_duration_since(now)
     })
 }
 
--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -8,7 +8,7 @@
 };
 use wingspur_protocol::{BoxRecord, Lending, LinkRole};
 use wingspur_state::{
-    BundleVersion, HealthNote, LimitChange, ServerKey, StoreEra, SuspectUpdate,
+    BundleVersion, HealthSnapshot, ServerKey, ServerLimitChange, StoreEra, SuspectUpdate,
 };
 use wingspur_transport::LinkSender;
 
@@ -36,7 +36,7 @@
     /// What it has not been told yet of requests under which servers ended.
     pub suspects: Vec<SuspectUpdate>,
     /// What it has not been told yet of servers' limits.
-    pub limits: BTreeMap<ServerKey, LimitChange>,
+    pub limits: BTreeMap<ServerKey, ServerLimitChange>,
     /// The servers that leave of which it has not been told yet, with since when.
     pub leaving_servers: BTreeMap<ServerKey, Instant>,
     /// What it is to be told once.
@@ -59,11 +59,11 @@
     /// Whether the other side has just started and knows no server yet.
     pub has_started: bool,
     /// Of backend servers.
-    pub health: Vec<(ServerKey, HealthNote)>,
+    pub health: Vec<(ServerKey, HealthSnapshot)>,
     /// Of requests under which servers ended.
     pub suspects: Vec<SuspectUpdate>,
     /// Of servers' limits.
-    pub limits: Vec<LimitChange>,
+    pub limits: Vec<ServerLimitChange>,
     /// Of servers that leave, with since when.
     pub leaving_servers: Vec<(ServerKey, Instant)>,
 }
--- a/crates/wingspur-edge/src/attempt.rs
+++ b/crates/wingspur-edge/src/attempt.rs
@@ -9,8 +9,8 @@
 use hyper::{Method, StatusCode};
 use wingspur_protocol::{ResultCode, ServerHints};
 use wingspur_state::{
-    AttemptEnd, AttemptId, ClientAccount, Ended, Expected, Pick, RequestFingerprint,
-    ServerRecord,
+    AttemptEnd, AttemptId, ClientAccount, ExpectedLatency, HealthOutcome, Pick,
+    RequestFingerprint, ServerRecord,
 };
 use wingspur_transport::{
     AnswerError, AnswerHead, Backend, BackendConnection, Reuse, SendBody,
@@ -127,7 +127,7 @@
         let mut connection = match backend.connect(self.reuse(), timeout).await {
             Ok(connection) => connection,
             Err(error) => {
-                guard.end(Ended::Unreached);
+                guard.end(HealthOutcome::Unreached);
                 return self.failed(AttemptEnd::NotSent, ResultCode::NotSent, &error);
             }
         };
@@ -136,14 +136,14 @@
             .admitted
             .account_now(&self.shared, &self.route)
         else {
-            guard.end(Ended::Abandoned);
+            guard.end(HealthOutcome::Abandoned);
             guard.backend.keep(connection);
             let reason = &"the key was taken away";
             return self.failed(AttemptEnd::NotSent, ResultCode::UnknownKey, reason);
         };
         let began = wingspur_clock::now();
         if !guard.may_send(began) {
-            guard.end(Ended::Abandoned);
+            guard.end(HealthOutcome::Abandoned);
             guard.backend.keep(connection);
             let reason = &"the server wants nothing any more";
             return self.failed(AttemptEnd::NotSent, ResultCode::NotSent, reason);
@@ -159,12 +159,12 @@
         };
         let answered = match answering.or(expired).await {
             None => {
-                guard.end(Ended::Abandoned);
+                guard.end(HealthOutcome::Abandoned);
                 let code = ResultCode::DeadlineInDoubt;
                 return self.failed(AttemptEnd::InDoubt, code, &"no answer in time");
             }
             Some(Err(error)) => {
-                guard.end(Ended::Failed);
+                guard.end(HealthOutcome::Failed);
                 return self.broken(&error, backend);
             }
             Some(Ok(answered)) => answered,
@@ -234,9 +234,9 @@
             // much it takes.
             let at_limit = hints.limit_per_s != Ok(None);
             guard.end(if at_limit {
-                Ended::Abandoned
+                HealthOutcome::Abandoned
             } else {
-                Ended::Refused
+                HealthOutcome::Refused
             });
             guard.backend.keep(connection);
             let end = AttemptEnd::RefusedBeforeRunning;
@@ -245,7 +245,7 @@
         if promises_not_run(status) {
             // Without the server's own mark it may have run, and callers would take the
             // status for a promise that it has not.
-            guard.end(Ended::Failed);
+            guard.end(HealthOutcome::Failed);
             guard.backend.keep(connection);
             return self.failed(AttemptEnd::InDoubt, ResultCode::InDoubt, &status);
         }
@@ -255,9 +255,9 @@
             let timed_out = status == StatusCode::GATEWAY_TIMEOUT
                 && self.remaining() < TIMEOUT_MARGIN;
             guard.end(if timed_out {
-                Ended::Abandoned
+                HealthOutcome::Abandoned
             } else {
-                Ended::Failed
+                HealthOutcome::Failed
             });
             guard.backend.keep(connection);
             return AttemptResult::Failed(Box::new(FailedAttempt {
@@ -290,9 +290,9 @@
         metrics.time_server(&self.service.name, took);
         // What the queue took is not the route's own time.
         let typical_ms = learned.typical().as_secs_f64() * 1000.0;
-        let queue = (self.pick.usual_ms / typical_ms).max(1.0);
+        let queue = (self.pick.baseline_ms / typical_ms).max(1.0);
         learned.learn(took.div_f64(queue), bytes);
-        learned.learn_ratio(took.as_secs_f64() * 1000.0 / self.pick.well_ms);
+        learned.learn_ratio(took.as_secs_f64() * 1000.0 / self.pick.healthy_ms);
     }
 
     /// Checks what an answer must have to be the server's own.
@@ -322,7 +322,7 @@
     /// Which connections the request may take: one that must not run twice is in doubt when
     /// a kept connection turns out to lead nowhere, so it takes one that is surely alive.
     fn reuse(&self) -> Reuse {
-        if self.route.route.class.may_repeat() {
+        if self.route.route.class.is_retry_safe() {
             return Reuse::Any;
         }
         Reuse::RestedAtMost(SURELY_ALIVE)
@@ -362,10 +362,10 @@
     }
 
     /// When the answer should be there.
-    fn expected(&self) -> Expected {
-        Expected {
-            usual_ms: self.pick.usual_ms,
-            well_ms: self.pick.well_ms,
+    fn expected(&self) -> ExpectedLatency {
+        ExpectedLatency {
+            baseline_ms: self.pick.baseline_ms,
+            healthy_ms: self.pick.healthy_ms,
             service_time: self.route.learned.service_time(),
         }
     }
@@ -445,20 +445,20 @@
 
     /// Counts the attempt's silence against its server as soon as it tells more; never
     /// ends.
-    async fn watch_silence<T>(&self, expected: Expected) -> T {
+    async fn watch_silence<T>(&self, expected: ExpectedLatency) -> T {
         let began = wingspur_clock::now();
         for quarters in 1.. {
             let Some(ratio) = expected.service_time.ratio_at_quarters(quarters) else {
                 break;
             };
-            let age = Duration::from_secs_f64(ratio * expected.well_ms / 1000.0);
+            let age = Duration::from_secs_f64(ratio * expected.healthy_ms / 1000.0);
             wingspur_clock::sleep_until(began + age + SILENCE_MARGIN).await;
             let Some(id) = self.id else { break };
             if self.machine_stood_still() {
                 break;
             }
             let mut balancer = self.service.balancer.lock();
-            let told = balancer.note_silence(id, wingspur_clock::now());
+            let told = balancer.update_silence_evidence(id, wingspur_clock::now());
             drop(balancer);
             if told {
                 self.shared.updates.notify();
@@ -476,13 +476,13 @@
     /// Notes that the beginning of the answer is here.
     fn note_answering(&self) {
         if let Some(id) = self.id {
-            self.service.balancer.lock().note_answering(id);
+            self.service.balancer.lock().record_response_started(id);
         }
     }
 
     /// Ends the attempt by a good answer, and keeps its connection.
     pub fn close_good(mut self, connection: BackendConnection) {
-        self.end(Ended::Good);
+        self.end(HealthOutcome::Good);
         note_answered(&self.shared, self.request);
         self.backend.keep(connection);
     }
@@ -490,7 +490,7 @@
     /// Ends the attempt by an answer that broke off.
     pub fn close_failed(mut self, error: &AnswerError) {
         tracing::info!(%error, "attempt: an answer under way broke off.");
-        self.end(Ended::Failed);
+        self.end(HealthOutcome::Failed);
         if !error.is_broken_off() {
             return;
         }
@@ -504,9 +504,11 @@
         spawner.detach(async move { note_broken_off(&shared, &broken).await });
     }
 
-    fn end(&mut self, ended: Ended) {
+    fn end(&mut self, ended: HealthOutcome) {
         let ended = match ended {
-            Ended::Failed if self.machine_stood_still() => Ended::Abandoned,
+            HealthOutcome::Failed if self.machine_stood_still() => {
+                HealthOutcome::Abandoned
+            }
             ended => ended,
         };
         if let Some(id) = self.id.take() {
@@ -524,7 +526,7 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.end(Ended::Abandoned);
+        self.end(HealthOutcome::Abandoned);
     }
 }
 
--- a/crates/wingspur-edge/src/attempts.rs
+++ b/crates/wingspur-edge/src/attempts.rs
@@ -9,9 +9,9 @@
 use hyper::body::Body;
 use wingspur_protocol::ResultCode;
 use wingspur_state::{
-    AttemptEnd, BudgetAnswer, HedgeInputs, Pick, Priority, ResendUse, RetryDecision,
-    RetryReason, ReturnInputs, RouteClass, ServerKey, StopReason, Want, decide_retry,
-    hedge_after, priority_of, server_key, spare_per_s,
+    AttemptEnd, BudgetDecision, HedgeInputs, Pick, PickRequest, Priority, ResendKind,
+    RetryAfterInputs, RetryDecision, RetryReason, RouteClass, ServerKey, StopReason,
+    decide_retry, hedge_delay, priority_of, server_key, spare_capacity_per_s,
 };
 use wingspur_transport::SendBody;
 
@@ -278,15 +278,17 @@
         self.running.push(Box::pin(plan.run(body)));
     }
 
-    fn want(&self, now: Instant) -> Want<'_> {
+    fn want(&self, now: Instant) -> PickRequest<'_> {
         let learned = &self.route.learned;
-        Want {
+        PickRequest {
             // The last attempt is as good as the only one: a failure is lost.
-            repeatable: self.is_repeatable() && self.has_attempts_beyond_next(),
-            typical: learned.typical(),
-            crossing: crossing_cost(self.body_bytes() + learned.answer_bytes()),
+            retry_safe: self.is_repeatable() && self.has_attempts_beyond_next(),
+            typical_latency: learned.typical(),
+            cross_data_centre_cost: crossing_cost(
+                self.body_bytes() + learned.answer_bytes(),
+            ),
             tried: &self.tried,
-            present: self.service.budget.lock().present(now),
+            service_load: self.service.budget.lock().service_load(now),
         }
     }
 
@@ -337,7 +339,7 @@
         let now = wingspur_clock::now();
         let want = self.want(now);
         let balancer = self.service.balancer.lock();
-        let leaving = balancer.pick_leaving(&want, now, &mut rand::rng())?;
+        let leaving = balancer.pick_draining(&want, now, &mut rand::rng())?;
         let is_sooner = other.is_none_or(|pick| leaving.expected_ms < pick.expected_ms);
         is_sooner.then_some(leaving)
     }
@@ -378,7 +380,7 @@
         let now = wingspur_clock::now();
         let want = self.want(now);
         let balancer = self.service.balancer.lock();
-        balancer.soonest_back(&want, now)
+        balancer.shortest_backoff(&want, now)
     }
 
     /// The first of some servers whose limit has a place for this request.
@@ -404,7 +406,7 @@
         let now = wingspur_clock::now();
         let want = self.want(now);
         let balancer = self.service.balancer.lock();
-        balancer.due_limited(&want, now, &mut rand::rng())
+        balancer.sample_rate_limited(&want, now, &mut rand::rng())
     }
 
     /// All servers with limits that it may be sent to.
@@ -412,7 +414,7 @@
         let now = wingspur_clock::now();
         let want = self.want(now);
         let balancer = self.service.balancer.lock();
-        balancer.limited_by_doubt(&want, now, &mut rand::rng())
+        balancer.rate_limited_by_failure_probability(&want, now, &mut rand::rng())
     }
 
     /// Waits for the first of the running attempts, or for the time to hedge.
@@ -443,12 +445,12 @@
         let spent_share = self.spent_share();
         let target = Duration::from_millis(self.route.route.target_latency_ms);
         let on_target_until = self.outgoing.arrived + target;
-        let after = hedge_after(&HedgeInputs {
-            failure_share: first.failure_share,
-            expected: Duration::from_secs_f64(first.well_ms / 1000.0),
+        let after = hedge_delay(&HedgeInputs {
+            failure_probability: first.failure_probability,
+            expected: Duration::from_secs_f64(first.healthy_ms / 1000.0),
             service_time: self.route.learned.service_time(),
-            target_left: on_target_until.saturating_duration_since(*began),
-            spent_share,
+            time_to_latency_target: on_target_until.saturating_duration_since(*began),
+            budget_used_ratio: spent_share,
         });
         Some(*began + after)
     }
@@ -462,28 +464,28 @@
             loans.spent_share(hub, service)
         });
         told.unwrap_or_else(|| {
-            let answer = self.ask_budget(ResendUse::Hedge);
+            let answer = self.ask_budget(ResendKind::Hedge);
             f64::from(answer.spent) / answer.limit().max(1.0)
         })
     }
 
     /// What this box's own part of the retry budget says now.
-    fn ask_budget(&self, use_: ResendUse) -> BudgetAnswer {
+    fn ask_budget(&self, use_: ResendKind) -> BudgetDecision {
         let standing = self.shared.fleet_standing();
         let mut budget = self.service.budget.lock();
-        budget.ask(use_, standing, wingspur_clock::now())
+        budget.check(use_, standing, wingspur_clock::now())
     }
 
     /// Starts a second attempt beside one that takes long, if that is likely to help, and
     /// asks another box for the resend that it needs if this one has none left.
     fn hedge(&mut self) {
-        let budget = self.take_resend(ResendUse::Hedge);
+        let budget = self.take_resend(ResendKind::Hedge);
         if budget.allowed {
             return self.hedge_within(&budget);
         }
         let (shared, service) = (self.shared.clone(), self.service.clone());
         self.borrowing = Some(Box::pin(async move {
-            borrow_resend(&shared, &service, ResendUse::Hedge).await
+            borrow_resend(&shared, &service, ResendKind::Hedge).await
         }));
     }
 
@@ -493,7 +495,7 @@
             // The first one has ended meanwhile. What was lent ends by itself.
             return;
         }
-        let mut budget = self.ask_budget(ResendUse::Hedge);
+        let mut budget = self.ask_budget(ResendKind::Hedge);
         budget.allowed = lent;
         if lent {
             self.resends.note_borrowed();
@@ -501,7 +503,7 @@
         self.hedge_within(&budget);
     }
 
-    fn hedge_within(&mut self, budget: &BudgetAnswer) {
+    fn hedge_within(&mut self, budget: &BudgetDecision) {
         let left_ms = self.remaining().as_secs_f64() * 1000.0;
         let pick = if budget.allowed { self.pick() } else { None };
         let hedged = pick.filter(|pick| pick.expected_ms < left_ms);
@@ -550,7 +552,7 @@
             }
         }
         if self.needs_permit() {
-            let figures = self.ask_budget(ResendUse::Sure);
+            let figures = self.ask_budget(ResendKind::AfterFailure);
             return self.stop(StopReason::Quarantined, &figures, code);
         }
         match self.decide(end, true) {
@@ -558,7 +560,7 @@
                 self.resend_in_budget(reason, end, code).await
             }
             RetryDecision::Stop(reason) => {
-                let figures = self.ask_budget(ResendUse::Sure);
+                let figures = self.ask_budget(ResendKind::AfterFailure);
                 self.stop(reason, &figures, code)
             }
         }
@@ -572,9 +574,10 @@
         code: ResultCode,
     ) -> Result<(), ResultCode> {
         let tried = self.tried.len();
-        let mut budget = self.take_resend(ResendUse::Sure);
+        let mut budget = self.take_resend(ResendKind::AfterFailure);
         if !budget.allowed {
-            let lent = borrow_resend(&self.shared, &self.service, ResendUse::Sure);
+            let lent =
+                borrow_resend(&self.shared, &self.service, ResendKind::AfterFailure);
             budget.allowed = lent.await;
             if budget.allowed {
                 self.resends.note_borrowed();
@@ -599,7 +602,7 @@
     fn stop(
         &self,
         reason: StopReason,
-        budget: &BudgetAnswer,
+        budget: &BudgetDecision,
         code: ResultCode,
     ) -> Result<(), ResultCode> {
         self.shared.metrics.stop(reason);
@@ -624,7 +627,7 @@
         outcome: &str,
         reason: &str,
         tried: usize,
-        budget: &BudgetAnswer,
+        budget: &BudgetDecision,
     ) {
         tracing::info!(
             id = id_text(self.outgoing.id.as_ref()),
@@ -634,15 +637,15 @@
             limit = rounded(budget.limit()),
             credit = rounded(budget.credit),
             slack = rounded(budget.slack),
-            boxes = budget.standing.boxes,
-            contact = budget.standing.contact.as_str(),
+            boxes = budget.membership.boxes,
+            contact = budget.membership.state.as_str(),
             left_ms = self.remaining().as_millis() as u64,
             "retry: {outcome}."
         );
     }
 
     /// Takes one more resend from the budget, if it is allowed.
-    fn take_resend(&mut self, use_: ResendUse) -> BudgetAnswer {
+    fn take_resend(&mut self, use_: ResendKind) -> BudgetDecision {
         let standing = self.shared.fleet_standing();
         self.resends.take(use_, standing)
     }
@@ -655,7 +658,7 @@
             route = %self.route.route.name,
             server = %failed.pick.server.id,
             in_flight = failed.pick.in_flight,
-            failure_share = rounded(failed.pick.failure_share),
+            failure_share = rounded(failed.pick.failure_probability),
             end = ?failed.end,
             reason = %failed.reason,
             left_ms = self.remaining().as_millis() as u64,
@@ -673,7 +676,10 @@
 
     fn give_up(&mut self, code: ResultCode) -> GivenUp {
         if !self.was_floor_try() {
-            self.service.budget.lock().count_lost(wingspur_clock::now());
+            self.service
+                .budget
+                .lock()
+                .count_failed_request(wingspur_clock::now());
         }
         let code = match code {
             ResultCode::DeadlineInDoubt | ResultCode::InDoubt => code,
@@ -699,7 +705,7 @@
     /// Whether its only attempt tried an unused server.
     fn was_floor_try(&self) -> bool {
         let begun = self.begun.as_ref();
-        self.tried.len() == 1 && begun.is_some_and(|(_, pick)| pick.is_floor_try)
+        self.tried.len() == 1 && begun.is_some_and(|(_, pick)| pick.is_idle_probe)
     }
 
     /// A place in the capacity to come.
@@ -710,27 +716,31 @@
             return after;
         }
         let now = wingspur_clock::now();
-        let want = Want {
+        let want = PickRequest {
             tried: &[],
             ..self.want(now)
         };
         let boxes = self.service.budget.lock().boxes();
         let balancer = self.service.balancer.lock();
-        let least_wait = balancer.least_wait(&want, now);
-        let capacity_per_s = balancer.capacity_per_s(want.typical, now);
+        let least_wait = balancer.min_queue_wait(&want, now);
+        let capacity_per_s = balancer.capacity_per_s(want.typical_latency, now);
         drop(balancer);
-        let inputs = ReturnInputs {
+        let inputs = RetryAfterInputs {
             priority: self.rank(),
-            least_wait: least_wait.or(self.place_in).unwrap_or(NO_SERVER_COME_BACK),
-            spare_per_s: spare_per_s(capacity_per_s, want.present.requests_per_s, boxes),
+            min_queue_wait: least_wait.or(self.place_in).unwrap_or(NO_SERVER_COME_BACK),
+            spare_per_s: spare_capacity_per_s(
+                capacity_per_s,
+                want.service_load.requests_per_s,
+                boxes,
+            ),
         };
         let mut returns = self.service.returns.lock();
-        let wait = returns.promise(&inputs, now, &mut rand::rng());
+        let wait = returns.schedule(&inputs, now, &mut rand::rng());
         drop(returns);
         tracing::info!(
             id = id_text(self.outgoing.id.as_ref()),
             priority = inputs.priority,
-            least_wait_ms = inputs.least_wait.as_millis() as u64,
+            least_wait_ms = inputs.min_queue_wait.as_millis() as u64,
             spare_per_s = rounded(inputs.spare_per_s),
             boxes,
             wait_ms = wait.as_millis() as u64,
--- a/crates/wingspur-edge/src/catalog_state.rs
+++ b/crates/wingspur-edge/src/catalog_state.rs
@@ -67,7 +67,7 @@
     let is_of_this_era =
         told.listing.position.era() == shared.links.lock().position().era();
     let gone = match is_of_this_era {
-        true => shared.directory.lock().hold_back_gone(&told.returned, now),
+        true => shared.directory.lock().suppress_stale(&told.returned, now),
         false => Vec::new(),
     };
     follow(shared, &gone, "peer");
@@ -83,7 +83,7 @@
 ) -> bool {
     let has_newer = peer_version.is_some_and(|told| told < shared.bundle_version());
     let directory = shared.directory.lock();
-    let mut returned = directory.returned();
+    let mut returned = directory.suppressed();
     has_newer || returned.any(|record| !peer_returned.contains(&record.id))
 }
 
@@ -119,7 +119,7 @@
 /// Notes for how long what another box has read may be doubted.
 fn read_by_another(shared: &Shared, doubtful_ms: u32, now: Instant) {
     let doubtful = Duration::from_millis(doubtful_ms.into());
-    shared.directory.lock().read_by_another(doubtful, now);
+    shared.directory.lock().store_read_by_peer(doubtful, now);
 }
 
 /// Applies a listing that this box read itself, and spreads it; false where links have told
@@ -167,7 +167,7 @@
     }
     let mut directory = shared.directory.lock();
     changes.changes.retain(|change| match change {
-        CatalogChange::Server(record) if directory.stands(record) => {
+        CatalogChange::Server(record) if directory.is_current(record) => {
             // What is left of a cold start is kept, so that a later one is told from it.
             directory.put(record.clone());
             false
@@ -200,7 +200,7 @@
     let brought = update
         .as_ref()
         .is_some_and(|update| brings_bundle(update, newest));
-    let knows_gone = shared.directory.lock().returned().next().is_some();
+    let knows_gone = shared.directory.lock().suppressed().next().is_some();
     // No change brings what a restored store has lost.
     match knows_gone || (newest > bundle_version && !brought) {
         true => Some(listing_of(shared, now)),
@@ -259,7 +259,7 @@
     let quarantines = quarantine_records(shared);
     let evacuated = shared.services.evacuated().iter().cloned().collect();
     let directory = shared.directory.lock();
-    let doubtful = directory.doubtful_for(now);
+    let doubtful = directory.removal_grace_left(now);
     let listing = CatalogListing {
         position,
         bundle: in_force.map(|in_force| in_force.bundle.clone()),
@@ -268,7 +268,7 @@
         quarantines,
         evacuated,
     };
-    let returned = directory.returned().map(|record| record.id.clone());
+    let returned = directory.suppressed().map(|record| record.id.clone());
     let listing = Arc::new(ListingUpdate {
         listing,
         doubtful_ms: as_ms(doubtful),
@@ -398,7 +398,7 @@
 }
 
 fn doubtful_ms(shared: &Shared, now: Instant) -> u32 {
-    as_ms(shared.directory.lock().doubtful_for(now))
+    as_ms(shared.directory.lock().removal_grace_left(now))
 }
 
 fn as_ms(time: Duration) -> u32 {
--- a/crates/wingspur-edge/src/exchange.rs
+++ b/crates/wingspur-edge/src/exchange.rs
@@ -225,8 +225,8 @@
         ..Greeting::default()
     };
     let standings = shared.standings.lock();
-    greeting.limits = standings.limits.named();
-    greeting.leaving_servers = standings.leaving();
+    greeting.limits = standings.limits.current_limits();
+    greeting.leaving_servers = standings.draining();
     drop(standings);
     let services = match has_started {
         true => shared.services.all(),
@@ -235,7 +235,7 @@
     for service in services {
         greeting
             .health
-            .extend(service.balancer.lock().health_notes(now));
+            .extend(service.balancer.lock().health_snapshots(now));
     }
     greeting
 }
@@ -244,7 +244,10 @@
 fn adopt_greeting(shared: &Shared, frame: &Frame, now: Instant) {
     for (key, note) in &frame.health {
         if let Some(service) = shared.services.of_server(*key) {
-            service.balancer.lock().adopt_health(*key, note, now);
+            service
+                .balancer
+                .lock()
+                .merge_health_snapshot(*key, note, now);
         }
     }
 }
@@ -408,8 +411,8 @@
             let counted = source.services.iter().find(|(other, _)| *other == key);
             let mut budget = service.budget.lock();
             match counted {
-                Some((_, tally)) => budget.count_remote(*tally, now),
-                None => budget.note_heard(now),
+                Some((_, tally)) => budget.merge_remote_counts(*tally, now),
+                None => budget.record_report(now),
             }
         }
     }
@@ -417,7 +420,7 @@
 
 /// Lets the news go out at once if a server has turned suspect.
 pub fn pass_alarm_on(shared: &Shared, service: &ServiceState) {
-    if service.balancer.lock().take_alarm() {
+    if service.balancer.lock().take_new_suspicion() {
         review(service);
         shared.links.lock().note_urgent();
         shared.alarm.notify();
@@ -427,8 +430,12 @@
 
 /// Logs which servers of a service this box has begun, or ceased, to suspect.
 pub fn review(service: &ServiceState) {
-    for turned in service.balancer.lock().review(wingspur_clock::now()) {
-        let outcome = if turned.suspect {
+    for turned in service
+        .balancer
+        .lock()
+        .take_suspicion_changes(wingspur_clock::now())
+    {
+        let outcome = if turned.is_suspected {
             "suspected"
         } else {
             "trusted again"
@@ -436,8 +443,8 @@
         tracing::info!(
             server = %turned.server.id,
             service = service.name,
-            failure_share = rounded(turned.failure_share),
-            sent_ms_ago = turned.sent.as_millis() as u64,
+            failure_share = rounded(turned.failure_probability),
+            sent_ms_ago = turned.last_request_at.as_millis() as u64,
             "server: {outcome}."
         );
     }
--- a/crates/wingspur-edge/src/feed.rs
+++ b/crates/wingspur-edge/src/feed.rs
@@ -165,7 +165,7 @@
         shared
             .directory
             .lock()
-            .store_returned(wingspur_clock::now());
+            .store_recovered(wingspur_clock::now());
     }
 
     fn note_failure(&mut self, shared: &Shared, error: &CatalogError) {
--- a/crates/wingspur-edge/src/in_force.rs
+++ b/crates/wingspur-edge/src/in_force.rs
@@ -138,7 +138,7 @@
 
     /// Takes in that a good answer took `ratio` times what was expected of its server.
     pub fn learn_ratio(&self, ratio: f64) {
-        self.service_time.lock().learn(ratio);
+        self.service_time.lock().record(ratio);
     }
 
     /// Takes in a good answer.
--- a/crates/wingspur-edge/src/lending.rs
+++ b/crates/wingspur-edge/src/lending.rs
@@ -10,7 +10,7 @@
 };
 use wingspur_protocol::{Lendable, Lending, ResultCode};
 use wingspur_state::{
-    AccountTable, AllowanceTerms, Borrowed, ClientAccount, QuotaSettings, ServerKey,
+    AccountTable, AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance, ServerKey,
 };
 use wingspur_transport::StopSignal;
 
@@ -40,9 +40,9 @@
     let of = Lendable::Account(account.allowance());
     let outcome = want(shared, of, 0.0, LONGEST_WAIT.min(patience / 2)).await;
     let (code, more_in) = match outcome {
-        Borrowed::Taken => return Ok(()),
-        Borrowed::Refused(more_in) => (ResultCode::AccountLimit, more_in),
-        Borrowed::Unknown | Borrowed::Waits => {
+        AcquireOutcome::Acquired => return Ok(()),
+        AcquireOutcome::Refused(more_in) => (ResultCode::AccountLimit, more_in),
+        AcquireOutcome::Unknown | AcquireOutcome::Pending => {
             (ResultCode::AllowanceUnknown, Duration::ZERO)
         }
     };
@@ -134,7 +134,7 @@
     of: Lendable,
     reserve: Reserve,
     patience: Duration,
-) -> Borrowed {
+) -> AcquireOutcome {
     match begin_to_want(shared, of, reserve) {
         Ok(outcome) => outcome,
         Err(told) => wait_until_told(told, patience).await,
@@ -146,7 +146,7 @@
     shared: &Shared,
     of: Lendable,
     reserve: Reserve,
-) -> Result<Borrowed, Told> {
+) -> Result<AcquireOutcome, Told> {
     let now = wingspur_clock::now();
     let standing = standing(shared, now);
     let allowances = Allowances::now(shared);
@@ -162,11 +162,11 @@
     outcome
 }
 
-async fn wait_until_told(told: Told, patience: Duration) -> Borrowed {
-    let told = async { told.recv().await.unwrap_or(Borrowed::Unknown) };
+async fn wait_until_told(told: Told, patience: Duration) -> AcquireOutcome {
+    let told = async { told.recv().await.unwrap_or(AcquireOutcome::Unknown) };
     let expired = async {
         wingspur_clock::sleep(patience).await;
-        Borrowed::Unknown
+        AcquireOutcome::Unknown
     };
     told.or(expired).await
 }
@@ -206,7 +206,7 @@
 /// What allowances are reckoned by: the bundle in force, the settings and servers' limits.
 struct Allowances {
     accounts: Option<Arc<AccountTable>>,
-    quota: QuotaSettings,
+    quota: QuotaTolerance,
 }
 
 impl Allowances {
@@ -222,7 +222,7 @@
             Lendable::Account(key) => {
                 let account = self.accounts.as_ref()?.of_allowance(key)?;
                 Some(Allowance {
-                    terms: AllowanceTerms::of_account(account, &self.quota),
+                    terms: QuotaTerms::of_account(account, &self.quota),
                     held_by: HeldBy::EachHub,
                 })
             }
@@ -239,7 +239,7 @@
     let limit_per_s = balancer.limit(server, wingspur_clock::now())?;
     let data_centre = balancer.record(server)?.data_centre.clone();
     Some(Allowance {
-        terms: AllowanceTerms::of_server(limit_per_s),
+        terms: QuotaTerms::of_server(limit_per_s),
         held_by: HeldBy::HubOf(data_centre),
     })
 }
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -15,8 +15,8 @@
     Lending, LimitNote, LinkRole, ListingUpdate,
 };
 use wingspur_state::{
-    BoxId, BundleVersion, FleetDivision, FleetStanding, LimitChange, ServerKey, SourceId,
-    StorePosition, SuspectUpdate,
+    BoxId, BundleVersion, FleetMembership, FleetSize, ServerKey, ServerLimitChange,
+    SourceId, StorePosition, SuspectUpdate,
 };
 use wingspur_transport::LinkSender;
 
@@ -314,7 +314,7 @@
 
     /// Queues a changed limit of a server for all links that do not hear it otherwise; the
     /// newest change of a server replaces those before.
-    pub fn spread_limit(&mut self, limit: &LimitChange, from: Option<LinkId>) {
+    pub fn spread_limit(&mut self, limit: &ServerLimitChange, from: Option<LinkId>) {
         for link in self.recipients(from) {
             link.limits.insert(limit.server, *limit);
         }
@@ -471,7 +471,8 @@
                 frame.health = greeting.unwrap_or_default().health;
                 frame.census = self.fleet.census_for(*id);
                 let suspects = link.suspects.drain(..);
-                frame.suspects = suspects.map(|updates| updates.told(now)).collect();
+                frame.suspects =
+                    suspects.map(|updates| updates.to_message(now)).collect();
                 let limits = std::mem::take(&mut link.limits).into_values();
                 frame.limits = limits.map(|limit| note_of(&limit, now)).collect();
                 let leaving = std::mem::take(&mut link.leaving_servers).into_iter();
@@ -525,7 +526,7 @@
     }
 
     /// How this box stands with the fleet, as far as what is shared over a window goes.
-    pub fn standing(&mut self, window: Duration, now: Instant) -> FleetStanding {
+    pub fn standing(&mut self, window: Duration, now: Instant) -> FleetMembership {
         let known = self.announced(now);
         self.fleet.standing(window, &known, now)
     }
@@ -659,7 +660,7 @@
     }
 
     /// How the fleet is divided, as far as its counts are concerned.
-    pub fn division(&mut self, now: Instant) -> FleetDivision {
+    pub fn division(&mut self, now: Instant) -> FleetSize {
         let boxes = self.fleet_boxes(now);
         self.planner.division(boxes)
     }
@@ -735,7 +736,7 @@
 }
 
 /// A server's limit as it is told now.
-fn note_of(limit: &LimitChange, now: Instant) -> LimitNote {
+fn note_of(limit: &ServerLimitChange, now: Instant) -> LimitNote {
     LimitNote {
         server: limit.server,
         per_s: limit.per_s,
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -12,7 +12,7 @@
 };
 use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, QuarantineRecord};
 use wingspur_state::{
-    KnownQuarantine, REMEMBERED, RequestFingerprint, StoreEra, StorePosition,
+    RequestFingerprint, SUSPECT_RETENTION, StoreEra, StorePosition, StoredQuarantine,
 };
 use wingspur_transport::{CatalogError, StopSignal, TryCounted};
 
@@ -92,7 +92,10 @@
 /// Takes in what the catalog says of a request in quarantine.
 pub fn put_quarantine(shared: &Shared, record: &QuarantineRecord) {
     let known = known_at(record, wingspur_clock::now());
-    shared.suspects.lock().put_quarantine(record.request, known);
+    shared
+        .suspects
+        .lock()
+        .apply_quarantine(record.request, known);
     tracing::info!(
         fingerprint = %record.request,
         tries = record.tries,
@@ -138,7 +141,7 @@
         .iter()
         .map(|r| (r.request, known_at(r, now)))
         .collect();
-    let lost = shared.suspects.lock().take_restored(era, &listed);
+    let lost = shared.suspects.lock().reconcile_restored(era, &listed);
     tracing::info!(
         era,
         listed = listed.len(),
@@ -162,8 +165,8 @@
     });
 }
 
-fn known_at(record: &QuarantineRecord, heard: Instant) -> KnownQuarantine {
-    KnownQuarantine {
+fn known_at(record: &QuarantineRecord, heard: Instant) -> StoredQuarantine {
+    StoredQuarantine {
         position: record.position,
         tries: record.tries,
         counted_by: record.counted_by,
@@ -237,10 +240,10 @@
 }
 
 /// Forgets what is too old; returns what the store still holds of cleared requests.
-fn tidy(shared: &Shared, now: Instant) -> Vec<(RequestFingerprint, KnownQuarantine)> {
+fn tidy(shared: &Shared, now: Instant) -> Vec<(RequestFingerprint, StoredQuarantine)> {
     let mut suspects = shared.suspects.lock();
-    suspects.tidy(now);
-    let outlived = suspects.outlived_quarantines();
+    suspects.evict_expired(now);
+    let outlived = suspects.cleared_quarantines();
     shared.metrics.suspects.set(suspects.len() as i64);
     drop(suspects);
     shared.quarantine.lock().desk.tidy(now);
@@ -347,7 +350,7 @@
         counted_by: count.counted_by,
         position: count.position,
     };
-    let call = (shared.catalog.count_try)(record, REMEMBERED);
+    let call = (shared.catalog.count_try)(record, SUSPECT_RETENTION);
     let written = call_store(shared, "quarantine", call).await;
     log_write(&record, &written);
     match written {
@@ -399,7 +402,7 @@
 async fn end_in_store(
     shared: &Arc<Shared>,
     request: RequestFingerprint,
-    known: KnownQuarantine,
+    known: StoredQuarantine,
 ) {
     let record = QuarantineRecord {
         request,
--- a/crates/wingspur-edge/src/request.rs
+++ b/crates/wingspur-edge/src/request.rs
@@ -134,7 +134,7 @@
     let now = wingspur_clock::now();
     let mut budget = route.next_service().budget.lock();
     budget.count_request(now);
-    budget.count_lost(now);
+    budget.count_failed_request(now);
 }
 
 fn refuse(
--- a/crates/wingspur-edge/src/request_log.rs
+++ b/crates/wingspur-edge/src/request_log.rs
@@ -181,12 +181,12 @@
         server = %pick.server.id,
         attempt,
         candidates = pick.candidates,
-        drawn_among = pick.drawn_among,
+        drawn_among = pick.choice_set_size,
         in_flight = pick.in_flight,
-        failure_share = rounded(pick.failure_share),
+        failure_share = rounded(pick.failure_probability),
         expected_ms = pick.expected_ms as u64,
         wait_ms = pick.wait_ms as u64,
-        heard_ms = pick.heard.map(|age| age.as_millis() as u64),
+        heard_ms = pick.last_report_age.map(|age| age.as_millis() as u64),
         left_ms = left.as_millis() as u64,
         "attempt: sent."
     );
--- a/crates/wingspur-edge/src/resend_loans.rs
+++ b/crates/wingspur-edge/src/resend_loans.rs
@@ -9,7 +9,7 @@
 
 use wingspur_coordination::LinkId;
 use wingspur_protocol::{Lendable, ResendRoom};
-use wingspur_state::{ResendUse, ServerKey};
+use wingspur_state::{ResendKind, ServerKey};
 
 /// Who has room for resends, and which loans are under way.
 #[derive(Debug, Default)]
@@ -117,12 +117,12 @@
         &self,
         links: &[LinkId],
         service: ServerKey,
-        use_: ResendUse,
+        use_: ResendKind,
         not: Option<LinkId>,
     ) -> Option<LinkId> {
         let room_of = |link: &LinkId| {
             let room = self.rooms.get(link)?.get(&service)?;
-            Some(room.limit * use_.share() as f32 - room.spent)
+            Some(room.limit * use_.budget_share() as f32 - room.spent)
         };
         let others = links.iter().filter(|link| Some(**link) != not);
         let able = others.filter_map(|link| Some((*link, room_of(link)?)));
@@ -139,10 +139,10 @@
 }
 
 /// The service that a resend is for, and how sure it is; none for what is no resend.
-pub fn resend_of(of: Lendable) -> Option<(ServerKey, ResendUse)> {
+pub fn resend_of(of: Lendable) -> Option<(ServerKey, ResendKind)> {
     match of {
-        Lendable::Resend(service) => Some((service, ResendUse::Sure)),
-        Lendable::Hedge(service) => Some((service, ResendUse::Hedge)),
+        Lendable::Resend(service) => Some((service, ResendKind::AfterFailure)),
+        Lendable::Hedge(service) => Some((service, ResendKind::Hedge)),
         Lendable::Account(_) | Lendable::Server(_) | Lendable::Permit(_) => None,
     }
 }
--- a/crates/wingspur-edge/src/resending.rs
+++ b/crates/wingspur-edge/src/resending.rs
@@ -5,7 +5,7 @@
 use futures_lite::FutureExt;
 use wingspur_coordination::{LendingMessage, LendingMessages, LinkId};
 use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, ResendRoom};
-use wingspur_state::{LENT_FOR, ResendUse, server_key};
+use wingspur_state::{RESEND_LEASE_TTL, ResendKind, server_key};
 
 use crate::lending_frames::send;
 use crate::resend_loans::{PassedOn, ToldRooms, resend_of};
@@ -19,14 +19,14 @@
 pub async fn borrow_resend(
     shared: &Shared,
     service: &ServiceState,
-    use_: ResendUse,
+    use_: ResendKind,
 ) -> bool {
     let Some((number, answered)) = ask_for_resend(shared, service, use_) else {
         return false;
     };
     let lent = async { answered.recv().await.unwrap_or(false) };
     let expired = async {
-        wingspur_clock::sleep(LENT_FOR).await;
+        wingspur_clock::sleep(RESEND_LEASE_TTL).await;
         false
     };
     let lent = lent.or(expired).await;
@@ -38,7 +38,7 @@
 fn ask_for_resend(
     shared: &Shared,
     service: &ServiceState,
-    use_: ResendUse,
+    use_: ResendKind,
 ) -> Option<(u32, async_channel::Receiver<bool>)> {
     let of = lendable(service, use_);
     let lenders = shared.links.lock().lenders();
@@ -120,7 +120,7 @@
     let standing = shared.fleet_standing();
     let room = |service: &ServiceState| {
         let mut budget = service.budget.lock();
-        let answer = budget.ask(ResendUse::Sure, standing, now);
+        let answer = budget.check(ResendKind::AfterFailure, standing, now);
         ResendRoom {
             service: server_key(&service.name),
             spent: answer.spent as f32,
@@ -148,15 +148,15 @@
     let standing = shared.fleet_standing();
     service.is_some_and(|service| {
         let mut budget = service.budget.lock();
-        budget.lend(use_, standing, now).allowed
+        budget.try_lend(use_, standing, now).allowed
     })
 }
 
-fn lendable(service: &ServiceState, use_: ResendUse) -> Lendable {
+fn lendable(service: &ServiceState, use_: ResendKind) -> Lendable {
     let key = server_key(&service.name);
     match use_ {
-        ResendUse::Sure => Lendable::Resend(key),
-        ResendUse::Hedge => Lendable::Hedge(key),
+        ResendKind::AfterFailure => Lendable::Resend(key),
+        ResendKind::Hedge => Lendable::Hedge(key),
     }
 }
 
--- a/crates/wingspur-edge/src/server_changes.rs
+++ b/crates/wingspur-edge/src/server_changes.rs
@@ -3,14 +3,14 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use wingspur_state::DirectoryChange;
+use wingspur_state::RegistryChange;
 
 use crate::server_hints::note_announced;
 use crate::shared::Shared;
 use crate::suspects::note_gone;
 
 /// Lets the services follow what became of servers.
-pub fn follow(shared: &Arc<Shared>, changes: &[DirectoryChange], source: &str) {
+pub fn follow(shared: &Arc<Shared>, changes: &[RegistryChange], source: &str) {
     note_gone(shared, changes);
     note_announced(shared, changes);
     if changes.len() > MOST_SINGLE_LINES {
@@ -21,10 +21,10 @@
     }
     for change in changes {
         let (event, record) = match change {
-            DirectoryChange::Put(record) if record.leaving => ("leaving", record),
-            DirectoryChange::Put(record) => ("takes work", record),
-            DirectoryChange::Restarted { record, .. } => ("started again", record),
-            DirectoryChange::Gone(record) => ("gone", record),
+            RegistryChange::Updated(record) if record.leaving => ("leaving", record),
+            RegistryChange::Updated(record) => ("takes work", record),
+            RegistryChange::Restarted { record, .. } => ("started again", record),
+            RegistryChange::Removed(record) => ("gone", record),
         };
         let (server, service) = (&record.id, &record.service);
         tracing::info!(%server, %service, address = %record.address, source, "server: {event}.");
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -6,7 +6,7 @@
 use wingspur_coordination::{LinkId, Reserve};
 use wingspur_protocol::{LeavingNote, Lendable, LimitNote, ServerHints};
 use wingspur_state::{
-    Borrowed, DirectoryChange, LimitChange, Priority, ServerKey, ServerRecord,
+    AcquireOutcome, Priority, RegistryChange, ServerKey, ServerLimitChange, ServerRecord,
 };
 use wingspur_transport::AnswerHead;
 
@@ -88,7 +88,7 @@
 }
 
 fn receive_leaving(shared: &Shared, id: &str, server: &ServerRecord, now: Instant) {
-    let is_new = shared.standings.lock().receive_leaving(server.key(), now);
+    let is_new = shared.standings.lock().record_draining(server.key(), now);
     if is_new {
         apply_leaving(shared, id, server.key(), now, None);
     }
@@ -144,7 +144,7 @@
         let is_new = shared
             .standings
             .lock()
-            .receive_leaving(note.server, earliest);
+            .record_draining(note.server, earliest);
         if is_new {
             apply_leaving(shared, "", note.server, earliest, Some(link));
         }
@@ -153,38 +153,38 @@
 
 /// Notes what the catalog says of servers before their services follow it: what they have
 /// said stands for as long as their run does, also while it is not announced.
-pub fn note_announced(shared: &Shared, changes: &[DirectoryChange]) {
+pub fn note_announced(shared: &Shared, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
     let mut standings = shared.standings.lock();
     let mut note_put = |record: &ServerRecord| {
         standings.announce(record.key());
         if record.leaving {
-            standings.receive_announced_leaving(record.key(), now);
+            standings.record_catalog_draining(record.key(), now);
         }
     };
     for change in changes {
         match change {
-            DirectoryChange::Put(record) => note_put(record),
-            DirectoryChange::Restarted { record, .. } => note_put(record),
-            DirectoryChange::Gone(_) => {}
+            RegistryChange::Updated(record) => note_put(record),
+            RegistryChange::Restarted { record, .. } => note_put(record),
+            RegistryChange::Removed(_) => {}
         }
     }
     for change in changes {
         match change {
-            DirectoryChange::Put(_) => {}
-            DirectoryChange::Restarted { before, .. } => standings.forget(before.key()),
-            DirectoryChange::Gone(record) => standings.withdraw(record.key()),
+            RegistryChange::Updated(_) => {}
+            RegistryChange::Restarted { before, .. } => standings.forget(before.key()),
+            RegistryChange::Removed(record) => standings.withdraw(record.key()),
         }
     }
-    standings.limits.tidy(now);
+    standings.limits.evict_expired(now);
 }
 
 /// Lets this box's picks go by how a server stands now; the server, if it is announced.
 fn adopt(shared: &Shared, server: ServerKey) -> Option<Arc<ServerRecord>> {
     let service = shared.services.of_server(server)?;
     let mut balancer = service.balancer.lock();
-    let standing = shared.standings.lock().standing(server);
-    balancer.set_standing(server, standing);
+    let standing = shared.standings.lock().state(server);
+    balancer.set_announced_state(server, standing);
     balancer.record(server).cloned()
 }
 
@@ -211,7 +211,12 @@
 }
 
 /// Lets this box's picks go by a changed limit, and tells the others.
-fn apply(shared: &Shared, change: &LimitChange, source: &str, from: Option<LinkId>) {
+fn apply(
+    shared: &Shared,
+    change: &ServerLimitChange,
+    source: &str,
+    from: Option<LinkId>,
+) {
     let record = adopt(shared, change.server);
     shared.links.lock().spread_limit(change, from);
     shared.updates.notify();
@@ -244,9 +249,9 @@
     let of = Lendable::Server(server.key());
     let outcome = want(shared, of, reserve_of(rank), PLACE_PATIENCE).await;
     let (told, more_in) = match outcome {
-        Borrowed::Taken => ("place taken", None),
-        Borrowed::Refused(more_in) => ("no place", Some(more_in)),
-        Borrowed::Unknown | Borrowed::Waits => ("nobody could tell", None),
+        AcquireOutcome::Acquired => ("place taken", None),
+        AcquireOutcome::Refused(more_in) => ("no place", Some(more_in)),
+        AcquireOutcome::Unknown | AcquireOutcome::Pending => ("nobody could tell", None),
     };
     shared.metrics.count_limit(&told.replace(' ', "_"));
     tracing::info!(
@@ -258,8 +263,10 @@
         "limit: {told}."
     );
     match outcome {
-        Borrowed::Taken => Ok(()),
-        Borrowed::Refused(_) | Borrowed::Unknown | Borrowed::Waits => Err(more_in),
+        AcquireOutcome::Acquired => Ok(()),
+        AcquireOutcome::Refused(_)
+        | AcquireOutcome::Unknown
+        | AcquireOutcome::Pending => Err(more_in),
     }
 }
 
--- a/crates/wingspur-edge/src/services.rs
+++ b/crates/wingspur-edge/src/services.rs
@@ -6,8 +6,9 @@
 use std::time::Instant;
 
 use wingspur_state::{
-    Balancer, BudgetSettings, Bundle, DataCentreId, DirectoryChange, FleetBudget,
-    FleetDivision, Regions, ReturnQueue, ServerKey, ServerRecord, Standings,
+    AnnouncedStates, Balancer, Bundle, DataCentreId, FleetRetryBudget, FleetSize,
+    Regions, RegistryChange, RetryAfterSchedule, RetryBudgetSettings, ServerKey,
+    ServerRecord,
 };
 use wingspur_transport::Backend;
 
@@ -21,9 +22,9 @@
     /// Its backend servers.
     pub balancer: Ranked<Balancer>,
     /// Its retry budget.
-    pub budget: Ranked<FleetBudget>,
+    pub budget: Ranked<FleetRetryBudget>,
     /// What refused callers were promised.
-    pub returns: Ranked<ReturnQueue>,
+    pub returns: Ranked<RetryAfterSchedule>,
 }
 
 /// All services, and the connections to their servers.
@@ -31,7 +32,7 @@
 pub struct Services {
     home: DataCentreId,
     regions: Arc<Regions>,
-    budget: Ranked<BudgetSettings>,
+    budget: Ranked<RetryBudgetSettings>,
     by_name: Ranked<HashMap<String, Arc<ServiceState>>>,
     /// The service of each announced server.
     by_server: Ranked<HashMap<ServerKey, Arc<ServiceState>>>,
@@ -42,7 +43,11 @@
 
 impl Services {
     /// No services yet.
-    pub fn new(home: DataCentreId, regions: Regions, budget: BudgetSettings) -> Self {
+    pub fn new(
+        home: DataCentreId,
+        regions: Regions,
+        budget: RetryBudgetSettings,
+    ) -> Self {
         Self {
             home,
             regions: Arc::new(regions),
@@ -67,8 +72,8 @@
         let service = Arc::new(ServiceState {
             name: name.to_owned(),
             balancer: Ranked::new(Rank::Balancer, balancer),
-            budget: Ranked::new(Rank::Budget, FleetBudget::new(budget)),
-            returns: Ranked::new(Rank::Returns, ReturnQueue::default()),
+            budget: Ranked::new(Rank::Budget, FleetRetryBudget::new(budget)),
+            returns: Ranked::new(Rank::Returns, RetryAfterSchedule::default()),
         });
         services.insert(name.to_owned(), service.clone());
         service
@@ -102,7 +107,7 @@
     }
 
     /// Takes up changed settings of the retry budget.
-    pub fn set_budget(&self, settings: BudgetSettings) {
+    pub fn set_budget(&self, settings: RetryBudgetSettings) {
         *self.budget.lock() = settings;
         for service in self.all() {
             service.budget.lock().set_settings(settings);
@@ -127,25 +132,29 @@
     }
 
     /// Takes in what became of servers, each with how it stands by what it has said.
-    pub fn follow(&self, changes: &[DirectoryChange], standings: &Ranked<Standings>) {
+    pub fn follow(
+        &self,
+        changes: &[RegistryChange],
+        standings: &Ranked<AnnouncedStates>,
+    ) {
         let now = wingspur_clock::now();
         let put = |record: &ServerRecord| {
             let service = self.get(&record.service);
             let mut balancer = service.balancer.lock();
-            balancer.put(record.clone(), now);
-            let standing = standings.lock().standing(record.key());
-            balancer.set_standing(record.key(), standing);
+            balancer.upsert(record.clone(), now);
+            let standing = standings.lock().state(record.key());
+            balancer.set_announced_state(record.key(), standing);
             drop(balancer);
             self.by_server.lock().insert(record.key(), service);
         };
         for change in changes {
             match change {
-                DirectoryChange::Put(record) => put(record),
-                DirectoryChange::Restarted { before, record } => {
+                RegistryChange::Updated(record) => put(record),
+                RegistryChange::Restarted { before, record } => {
                     self.forget(before);
                     put(record);
                 }
-                DirectoryChange::Gone(record) => self.forget(record),
+                RegistryChange::Removed(record) => self.forget(record),
             }
         }
     }
@@ -159,14 +168,14 @@
     }
 
     /// Divides each service's connections and budget among the boxes.
-    pub fn share(&self, bundle: &Bundle, division: FleetDivision) {
+    pub fn share(&self, bundle: &Bundle, division: FleetSize) {
         for declared in &bundle.services {
             let service = self.get(&declared.name);
             let mut balancer = service.balancer.lock();
             if let Some(connections) = declared.server_connections {
-                balancer.share_connections(connections, division.boxes);
+                balancer.set_connection_shares(connections, division.boxes);
             }
-            balancer.set_cold_rate(declared.cold_requests_per_s);
+            balancer.set_warmup_rate_limit(declared.cold_requests_per_s);
             drop(balancer);
             service.budget.lock().set_division(division);
         }
--- a/crates/wingspur-edge/src/settings.rs
+++ b/crates/wingspur-edge/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use wingspur_protocol::Keyring;
-use wingspur_state::{BoxId, BudgetSettings, DataCentreId, QuotaSettings, Regions};
+use wingspur_state::{BoxId, DataCentreId, QuotaTolerance, Regions, RetryBudgetSettings};
 use wingspur_transport::TlsFiles;
 
 /// The settings of one box.
@@ -47,10 +47,10 @@
     pub first_start: bool,
     /// What resends a service may be asked to bear.
     #[serde(default)]
-    pub retry_budget: BudgetSettings,
+    pub retry_budget: RetryBudgetSettings,
     /// How far requests of a client account may pass its limit.
     #[serde(default)]
-    pub quota: QuotaSettings,
+    pub quota: QuotaTolerance,
     /// The box's share of a processor core, 1 for a whole one; its part in what boxes do
     /// together follows from this and its link.
     #[serde(default = "default_cpu_share")]
--- a/crates/wingspur-edge/src/shared.rs
+++ b/crates/wingspur-edge/src/shared.rs
@@ -5,7 +5,9 @@
 
 use wingspur_coordination::LendingDesk;
 use wingspur_protocol::{BoxRecord, HeaderNames};
-use wingspur_state::{Bundle, Directory, FleetStanding, Standings, SuspectRequests};
+use wingspur_state::{
+    AnnouncedStates, Bundle, FleetMembership, ServerRegistry, SuspectRequests,
+};
 use wingspur_transport::{Announcement, Catalog, Connector, Spawner};
 
 use crate::in_force::InForce;
@@ -32,7 +34,7 @@
     /// The services and their servers.
     pub services: Services,
     /// The announced servers.
-    pub directory: Ranked<Directory>,
+    pub directory: Ranked<ServerRegistry>,
     /// The links to other boxes.
     pub links: Ranked<Links>,
     /// What is lent and borrowed of client accounts' allowances.
@@ -40,7 +42,7 @@
     /// Who has room for resends, and what is lent of them.
     pub resend_loans: Ranked<ResendLoans>,
     /// What servers have said of themselves.
-    pub standings: Ranked<Standings>,
+    pub standings: Ranked<AnnouncedStates>,
     /// The requests under which servers have ended.
     pub suspects: Ranked<SuspectRequests>,
     /// What is let through of those that are in quarantine.
@@ -96,7 +98,7 @@
             names,
             catalog,
             services,
-            directory: Ranked::new(Rank::Directory, Directory::default()),
+            directory: Ranked::new(Rank::Directory, ServerRegistry::default()),
             links: Ranked::new(
                 Rank::Links,
                 Links::new(
@@ -108,7 +110,7 @@
             ),
             lending: Ranked::new(Rank::Lending, LendingDesk::new(wingspur_clock::now())),
             resend_loans: Ranked::new(Rank::ResendLoans, ResendLoans::default()),
-            standings: Ranked::new(Rank::Standings, Standings::default()),
+            standings: Ranked::new(Rank::Standings, AnnouncedStates::default()),
             suspects: Ranked::new(Rank::Suspects, SuspectRequests::default()),
             quarantine: Ranked::new(Rank::Quarantine, QuarantineState::new(incarnation)),
             lending_notify: Notify::new(),
@@ -195,7 +197,7 @@
     }
 
     /// How this box stands with the fleet now, as far as the retry budget's slack goes.
-    pub fn fleet_standing(&self) -> FleetStanding {
+    pub fn fleet_standing(&self) -> FleetMembership {
         let window_s = self.settings().retry_budget.window_s;
         let window = Duration::from_secs_f64(window_s);
         self.links.lock().standing(window, wingspur_clock::now())
--- a/crates/wingspur-edge/src/suspects.rs
+++ b/crates/wingspur-edge/src/suspects.rs
@@ -5,7 +5,7 @@
 
 use wingspur_coordination::LinkId;
 use wingspur_state::{
-    DirectoryChange, RequestFingerprint, ServerRecord, SuspectEvent, SuspectNote,
+    RegistryChange, RequestFingerprint, ServerRecord, SuspectEvent, SuspectMessage,
     SuspectUpdate,
 };
 use wingspur_transport::{Backend, ConnectError};
@@ -41,7 +41,10 @@
         "server: looked for after an answer broke off."
     );
     if !has_ended {
-        return shared.suspects.lock().note_broken(request, server, at);
+        return shared
+            .suspects
+            .lock()
+            .record_broken_attempt(request, server, at);
     }
     let seen = SuspectEvent::ServerEnded(server);
     take_in_own(shared, SuspectUpdate { request, seen, at });
@@ -51,7 +54,7 @@
 /// it.
 pub fn note_answered(shared: &Arc<Shared>, request: RequestFingerprint) {
     let at = wingspur_clock::now();
-    if !shared.suspects.lock().note_answered(request, at) {
+    if !shared.suspects.lock().record_complete_answer(request, at) {
         return;
     }
     let seen = SuspectEvent::AnsweredWhole;
@@ -60,19 +63,19 @@
 
 /// Takes in which servers have ended, as the catalog tells: what was out there, or broke off
 /// there a moment ago, was out when they did.
-pub fn note_gone(shared: &Arc<Shared>, changes: &[DirectoryChange]) {
+pub fn note_gone(shared: &Arc<Shared>, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
     for change in changes {
         let ended = match change {
-            DirectoryChange::Gone(record) => record,
-            DirectoryChange::Restarted { before, .. } => before,
-            DirectoryChange::Put(_) => continue,
+            RegistryChange::Removed(record) => record,
+            RegistryChange::Restarted { before, .. } => before,
+            RegistryChange::Updated(_) => continue,
         };
         if ended.leaving {
             continue;
         }
         let server = ended.key();
-        let mut updates = shared.suspects.lock().take_broken(server, now);
+        let mut updates = shared.suspects.lock().take_broken_attempts(server, now);
         let out = shared.requests_out.sent_to(&ended.id);
         updates.extend(out.into_iter().map(|request| SuspectUpdate {
             request,
@@ -86,12 +89,12 @@
 }
 
 /// Takes in what another box tells, and passes on what was news here.
-pub fn take_notes(shared: &Arc<Shared>, link: LinkId, notes: &[SuspectNote]) {
+pub fn take_notes(shared: &Arc<Shared>, link: LinkId, notes: &[SuspectMessage]) {
     let now = wingspur_clock::now();
     for note in notes {
-        let updates = note.heard(now);
+        let updates = note.to_update(now);
         let was_quarantined = is_quarantined(shared, updates.request);
-        if !shared.suspects.lock().take_in(&updates, now) {
+        if !shared.suspects.lock().apply_update(&updates, now) {
             continue;
         }
         if is_quarantined(shared, updates.request) != was_quarantined {
@@ -109,13 +112,16 @@
 
 /// What a box that has just linked with this one should hear.
 pub fn greeting_notes(shared: &Shared) -> Vec<SuspectUpdate> {
-    shared.suspects.lock().greeting(wingspur_clock::now())
+    shared
+        .suspects
+        .lock()
+        .initial_updates(wingspur_clock::now())
 }
 
 /// Takes in what this box has seen, and tells the others without delay.
 fn take_in_own(shared: &Arc<Shared>, updates: SuspectUpdate) {
     let now = wingspur_clock::now();
-    if !shared.suspects.lock().take_in(&updates, now) {
+    if !shared.suspects.lock().apply_update(&updates, now) {
         return;
     }
     shared.metrics.count_suspect(updates.seen);
--- a/crates/wingspur-edge/src/taken_resends.rs
+++ b/crates/wingspur-edge/src/taken_resends.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use wingspur_state::{BudgetAnswer, FleetStanding, ResendUse};
+use wingspur_state::{BudgetDecision, FleetMembership, ResendKind};
 
 use crate::services::ServiceState;
 
@@ -34,9 +34,13 @@
     }
 
     /// Takes one more of this box's own part, if that has room.
-    pub fn take(&mut self, use_: ResendUse, standing: FleetStanding) -> BudgetAnswer {
+    pub fn take(
+        &mut self,
+        use_: ResendKind,
+        standing: FleetMembership,
+    ) -> BudgetDecision {
         let mut budget = self.service.budget.lock();
-        let answer = budget.take(use_, standing, wingspur_clock::now());
+        let answer = budget.try_spend(use_, standing, wingspur_clock::now());
         self.count += u32::from(answer.allowed);
         self.last_is_borrowed &= !answer.allowed;
         answer
@@ -62,7 +66,7 @@
         }
         let unused = unused.min(self.count);
         self.count -= unused;
-        self.service.budget.lock().take_back(unused);
+        self.service.budget.lock().refund(unused);
     }
 }
 
@@ -70,6 +74,6 @@
     fn drop(&mut self) {
         let mut budget = self.service.budget.lock();
         let unanswered = self.sent.saturating_sub(self.answered);
-        budget.end(self.count, unanswered, wingspur_clock::now());
+        budget.finish_request(self.count, unanswered, wingspur_clock::now());
     }
 }
--- a/crates/wingspur-entry/src/detection.rs
+++ b/crates/wingspur-entry/src/detection.rs
@@ -7,7 +7,8 @@
 use wingspur_coordination::PeerView;
 use wingspur_protocol::{PeerMessage, PeerReply};
 use wingspur_state::{
-    BoxId, DataCentreId, EjectionRecord, EvidenceReport, JudgeEvent, TICK, Verdict,
+    BoxId, DataCentreId, EVIDENCE_TICK, EjectionRecord, EvidenceReport, OutlierEvent,
+    Verdict,
 };
 use wingspur_transport::{StopSignal, StoreError, WriteOutcome};
 
@@ -21,7 +22,7 @@
     let mut idle = true;
     while !stop.is_given() {
         // Waking up is what an idle box spends most on.
-        wingspur_clock::sleep(if idle { IDLE_TICK } else { TICK }).await;
+        wingspur_clock::sleep(if idle { IDLE_TICK } else { EVIDENCE_TICK }).await;
         let Some(bundle) = shared.in_force() else {
             continue;
         };
@@ -117,7 +118,7 @@
             .entry(tag)
             .or_insert_with(|| JudgeSeat::new(handle, tag, now));
         seat.heard = now;
-        seat.judge.receive(from, data_centre, report, now);
+        seat.judge.record_report(from, data_centre, report, now);
         // Without the agreed record a judge cannot say who is out, and says nothing.
         if seat.revision.is_some() {
             verdicts.push(seat.judge.verdict(data_centre));
@@ -145,11 +146,11 @@
             .retain(|_, seat| now.saturating_duration_since(seat.heard) < SEAT_TTL);
         for (tag, seat) in &mut judges.seats {
             seat.follow_leaving(bundle);
-            for event in seat.judge.step(now) {
+            for event in seat.judge.tick(now) {
                 note(shared, &seat.service, &event);
             }
             changed.extend(seat.take_changes(&data_centres));
-            let wanted = seat.revision.is_none() || seat.judge.proposal().is_some();
+            let wanted = seat.revision.is_none() || seat.judge.pending_record().is_some();
             if wanted && !seat.syncing {
                 seat.syncing = true;
                 to_sync.push(*tag);
@@ -211,7 +212,7 @@
     if let Some(seat) = judges.seats.get_mut(&tag) {
         seat.failures = 0;
         seat.revision = Some(revision);
-        seat.judge.adopt(record, wingspur_clock::now());
+        seat.judge.apply_record(record, wingspur_clock::now());
     }
     Ok(())
 }
@@ -240,11 +241,11 @@
     }
 }
 
-fn note(shared: &Shared, service: &str, event: &JudgeEvent) {
+fn note(shared: &Shared, service: &str, event: &OutlierEvent) {
     let (name, server) = match event {
-        JudgeEvent::Suspected(server) => ("suspected", server),
-        JudgeEvent::OnTrial(server) => ("on_trial", server),
-        JudgeEvent::Returned(server) => ("returned", server),
+        OutlierEvent::Suspected(server) => ("suspected", server),
+        OutlierEvent::OnTrial(server) => ("on_trial", server),
+        OutlierEvent::Returned(server) => ("returned", server),
     };
     shared
         .metrics
--- a/crates/wingspur-entry/src/in_force.rs
+++ b/crates/wingspur-entry/src/in_force.rs
@@ -7,7 +7,7 @@
 
 use wingspur_protocol::{Manifest, SignedBundle};
 use wingspur_state::{
-    Bundle, RouteClash, RouteClass, RouteMatch, RouteTable, Service, ServiceTable,
+    Bundle, RouteClass, RouteConflict, RouteMatch, RouteTable, Service, ServiceTable,
 };
 use wingspur_transport::{BackendPool, Spawner};
 
@@ -54,7 +54,7 @@
         bundle: Bundle,
         before: Option<&InForce>,
         place: &Place<'_>,
-    ) -> Result<Self, RouteClash> {
+    ) -> Result<Self, RouteConflict> {
         let routes = RouteTable::new(&bundle)?;
         let mut pools = before.map(InForce::pools).unwrap_or_default();
         let mut services = Vec::with_capacity(bundle.services.len());
@@ -110,7 +110,7 @@
         let mut table =
             ServiceTable::new(service.clone(), tag, place.data_centre, place.boxes);
         if let Some(old) = old {
-            table.inherit(&old.table.lock());
+            table.inherit_state(&old.table.lock());
         }
         let pool_of = |server: &wingspur_state::BackendServer| {
             let spawner = place.spawner.clone();
--- a/crates/wingspur-entry/src/judges.rs
+++ b/crates/wingspur-entry/src/judges.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use wingspur_state::{DataCentreId, EjectionRecord, Judge, Verdict};
+use wingspur_state::{DataCentreId, EjectionRecord, OutlierDetector, Verdict};
 
 use crate::in_force::{InForce, ServiceHandle};
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct JudgeSeat {
     /// The decisions.
-    pub judge: Judge,
+    pub judge: OutlierDetector,
     /// The service's name.
     pub service: String,
     /// The store's revision of the record that the judge holds; none until it was read.
@@ -37,7 +37,7 @@
     /// A judge that has not read its record yet.
     pub fn new(handle: &ServiceHandle, tag: u64, now: Instant) -> Self {
         Self {
-            judge: Judge::new(&handle.service, tag, None, now),
+            judge: OutlierDetector::new(&handle.service, tag, None, now),
             service: handle.service.name.clone(),
             revision: None,
             syncing: false,
@@ -63,7 +63,11 @@
 
     /// The service, the revision that was read, and what should be written.
     pub fn wish(&self) -> (String, Option<i64>, Option<EjectionRecord>) {
-        (self.service.clone(), self.revision, self.judge.proposal())
+        (
+            self.service.clone(),
+            self.revision,
+            self.judge.pending_record(),
+        )
     }
 
     /// The verdicts that have changed since they were last sent out.
--- a/crates/wingspur-entry/src/operator.rs
+++ b/crates/wingspur-entry/src/operator.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, Response};
 use wingspur_edge::OperatorPages;
 use wingspur_protocol::BoxStatus;
-use wingspur_state::Standing;
+use wingspur_state::EjectionState;
 
 use crate::shared::Shared;
 
@@ -37,7 +37,7 @@
     for handle in bundle.iter().flat_map(|bundle| &bundle.services) {
         let table = handle.table.lock();
         for (index, server) in handle.service.servers.iter().enumerate() {
-            if table.standing(index, now) != Standing::In {
+            if table.ejection_state(index, now) != EjectionState::Active {
                 out.push(format!("{}/{}", handle.service.name, server.name));
             }
         }
--- a/crates/wingspur-entry/src/relay.rs
+++ b/crates/wingspur-entry/src/relay.rs
@@ -83,10 +83,11 @@
     /// Notes that the answer's head came.
     pub fn head(&self, outcome: AttemptOutcome) {
         if let Some(id) = self.id {
-            self.handle
-                .table
-                .lock()
-                .head(id, outcome, wingspur_clock::now());
+            self.handle.table.lock().record_response_head(
+                id,
+                outcome,
+                wingspur_clock::now(),
+            );
         }
     }
 
@@ -107,7 +108,10 @@
 
     fn progress(&self) {
         if let Some(id) = self.id {
-            self.handle.table.lock().progress(id, wingspur_clock::now());
+            self.handle
+                .table
+                .lock()
+                .record_response_progress(id, wingspur_clock::now());
         }
     }
 }
--- a/crates/wingspur-protocol/src/link.rs
+++ b/crates/wingspur-protocol/src/link.rs
@@ -6,9 +6,9 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use wingspur_state::{
-    AllowanceKey, BoxId, BoxKey, BundleVersion, DataCentreId, HealthNote, KeyedTally,
+    BoxId, BoxKey, BundleVersion, DataCentreId, HealthSnapshot, KeyedTally, QuotaKey,
     RequestFingerprint, ServerId, ServerKey, ServerRecord, ServiceTally, SourceId,
-    StoreEra, StorePosition, SuspectNote,
+    StoreEra, StorePosition, SuspectMessage,
 };
 
 use crate::{BoxRecord, CatalogChanges, CatalogListing, compact_servers};
@@ -65,7 +65,7 @@
     /// Whether the sender is stopping: it should not be taken for a hub any more.
     pub leaving: bool,
     /// What the sender makes of backend servers; told once, when a link is new.
-    pub health: Vec<(ServerKey, HealthNote)>,
+    pub health: Vec<(ServerKey, HealthSnapshot)>,
     /// How the retry budgets stand at the sender, and at a hub over its members as well.
     #[serde(default)]
     pub rooms: Vec<ResendRoom>,
@@ -74,7 +74,7 @@
     pub lending: Lending,
     /// What was seen of requests under which servers ended.
     #[serde(default)]
-    pub suspects: Vec<SuspectNote>,
+    pub suspects: Vec<SuspectMessage>,
     /// Limits of servers that have changed.
     #[serde(default)]
     pub limits: Vec<LimitNote>,
@@ -133,7 +133,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Lendable {
     /// Requests of a client account.
-    Account(AllowanceKey),
+    Account(QuotaKey),
     /// Requests to a server that has named a limit.
     Server(ServerKey),
     /// A resend to a service, by the key of its name.
--- a/crates/wingspur-state/src/account.rs
+++ b/crates/wingspur-state/src/account.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest, Sha256};
 
-use crate::{AllowanceKey, server_key};
+use crate::{QuotaKey, server_key};
 
 /// A client account as the bundle declares it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct AccountTable {
     by_key: HashMap<KeyDigest, Arc<ClientAccount>>,
-    by_allowance: HashMap<AllowanceKey, Arc<ClientAccount>>,
+    by_allowance: HashMap<QuotaKey, Arc<ClientAccount>>,
 }
 
 impl ClientAccount {
@@ -48,7 +48,7 @@
     }
 
     /// The name of its allowance among boxes.
-    pub fn allowance(&self) -> AllowanceKey {
+    pub fn allowance(&self) -> QuotaKey {
         server_key(&format!("account/{}", self.name))
     }
 }
@@ -74,7 +74,7 @@
     }
 
     /// The account that an allowance is of.
-    pub fn of_allowance(&self, key: AllowanceKey) -> Option<&Arc<ClientAccount>> {
+    pub fn of_allowance(&self, key: QuotaKey) -> Option<&Arc<ClientAccount>> {
         self.by_allowance.get(&key)
     }
 }
--- a/crates/wingspur-state/src/standing.rs
+++ b/crates/wingspur-state/src/announced_state.rs
@@ -10,7 +10,7 @@
 /// What a run says ends by its own end or with the next run, which has another key: neither
 /// when its entry vanishes and comes back nor when anything else changes at the box.
 #[derive(Debug, Default)]
-pub struct Standings {
+pub struct AnnouncedStates {
     /// What they take from all boxes together.
     pub limits: ServerLimits,
     hints: HashMap<ServerKey, InstanceHints>,
@@ -39,30 +39,30 @@
 
 /// How a run stands with this box, by all that is known of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ServerStanding {
+pub struct AnnouncedState {
     hints: InstanceHints,
     limit_per_s: Option<f64>,
 }
 
 /// Whether a request may go to a run of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Access {
+pub enum Availability {
     /// It may.
     Open,
     /// It may if it has a place within what the server takes, in requests a second.
-    WithPlace(f64),
+    RequiresQuota(f64),
     /// It may if nothing else can serve it, and its answer should be there by then.
     LastResort(Instant),
     /// Not before then, by this box.
-    NotBefore(Instant),
+    BackoffUntil(Instant),
     /// Not at present, whatever the box waits for: it leaves, is replaced, or stands in an
     /// evacuated data centre.
-    Closed,
+    Unavailable,
 }
 
-impl Standings {
+impl AnnouncedStates {
     /// Takes in that a run has said that it leaves; whether that was not known.
-    pub fn receive_leaving(&mut self, server: ServerKey, since: Instant) -> bool {
+    pub fn record_draining(&mut self, server: ServerKey, since: Instant) -> bool {
         let hints = self.hints_of(server);
         let is_new = hints.leaves.is_none();
         hints.note_leaving(Leaving {
@@ -74,7 +74,7 @@
 
     /// Takes in that the catalog says that a run leaves: that closes it at once. The catalog
     /// may have known it for as long as its news takes.
-    pub fn receive_announced_leaving(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_catalog_draining(&mut self, server: ServerKey, now: Instant) {
         self.hints_of(server).note_leaving(Leaving {
             since: now,
             works_until: now,
@@ -98,8 +98,8 @@
     }
 
     /// How a run stands.
-    pub fn standing(&self, server: ServerKey) -> ServerStanding {
-        ServerStanding {
+    pub fn state(&self, server: ServerKey) -> AnnouncedState {
+        AnnouncedState {
             hints: self.hints.get(&server).copied().unwrap_or_default(),
             limit_per_s: self.limits.limit(server),
         }
@@ -107,7 +107,7 @@
 
     /// The runs that leave, with since when that is known, for a box that has just linked
     /// with this one.
-    pub fn leaving(&self) -> Vec<(ServerKey, Instant)> {
+    pub fn draining(&self) -> Vec<(ServerKey, Instant)> {
         let leaving = self.hints.iter();
         let leaving =
             leaving.filter_map(|(server, hints)| Some((*server, hints.leaves?.since)));
@@ -174,29 +174,30 @@
     }
 }
 
-impl ServerStanding {
+impl AnnouncedState {
     /// Whether a request of this box may go to the run now.
-    pub fn access(&self, now: Instant) -> Access {
+    pub fn availability(&self, now: Instant) -> Availability {
         let rest = self.hints.backoff_until.filter(|until| now < *until);
         if self.hints.is_replaced {
-            return Access::Closed;
+            return Availability::Unavailable;
         }
         if let Some(leaving) = self.hints.leaves {
             // A run in need as well is spared what little it could still do.
             let is_in_need = rest.is_some() || self.limit_per_s.is_some();
             return match now < leaving.works_until && !is_in_need {
-                true => Access::LastResort(leaving.works_until),
-                false => Access::Closed,
+                true => Availability::LastResort(leaving.works_until),
+                false => Availability::Unavailable,
             };
         }
         if let Some(until) = rest {
-            return Access::NotBefore(until);
+            return Availability::BackoffUntil(until);
         }
-        self.limit_per_s.map_or(Access::Open, Access::WithPlace)
+        self.limit_per_s
+            .map_or(Availability::Open, Availability::RequiresQuota)
     }
 
     /// Notes that the catalog says that the run leaves: that closes it at once.
-    pub fn note_announced_leaving(&mut self, now: Instant) {
+    pub fn mark_catalog_draining(&mut self, now: Instant) {
         self.hints.note_leaving(Leaving {
             since: now,
             works_until: now,
--- a/crates/wingspur-state/src/balancer.rs
+++ b/crates/wingspur-state/src/balancer.rs
@@ -14,16 +14,20 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use crate::floor::{
-    FloorInputs, TRUSTED_SHARE, Unused, holds_strictly, is_in_reach, try_unused,
+use crate::choice_set::{MOST_DEARER, MOST_DEARER_WITH_ROOM, place_among};
+use crate::health::{Health, HealthSnapshot, UnknownFailures, UsualFailures};
+use crate::idle_probe::{
+    IdleProbeInputs, IdleServer, TRUSTED_SHARE, holds_strictly, is_in_reach,
+    pick_idle_probe,
+};
+use crate::retry_after::LONGEST_RETURN;
+use crate::tracked_server::{
+    Attempt, Distance, ExpectedLatency, HealthOutcome, Server, path_outcome,
 };
-use crate::health::{Health, HealthNote, UnknownFailures, UsualFailures};
-use crate::placement::{MOST_DEARER, MOST_DEARER_WITH_ROOM, place_among};
-use crate::returning::LONGEST_RETURN;
-use crate::tracked::{Attempt, Distance, Ended, Expected, Server, path_outcome};
 use crate::{
-    Access, AttemptId, DataCentreId, KeyedTally, Regions, ServerKey, ServerRecord,
-    ServerStanding, ServerTally, ServicePresent, SourceId, due_share,
+    AnnouncedState, AttemptId, Availability, DataCentreId, KeyedTally, Regions,
+    ServerKey, ServerRecord, ServerTally, ServiceLoad, SourceId,
+    quota_request_probability,
 };
 
 /// The backend servers of a service, as one box picks among them.
@@ -50,17 +54,17 @@
 
 /// What a request wants of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Want<'a> {
+pub struct PickRequest<'a> {
     /// Whether it may be sent again if the server fails.
-    pub repeatable: bool,
+    pub retry_safe: bool,
     /// How long an answer usually takes.
-    pub typical: Duration,
+    pub typical_latency: Duration,
     /// What it costs to cross to another data centre.
-    pub crossing: Duration,
+    pub cross_data_centre_cost: Duration,
     /// Servers that it was sent to before.
     pub tried: &'a [ServerKey],
     /// How the service fares.
-    pub present: ServicePresent,
+    pub service_load: ServiceLoad,
 }
 
 /// A server that was picked, and why.
@@ -71,36 +75,36 @@
     /// When its answer should be there, in milliseconds.
     pub expected_ms: f64,
     /// The same for a server that takes the usual time.
-    pub usual_ms: f64,
+    pub baseline_ms: f64,
     /// The same for this one while it is well.
-    pub well_ms: f64,
+    pub healthy_ms: f64,
     /// Of them, the wait for a slot.
     pub wait_ms: f64,
     /// How likely it is to fail.
-    pub failure_share: f64,
+    pub failure_probability: f64,
     /// Requests that the fleet has out there.
     pub in_flight: u32,
     /// Servers that it was picked from.
     pub candidates: usize,
     /// How many of the cheapest it was drawn among; 0 for one that was not drawn.
-    pub drawn_among: usize,
+    pub choice_set_size: usize,
     /// Whether it is an unused server that is tried, for the sake of the floor.
-    pub is_floor_try: bool,
+    pub is_idle_probe: bool,
     /// How long ago another box last told of it; none if none ever did.
-    pub heard: Option<Duration>,
+    pub last_report_age: Option<Duration>,
 }
 
 /// A server that has turned suspect, or is one no more.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Turned {
+pub struct SuspicionChange {
     /// The server.
     pub server: Arc<ServerRecord>,
     /// Whether it is a suspect now.
-    pub suspect: bool,
+    pub is_suspected: bool,
     /// The share of its requests that should fail.
-    pub failure_share: f64,
+    pub failure_probability: f64,
     /// When a box last sent it a request, as far as is known.
-    pub sent: Duration,
+    pub last_request_at: Duration,
 }
 
 impl Balancer {
@@ -127,7 +131,7 @@
     }
 
     /// Takes in a server, or its changed record.
-    pub fn put(&mut self, record: ServerRecord, now: Instant) {
+    pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let key = record.key();
         let cold_until = now + Duration::from_millis(record.cold_ms);
         let record = Arc::new(record);
@@ -147,12 +151,12 @@
             refused: None,
             surely_sick: None,
             heard: None,
-            standing: ServerStanding::default(),
+            standing: AnnouncedState::default(),
             suspect: false,
         };
         let server = self.servers.entry(key).or_insert_with(fresh);
         if record.leaving {
-            server.standing.note_announced_leaving(now);
+            server.standing.mark_catalog_draining(now);
         }
         server.cold_until = match record.cold_ms {
             0 => now,
@@ -179,13 +183,13 @@
     }
 
     /// Divides the connections that each server accepts among the boxes.
-    pub fn share_connections(&mut self, connections: u32, boxes: usize) {
+    pub fn set_connection_shares(&mut self, connections: u32, boxes: usize) {
         let boxes = boxes.clamp(1, u32::MAX as usize) as u32;
         self.most_in_flight = (connections / boxes).max(LEAST_CONNECTIONS);
     }
 
     /// Takes in how a server stands by what it has said.
-    pub fn set_standing(&mut self, key: ServerKey, standing: ServerStanding) {
+    pub fn set_announced_state(&mut self, key: ServerKey, standing: AnnouncedState) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.standing = standing;
         }
@@ -204,7 +208,7 @@
     }
 
     /// Takes in how many requests a second a cold server bears; none for no limit.
-    pub fn set_cold_rate(&mut self, per_s: Option<f64>) {
+    pub fn set_warmup_rate_limit(&mut self, per_s: Option<f64>) {
         self.cold_requests_per_s = per_s;
     }
 
@@ -227,8 +231,10 @@
         let server = self.servers.get(&key);
         let access = server.map(|server| self.access_now(server, now));
         access.is_some_and(|access| match access {
-            Access::Open | Access::WithPlace(_) | Access::LastResort(_) => true,
-            Access::NotBefore(_) | Access::Closed => false,
+            Availability::Open
+            | Availability::RequiresQuota(_)
+            | Availability::LastResort(_) => true,
+            Availability::BackoffUntil(_) | Availability::Unavailable => false,
         })
     }
 
@@ -236,26 +242,26 @@
     /// when there is none.
     pub fn pick(
         &self,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
         if let Some(pick) = self.pick_unused(want, now, random) {
             return Some(pick);
         }
-        self.cheapest(want, |access, _| access == Access::Open, now, random)
+        self.cheapest(want, |access, _| access == Availability::Open, now, random)
     }
 
     /// Picks a server that leaves, for a request that nothing else can serve as soon: one
     /// whose answer should be there before its time is over.
-    pub fn pick_leaving(
+    pub fn pick_draining(
         &self,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
         let is_in_time = |access, expected: Duration| match access {
-            Access::LastResort(until) => now + expected < until,
+            Availability::LastResort(until) => now + expected < until,
             _ => false,
         };
         self.cheapest(want, is_in_time, now, random)
@@ -265,14 +271,14 @@
     /// request may go there and when its answer should be there.
     fn cheapest(
         &self,
-        want: &Want<'_>,
-        may_take: impl Fn(Access, Duration) -> bool,
+        want: &PickRequest<'_>,
+        may_take: impl Fn(Availability, Duration) -> bool,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
         let usual = self.usual.share();
-        let typical_ms = want.typical.as_secs_f64() * 1000.0;
-        let has_room = !is_in_reach(self.servers.len(), &want.present);
+        let typical_ms = want.typical_latency.as_secs_f64() * 1000.0;
+        let has_room = !is_in_reach(self.servers.len(), &want.service_load);
         let mut costs = Vec::with_capacity(self.servers.len());
         for server in self.servers.values() {
             let Some(access) = self.access(server, want, now) else {
@@ -294,7 +300,10 @@
         let slots: u32 = costs.iter().map(|(_, server, _)| server.record.slots).sum();
         let mean_slots = f64::from(slots.max(1)) / candidates.max(1) as f64;
         let (drawn_among, dearer) = match has_room {
-            false => ((want.present.unseen / mean_slots) as usize, MOST_DEARER),
+            false => (
+                (want.service_load.unreported_requests / mean_slots) as usize,
+                MOST_DEARER,
+            ),
             // With slots to spare everywhere, a queue is many boxes at the same server.
             true => (candidates, MOST_DEARER_WITH_ROOM),
         };
@@ -308,7 +317,7 @@
         )?;
         let (_, server, weight) = &costs[place];
         Some(Pick {
-            drawn_among,
+            choice_set_size: drawn_among,
             ..weight.pick(server, candidates, now)
         })
     }
@@ -320,9 +329,9 @@
     /// for by every request, and those that are dearer never use what they take. Servers in need
     /// are often gray as well: doubted ones are left out, as the others' costs leave them out,
     /// so that a limit makes no server a better pick than it is.
-    pub fn due_limited(
+    pub fn sample_rate_limited(
         &self,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<Pick> {
@@ -332,12 +341,13 @@
         }
         let open = self.servers.values().filter(|server| {
             let access = self.access_now(server, now);
-            matches!(access, Access::Open | Access::WithPlace(_))
+            matches!(access, Availability::Open | Availability::RequiresQuota(_))
         });
         let open = open.count();
         due.retain(|(per_s, pick)| {
-            let share = due_share(*per_s, want.present.requests_per_s, open);
-            let is_well = pick.failure_share < MOST_DUE_DOUBT && pick.wait_ms < 1.0;
+            let share =
+                quota_request_probability(*per_s, want.service_load.requests_per_s, open);
+            let is_well = pick.failure_probability < MOST_DUE_DOUBT && pick.wait_ms < 1.0;
             is_well && random.random_bool(share.clamp(0.0, 1.0))
         });
         due.shuffle(random);
@@ -348,25 +358,25 @@
     /// trusted ones in any order, then the doubted ones, the least doubted first. Suspected ones
     /// are left out while there are others, and for requests that cannot be sent again all that
     /// are doubted much: to those a refusal is worth more than a likely failure.
-    pub fn limited_by_doubt(
+    pub fn rate_limited_by_failure_probability(
         &self,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<Pick> {
         let limited = self.limited(want, now).into_iter();
         let mut limited: Vec<Pick> = limited.map(|(_, pick)| pick).collect();
         limited.shuffle(random);
-        let doubt = |pick: &Pick| match pick.failure_share < TRUSTED_SHARE {
+        let doubt = |pick: &Pick| match pick.failure_probability < TRUSTED_SHARE {
             true => 0.0,
-            false => pick.failure_share,
+            false => pick.failure_probability,
         };
         limited.sort_by(|one, other| doubt(one).total_cmp(&doubt(other)));
-        let most = match want.repeatable {
+        let most = match want.retry_safe {
             true => SUSPECT_SHARE,
             false => MOST_DUE_DOUBT,
         };
-        let is_left_out = |pick: &Pick| pick.failure_share >= most;
+        let is_left_out = |pick: &Pick| pick.failure_probability >= most;
         if !limited.first().is_some_and(is_left_out) {
             limited.retain(|pick| !is_left_out(pick));
         }
@@ -374,11 +384,11 @@
     }
 
     /// The servers with limits that may take a request, with their limits.
-    fn limited(&self, want: &Want<'_>, now: Instant) -> Vec<(f64, Pick)> {
+    fn limited(&self, want: &PickRequest<'_>, now: Instant) -> Vec<(f64, Pick)> {
         let usual = self.usual.share();
         let limited = self.servers.values().filter_map(|server| {
             match self.access(server, want, now)? {
-                Access::WithPlace(per_s) => Some((per_s, server)),
+                Availability::RequiresQuota(per_s) => Some((per_s, server)),
                 _ => None,
             }
         });
@@ -392,13 +402,18 @@
     }
 
     /// Whether any request may go to a server now.
-    fn access_now(&self, server: &Server, now: Instant) -> Access {
+    fn access_now(&self, server: &Server, now: Instant) -> Availability {
         if self.evacuated.contains(&server.record.data_centre) {
-            return Access::Closed;
+            return Availability::Unavailable;
         }
-        match (server.standing.access(now), self.cold_limit(server, now)) {
-            (Access::Open, Some(cold)) => Access::WithPlace(cold),
-            (Access::WithPlace(named), Some(cold)) => Access::WithPlace(named.min(cold)),
+        match (
+            server.standing.availability(now),
+            self.cold_limit(server, now),
+        ) {
+            (Availability::Open, Some(cold)) => Availability::RequiresQuota(cold),
+            (Availability::RequiresQuota(named), Some(cold)) => {
+                Availability::RequiresQuota(named.min(cold))
+            }
             (access, _) => access,
         }
     }
@@ -409,7 +424,12 @@
 
     /// Whether a request may go to a server; none where it was sent there before, or where
     /// this box has as many out there as it may.
-    fn access(&self, server: &Server, want: &Want<'_>, now: Instant) -> Option<Access> {
+    fn access(
+        &self,
+        server: &Server,
+        want: &PickRequest<'_>,
+        now: Instant,
+    ) -> Option<Availability> {
         let saturated = server.own.in_flight >= self.most_in_flight;
         let was_tried = want.tried.contains(&server.record.key());
         let may = !saturated && !was_tried;
@@ -418,24 +438,38 @@
 
     /// The shortest wait for a slot at any open server without a limit, or for the end of a
     /// server's rest; none when there is no such server.
-    pub fn least_wait(&self, want: &Want<'_>, now: Instant) -> Option<Duration> {
+    pub fn min_queue_wait(
+        &self,
+        want: &PickRequest<'_>,
+        now: Instant,
+    ) -> Option<Duration> {
         let usual = self.usual.share();
         let waits = self.servers.values().filter_map(|server| {
             let wait_ms = self.weigh(server, want, usual, now).wait_ms;
             match self.access_now(server, now) {
-                Access::Open => Some(Duration::from_secs_f64(wait_ms / 1000.0)),
-                Access::NotBefore(until) => Some(until.saturating_duration_since(now)),
-                Access::WithPlace(_) | Access::LastResort(_) | Access::Closed => None,
+                Availability::Open => Some(Duration::from_secs_f64(wait_ms / 1000.0)),
+                Availability::BackoffUntil(until) => {
+                    Some(until.saturating_duration_since(now))
+                }
+                Availability::RequiresQuota(_)
+                | Availability::LastResort(_)
+                | Availability::Unavailable => None,
             }
         });
         waits.min()
     }
 
     /// When the first server that rests may take the request again; none where none rests.
-    pub fn soonest_back(&self, want: &Want<'_>, now: Instant) -> Option<Duration> {
+    pub fn shortest_backoff(
+        &self,
+        want: &PickRequest<'_>,
+        now: Instant,
+    ) -> Option<Duration> {
         let resting = self.servers.values().filter_map(|server| {
             match self.access(server, want, now)? {
-                Access::NotBefore(until) => Some(until.saturating_duration_since(now)),
+                Availability::BackoffUntil(until) => {
+                    Some(until.saturating_duration_since(now))
+                }
                 _ => None,
             }
         });
@@ -449,13 +483,15 @@
         let typical_s = typical.as_secs_f64().max(LEAST_TYPICAL_S);
         let rates = self.servers.values().map(|server| {
             let most_per_s = match self.access_now(server, now) {
-                Access::Open => f64::INFINITY,
-                Access::WithPlace(per_s) => per_s,
+                Availability::Open => f64::INFINITY,
+                Availability::RequiresQuota(per_s) => per_s,
                 // Who is told now when to come back finds it there.
-                Access::NotBefore(until) if until <= now + LONGEST_RETURN => {
+                Availability::BackoffUntil(until) if until <= now + LONGEST_RETURN => {
                     f64::INFINITY
                 }
-                Access::NotBefore(_) | Access::LastResort(_) | Access::Closed => 0.0,
+                Availability::BackoffUntil(_)
+                | Availability::LastResort(_)
+                | Availability::Unavailable => 0.0,
             };
             let health = server.health.at(now);
             let answered = 1.0 - server.failure_share(usual, now);
@@ -471,7 +507,7 @@
     pub fn begin(
         &mut self,
         key: ServerKey,
-        expected: Expected,
+        expected: ExpectedLatency,
         now: Instant,
     ) -> AttemptId {
         let id = self.next_attempt;
@@ -493,7 +529,7 @@
     }
 
     /// Counts an attempt as ended.
-    pub fn end(&mut self, id: AttemptId, ended: Ended, now: Instant) {
+    pub fn end(&mut self, id: AttemptId, ended: HealthOutcome, now: Instant) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
@@ -538,22 +574,27 @@
 
     /// Whether a server has turned suspect since this was last asked: other boxes should
     /// know at once, before they send it more.
-    pub fn take_alarm(&mut self) -> bool {
+    pub fn take_new_suspicion(&mut self) -> bool {
         std::mem::take(&mut self.alarmed)
     }
 
     /// What a box that has just come should know of the servers.
-    pub fn health_notes(&self, now: Instant) -> Vec<(ServerKey, HealthNote)> {
+    pub fn health_snapshots(&self, now: Instant) -> Vec<(ServerKey, HealthSnapshot)> {
         let noted = self.servers.iter();
         noted
-            .filter_map(|(key, server)| Some((*key, server.health.note(now)?)))
+            .filter_map(|(key, server)| Some((*key, server.health.snapshot(now)?)))
             .collect()
     }
 
     /// Takes over what another box knows of a server.
-    pub fn adopt_health(&mut self, key: ServerKey, note: &HealthNote, now: Instant) {
+    pub fn merge_health_snapshot(
+        &mut self,
+        key: ServerKey,
+        note: &HealthSnapshot,
+        now: Instant,
+    ) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.health.adopt(note, now);
+            server.health.merge_snapshot(note, now);
         }
     }
 
@@ -565,7 +606,7 @@
     }
 
     /// Counts the silence of an attempt as it stands now; whether it tells more than before.
-    pub fn note_silence(&mut self, id: AttemptId, now: Instant) -> bool {
+    pub fn update_silence_evidence(&mut self, id: AttemptId, now: Instant) -> bool {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return false;
         };
@@ -584,7 +625,7 @@
 
     /// Notes that the answer of an attempt has begun: how long the rest takes, and whether
     /// its caller waits for it, tells nothing of the server.
-    pub fn note_answering(&mut self, id: AttemptId) {
+    pub fn record_response_started(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -619,7 +660,7 @@
     }
 
     /// Servers that have turned suspect, or are suspects no more, since this was last asked.
-    pub fn review(&mut self, now: Instant) -> Vec<Turned> {
+    pub fn take_suspicion_changes(&mut self, now: Instant) -> Vec<SuspicionChange> {
         let usual = self.usual.share();
         let mut turned = Vec::new();
         for server in self.servers.values_mut() {
@@ -629,11 +670,11 @@
                 continue;
             }
             server.suspect = suspect;
-            turned.push(Turned {
+            turned.push(SuspicionChange {
                 server: server.record.clone(),
-                suspect,
-                failure_share,
-                sent: now.saturating_duration_since(server.sent),
+                is_suspected: suspect,
+                failure_probability: failure_share,
+                last_request_at: now.saturating_duration_since(server.sent),
             });
         }
         turned
@@ -643,7 +684,7 @@
     pub fn suspects(&self, now: Instant) -> Vec<String> {
         let usual = self.usual.share();
         let suspected = |server: &&Server| {
-            let is_closed = self.access_now(server, now) == Access::Closed;
+            let is_closed = self.access_now(server, now) == Availability::Unavailable;
             server.failure_share(usual, now) >= SUSPECT_SHARE || is_closed
         };
         let suspects = self.servers.values().filter(suspected);
@@ -653,14 +694,14 @@
     /// Tries a server that no box has used for a while.
     fn pick_unused(
         &self,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
-        if !is_in_reach(self.servers.len(), &want.present) {
+        if !is_in_reach(self.servers.len(), &want.service_load) {
             return None;
         }
-        let spares_sick = !want.repeatable && !holds_strictly(&want.present);
+        let spares_sick = !want.retry_safe && !holds_strictly(&want.service_load);
         let may_be_well = |server: &&Server| {
             let failed = server
                 .failed
@@ -671,33 +712,34 @@
                     .is_some_and(|at| now < at + FLOOR_AFTER_SICKNESS);
             // What has named a limit does not count as in use or not: it is sent what that
             // allows, and what leaves or rests nothing.
-            !failed && !was_sick && self.access_now(server, now) == Access::Open
+            !failed && !was_sick && self.access_now(server, now) == Availability::Open
         };
         // The boxes of its own data centre can try a server for less.
-        let at_home = want.crossing >= DEAR_CROSSING && !holds_strictly(&want.present);
+        let at_home = want.cross_data_centre_cost >= DEAR_CROSSING
+            && !holds_strictly(&want.service_load);
         let usual = self.usual.share();
         let unused = |server: &Server| {
             let key = server.record.key();
             let is_far = server.distance == Distance::OtherRegion;
             let away = is_far || (at_home && server.distance != Distance::SameDataCentre);
-            Unused {
+            IdleServer {
                 key,
-                unused_for: now.saturating_duration_since(server.sent),
-                failure_share: server.failure_share(usual, now),
-                in_reach: !away && !want.tried.contains(&key),
+                idle_for: now.saturating_duration_since(server.sent),
+                failure_probability: server.failure_share(usual, now),
+                is_eligible: !away && !want.tried.contains(&key),
             }
         };
         let servers = self.servers.values().filter(may_be_well);
         let servers: Vec<_> = servers.map(unused).collect();
-        let inputs = FloorInputs {
-            repeatable: want.repeatable,
-            present: want.present,
+        let inputs = IdleProbeInputs {
+            retry_safe: want.retry_safe,
+            service_load: want.service_load,
         };
-        let key = try_unused(&servers, &inputs, random)?;
+        let key = pick_idle_probe(&servers, &inputs, random)?;
         let server = self.servers.get(&key)?;
         let weight = self.weigh(server, want, usual, now);
         Some(Pick {
-            is_floor_try: true,
+            is_idle_probe: true,
             ..weight.pick(server, servers.len(), now)
         })
     }
@@ -705,7 +747,7 @@
     fn weigh(
         &self,
         server: &Server,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         usual: f64,
         now: Instant,
     ) -> Weight {
@@ -717,7 +759,7 @@
             1.0
         };
         let slowness = server.health.at(now).slowness().max(cold);
-        let typical_ms = want.typical.as_secs_f64() * 1000.0;
+        let typical_ms = want.typical_latency.as_secs_f64() * 1000.0;
         // The queue before the request, in rounds of all slots.
         let ahead = (f64::from(in_flight) + 1.0 - slots).max(0.0) / slots;
         let crowding = CROWDING * f64::from(in_flight) / slots;
@@ -736,17 +778,17 @@
     fn penalty_ms(
         &self,
         server: &Server,
-        want: &Want<'_>,
+        want: &PickRequest<'_>,
         weight: &Weight,
         now: Instant,
     ) -> f64 {
-        let failure_ms = if want.repeatable {
+        let failure_ms = if want.retry_safe {
             REPEATABLE_FAILURE_MS
         } else {
             LOST_FAILURE_MS
         };
         let refusals = server.health.at(now).refusal_share();
-        let crossing_ms = want.crossing.as_secs_f64() * 1000.0;
+        let crossing_ms = want.cross_data_centre_cost.as_secs_f64() * 1000.0;
         let crossing_ms = match server.distance {
             Distance::SameDataCentre => 0.0,
             Distance::SameRegion => crossing_ms,
@@ -776,15 +818,15 @@
         Pick {
             server: server.record.clone(),
             expected_ms: self.expected_ms,
-            usual_ms: self.usual_ms,
-            well_ms: self.well_ms,
+            baseline_ms: self.usual_ms,
+            healthy_ms: self.well_ms,
             wait_ms: self.wait_ms,
-            failure_share: self.failure_share,
+            failure_probability: self.failure_share,
             in_flight: self.in_flight,
             candidates,
-            drawn_among: 0,
-            is_floor_try: false,
-            heard: server.heard.map(|at| now.saturating_duration_since(at)),
+            choice_set_size: 0,
+            is_idle_probe: false,
+            last_report_age: server.heard.map(|at| now.saturating_duration_since(at)),
         }
     }
 }
--- a/crates/wingspur-state/src/bundle.rs
+++ b/crates/wingspur-state/src/bundle.rs
@@ -75,7 +75,7 @@
 
 impl RouteTarget {
     /// The target of a route that leads to one service.
-    pub fn whole(service: String) -> Self {
+    pub fn single(service: String) -> Self {
         Self { service, weight: 1 }
     }
 }
@@ -274,7 +274,7 @@
 
 impl RouteClass {
     /// Whether an attempt that may have run may be made again.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retry_safe(self) -> bool {
         !matches!(self, Self::OnceOnly)
     }
 
--- a/crates/wingspur-state/src/evidence.rs
+++ b/crates/wingspur-state/src/evidence.rs
@@ -47,7 +47,7 @@
 
 /// What a server's work is measured against at present.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Reference {
+pub struct HealthBaseline {
     /// The mean of the natural logarithm of the latency in milliseconds.
     pub mean_ln_ms: f64,
     /// The standard deviation of that logarithm.
@@ -58,7 +58,7 @@
     pub tail_rate: f64,
 }
 
-impl Reference {
+impl HealthBaseline {
     /// The evidence of an attempt that has been out for `age_ms`, and still is.
     pub fn survival(&self, age_ms: f64) -> Evidence {
         let ln_age = ln_ms(age_ms);
@@ -115,7 +115,7 @@
 }
 
 /// The evidence of a well answer; each observation is at least this.
-pub fn well_evidence() -> Evidence {
+pub fn healthy_evidence() -> Evidence {
     ALTERNATIVES.map(|sick| sick.good().ln())
 }
 
@@ -161,7 +161,7 @@
     /// Forgives a server that shows nothing, for lack of work, over so many seconds.
     pub fn forgive(&mut self, passed_s: f64) {
         let observed = IDLE_RATE * passed_s;
-        self.add(well_evidence().map(|evidence| evidence * observed));
+        self.add(healthy_evidence().map(|evidence| evidence * observed));
     }
 
     /// The evidence against the server, under the alternative that fits best.
@@ -183,7 +183,7 @@
 /// `P(S > h) <= exp(-t h) (1 + p t / (1 - t))^boxes`; the best `t` gives the threshold at
 /// which the allowance is kept, with a sum for each alternative and `STEPS_PER_DAY` looks
 /// at it a day.
-pub fn threshold(
+pub fn ejection_threshold(
     false_ejections_per_server_day: f64,
     boxes: usize,
     busy_share: f64,
--- a/crates/wingspur-state/src/fleet_budget.rs
+++ b/crates/wingspur-state/src/fleet_retry_budget.rs
@@ -10,7 +10,7 @@
 /// What retries a service may be asked to bear.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct BudgetSettings {
+pub struct RetryBudgetSettings {
     /// Resends allowed as a share of the requests of callers.
     pub ratio: f64,
     /// The span over which both are counted.
@@ -19,7 +19,7 @@
     pub slack: f64,
 }
 
-impl Default for BudgetSettings {
+impl Default for RetryBudgetSettings {
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -37,8 +37,8 @@
 /// burst of resends that are not heard of yet, where a hub is lost with what its members told
 /// it, and after a loss of all boxes (15 plays of 40 boxes).
 #[derive(Debug)]
-pub struct FleetBudget {
-    settings: BudgetSettings,
+pub struct FleetRetryBudget {
+    settings: RetryBudgetSettings,
     own: ServiceTally,
     changed: bool,
     ledger: ResendLedger,
@@ -47,12 +47,12 @@
     elsewhere_lately: Window,
     /// When any source was heard, and how long it takes from one to the next on average.
     updates: UpdateGap,
-    division: FleetDivision,
+    division: FleetSize,
 }
 
 /// How the fleet is divided among data centres, each of which adds up its boxes' counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FleetDivision {
+pub struct FleetSize {
     /// All boxes, this one included.
     pub boxes: usize,
     /// The data centres that have boxes.
@@ -61,18 +61,18 @@
 
 /// How a box stands with the fleet, as far as the slack is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FleetStanding {
+pub struct FleetMembership {
     /// The boxes that the slack is divided among.
     pub boxes: usize,
     /// Whether this box may use its part.
-    pub contact: Contact,
+    pub state: MembershipState,
 }
 
 /// Whether a box is in touch with the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Contact {
+pub enum MembershipState {
     /// It does not hear all data centres.
-    OutOfTouch,
+    Disconnected,
     /// It does, but not for long: others may not count it yet, and what a former run of it
     /// has spent may still count.
     Joining,
@@ -82,28 +82,28 @@
 
 /// How a service fares at present.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServicePresent {
+pub struct ServiceLoad {
     /// Requests of callers a second.
     pub requests_per_s: f64,
     /// The share of them that get no good answer.
-    pub lost_share: f64,
+    pub failure_ratio: f64,
     /// Requests that boxes of this data centre are likely to have sent since this box last
     /// heard of any.
-    pub unseen: f64,
+    pub unreported_requests: f64,
 }
 
 /// How sure a resend is to help; the surer ones may use more of the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ResendUse {
+pub enum ResendKind {
     /// The former attempt is known not to have run, or has failed.
-    Sure,
+    AfterFailure,
     /// The former attempt may still be answered.
     Hedge,
 }
 
 /// What the budget says to one more resend.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetAnswer {
+pub struct BudgetDecision {
     /// Whether it is allowed.
     pub allowed: bool,
     /// Resends of this box in the window that has least room.
@@ -113,7 +113,7 @@
     /// Its part of the slack.
     pub slack: f64,
     /// How it stands with the fleet.
-    pub standing: FleetStanding,
+    pub membership: FleetMembership,
 }
 
 /// Counts in buckets, so that a window can slide.
@@ -122,7 +122,7 @@
     buckets: VecDeque<(Instant, ServiceTally)>,
 }
 
-impl Default for FleetDivision {
+impl Default for FleetSize {
     /// A box alone.
     fn default() -> Self {
         Self {
@@ -132,28 +132,28 @@
     }
 }
 
-impl FleetStanding {
+impl FleetMembership {
     /// A box that knows nothing of the fleet yet: whether it is alone, it cannot know.
     pub fn unknown() -> Self {
         Self {
             boxes: 1,
-            contact: Contact::OutOfTouch,
+            state: MembershipState::Disconnected,
         }
     }
 }
 
-impl Contact {
+impl MembershipState {
     /// The word for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::OutOfTouch => "out_of_touch",
+            Self::Disconnected => "out_of_touch",
             Self::Joining => "joining",
             Self::Joined => "joined",
         }
     }
 }
 
-impl BudgetAnswer {
+impl BudgetDecision {
     /// Resends that are allowed in the window.
     pub fn limit(&self) -> f64 {
         self.credit + self.slack
@@ -165,19 +165,19 @@
     }
 }
 
-impl ResendUse {
+impl ResendKind {
     /// The share of the budget that it may use.
-    pub fn share(self) -> f64 {
+    pub fn budget_share(self) -> f64 {
         match self {
-            Self::Sure => 1.0,
+            Self::AfterFailure => 1.0,
             Self::Hedge => HEDGE_SHARE,
         }
     }
 }
 
-impl FleetBudget {
+impl FleetRetryBudget {
     /// Nothing counted yet.
-    pub fn new(settings: BudgetSettings) -> Self {
+    pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             own: ServiceTally::default(),
@@ -186,17 +186,17 @@
             own_lately: Window::default(),
             elsewhere_lately: Window::default(),
             updates: UpdateGap::default(),
-            division: FleetDivision::default(),
+            division: FleetSize::default(),
         }
     }
 
     /// Takes up changed settings.
-    pub fn set_settings(&mut self, settings: BudgetSettings) {
+    pub fn set_settings(&mut self, settings: RetryBudgetSettings) {
         self.settings = settings;
     }
 
     /// Notes how the fleet is divided.
-    pub fn set_division(&mut self, division: FleetDivision) {
+    pub fn set_division(&mut self, division: FleetSize) {
         self.division = division;
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Counts a caller's request that got no good answer.
-    pub fn count_lost(&mut self, now: Instant) {
+    pub fn count_failed_request(&mut self, now: Instant) {
         let one = ServiceTally {
             lost: 1,
             ..ServiceTally::default()
@@ -220,13 +220,13 @@
     }
 
     /// Counts one more resend if it is allowed: in one step, so that no two take the same.
-    pub fn take(
+    pub fn try_spend(
         &mut self,
-        use_: ResendUse,
-        standing: FleetStanding,
+        use_: ResendKind,
+        standing: FleetMembership,
         now: Instant,
-    ) -> BudgetAnswer {
-        let answer = self.ask(use_, standing, now);
+    ) -> BudgetDecision {
+        let answer = self.check(use_, standing, now);
         if answer.allowed {
             self.ledger.send();
             let one = ServiceTally {
@@ -239,13 +239,13 @@
     }
 
     /// Counts one more resend that another box makes, if it is allowed.
-    pub fn lend(
+    pub fn try_lend(
         &mut self,
-        use_: ResendUse,
-        standing: FleetStanding,
+        use_: ResendKind,
+        standing: FleetMembership,
         now: Instant,
-    ) -> BudgetAnswer {
-        let answer = self.ask(use_, standing, now);
+    ) -> BudgetDecision {
+        let answer = self.check(use_, standing, now);
         if answer.allowed {
             self.ledger.lend(now);
         }
@@ -253,43 +253,43 @@
     }
 
     /// Takes back resends that have surely reached no server.
-    pub fn take_back(&mut self, resends: u32) {
+    pub fn refund(&mut self, resends: u32) {
         self.ledger.take_back(resends);
     }
 
     /// Notes the end of a request with so many resends, and so many attempts unanswered.
     /// Until then each may still arrive, and the unanswered ones for a while after it.
-    pub fn end(&mut self, resends: u32, unanswered: u32, now: Instant) {
+    pub fn finish_request(&mut self, resends: u32, unanswered: u32, now: Instant) {
         self.ledger.end(resends, unanswered, now);
     }
 
     /// Whether one more resend would be allowed, with the figures that decide it.
-    pub fn ask(
+    pub fn check(
         &mut self,
-        use_: ResendUse,
-        standing: FleetStanding,
+        use_: ResendKind,
+        standing: FleetMembership,
         now: Instant,
-    ) -> BudgetAnswer {
+    ) -> BudgetDecision {
         let window = Duration::from_secs_f64(self.settings.window_s);
         self.ledger.forget(window, now);
         let tightest = self.ledger.tightest(window, self.settings.ratio, now);
-        let slack = match standing.contact {
-            Contact::Joined => self.settings.slack / standing.boxes.max(1) as f64,
-            Contact::Joining | Contact::OutOfTouch => 0.0,
+        let slack = match standing.state {
+            MembershipState::Joined => self.settings.slack / standing.boxes.max(1) as f64,
+            MembershipState::Joining | MembershipState::Disconnected => 0.0,
         };
-        let mut answer = BudgetAnswer {
+        let mut answer = BudgetDecision {
             allowed: false,
             spent: tightest.spent,
             credit: tightest.credit,
             slack,
-            standing,
+            membership: standing,
         };
-        answer.allowed = answer.has_room(use_.share());
+        answer.allowed = answer.has_room(use_.budget_share());
         answer
     }
 
     /// How the service fares at present, over all boxes.
-    pub fn present(&self, now: Instant) -> ServicePresent {
+    pub fn service_load(&self, now: Instant) -> ServiceLoad {
         let since = |span: Duration| {
             let own = self.own_lately.since(span, now);
             own.plus(&self.elsewhere_lately.since(span, now))
@@ -299,21 +299,21 @@
         let (last, both) = (since(PRESENT), since(2 * PRESENT));
         let requests_per_s = f64::from(last.requests) / PRESENT.as_secs_f64();
         let here_per_s = requests_per_s / self.division.data_centres.max(1) as f64;
-        ServicePresent {
+        ServiceLoad {
             requests_per_s,
-            lost_share: lost_share(last).max(lost_share(both)),
-            unseen: here_per_s * self.updates.gap.as_secs_f64(),
+            failure_ratio: lost_share(last).max(lost_share(both)),
+            unreported_requests: here_per_s * self.updates.gap.as_secs_f64(),
         }
     }
 
     /// Takes in what a source's boxes have counted since it was last heard.
-    pub fn count_remote(&mut self, updates: ServiceTally, now: Instant) {
-        self.note_heard(now);
+    pub fn merge_remote_counts(&mut self, updates: ServiceTally, now: Instant) {
+        self.record_report(now);
         self.elsewhere_lately.add(updates, now);
     }
 
     /// Notes that a source has been heard, though nothing was counted.
-    pub fn note_heard(&mut self, now: Instant) {
+    pub fn record_report(&mut self, now: Instant) {
         self.updates.follow(now);
     }
 
--- a/crates/wingspur-state/src/health.rs
+++ b/crates/wingspur-state/src/health.rs
@@ -14,7 +14,7 @@
 
 /// What a box makes of a server, for one that has just come and knows nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct HealthNote {
+pub struct HealthSnapshot {
     /// How likely the server fails most of its work.
     pub failing: f64,
     /// How likely it refuses most of its work.
@@ -62,9 +62,9 @@
     }
 
     /// What another box should know of the server; none where that is nothing special.
-    pub fn note(&self, now: Instant) -> Option<HealthNote> {
+    pub fn snapshot(&self, now: Instant) -> Option<HealthSnapshot> {
         let health = self.at(now);
-        let note = HealthNote {
+        let note = HealthSnapshot {
             failing: health.failing,
             refusing: health.refusing,
             answers: health.answers,
@@ -76,7 +76,7 @@
     }
 
     /// Takes over from a note what is worse than what is known here.
-    pub fn adopt(&mut self, note: &HealthNote, now: Instant) {
+    pub fn merge_snapshot(&mut self, note: &HealthSnapshot, now: Instant) {
         *self = self.at(now);
         self.failing = self.failing.max(note.failing.clamp(0.0, MOST_NOTED));
         self.refusing = self.refusing.max(note.refusing.clamp(0.0, MOST_NOTED));
--- a/crates/wingspur-state/src/hedge.rs
+++ b/crates/wingspur-state/src/hedge.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct HedgeInputs {
     /// How likely its server fails.
-    pub failure_share: f64,
+    pub failure_probability: f64,
     /// When its answer should be there if the server is well.
     pub expected: Duration,
     /// How good answers of the route spread around that.
     pub service_time: ServiceTime,
     /// How long the answer is on target, from the attempt's beginning.
-    pub target_left: Duration,
+    pub time_to_latency_target: Duration,
     /// The spent part of the retry budget.
-    pub spent_share: f64,
+    pub budget_used_ratio: f64,
 }
 
 /// How long an attempt stays silent before a second one is sent beside it.
@@ -26,15 +26,17 @@
 ///
 /// Gain: fewer reads are lost than with a second attempt at a fixed multiple of the usual
 /// time.
-pub fn hedge_after(inputs: &HedgeInputs) -> Duration {
-    let spent = inputs.spent_share.clamp(0.0, 1.0);
+pub fn hedge_delay(inputs: &HedgeInputs) -> Duration {
+    let spent = inputs.budget_used_ratio.clamp(0.0, 1.0);
     let doubt = LEAST_DOUBT + (MOST_DOUBT - LEAST_DOUBT) * spent;
-    let failing = inputs.failure_share.clamp(LEAST_FAILING, MOST_FAILING);
+    let failing = inputs
+        .failure_probability
+        .clamp(LEAST_FAILING, MOST_FAILING);
     let odds = failing / (1.0 - failing);
     // The share of good answers at which the likelihood of a failure reaches the doubt.
     let still_good = (odds * (1.0 - doubt) / doubt).min(MOST_OVERTAKEN);
     let silent_for = |share: f64| {
-        let ratio = inputs.service_time.ratio_passed_by(share);
+        let ratio = inputs.service_time.ratio_at_survival(share);
         inputs.expected.mul_f64(ratio)
     };
     let doubtful = silent_for(still_good);
@@ -42,7 +44,7 @@
         return doubtful;
     }
     let second = inputs.expected.mul_f64(SECOND_TAKES);
-    let on_target = inputs.target_left.saturating_sub(second);
+    let on_target = inputs.time_to_latency_target.saturating_sub(second);
     doubtful.min(on_target.max(silent_for(MOST_OVERTAKEN)))
 }
 
--- a/crates/wingspur-state/src/history.rs
+++ b/crates/wingspur-state/src/history.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::ServerIndex;
-use crate::evidence::{LEAST_ERROR_RATE, Reference};
+use crate::evidence::{HealthBaseline, LEAST_ERROR_RATE};
 
 /// A server's own latency history, slow to change.
 #[derive(Debug, Clone, Copy, Default)]
@@ -96,14 +96,14 @@
     }
 
     /// What a server is measured against now.
-    pub fn reference(&self, server: ServerIndex, own: &LatencyHistory) -> Reference {
+    pub fn reference(&self, server: ServerIndex, own: &LatencyHistory) -> HealthBaseline {
         let history = if own.is_settled() { own } else { &self.pooled };
         let learned = history
             .variance_ln
             .sqrt()
             .clamp(LEAST_DEVIATION, MOST_DEVIATION);
         let settled = own.is_settled();
-        Reference {
+        HealthBaseline {
             mean_ln_ms: history.mean_ln_ms + self.shift_of(server),
             deviation_ln: if settled {
                 learned
--- a/crates/wingspur-state/src/floor.rs
+++ b/crates/wingspur-state/src/idle_probe.rs
@@ -5,29 +5,29 @@
 use rand::Rng;
 use rand::RngExt;
 
-use crate::ServicePresent;
+use crate::ServiceLoad;
 use crate::balancer::SUSPECT_SHARE;
 
 /// A server that may be well, and for how long no box has used it.
 #[derive(Debug, Clone, Copy)]
-pub struct Unused<K> {
+pub struct IdleServer<K> {
     /// The server.
     pub key: K,
     /// For how long.
-    pub unused_for: Duration,
+    pub idle_for: Duration,
     /// The share of requests that should fail there.
-    pub failure_share: f64,
+    pub failure_probability: f64,
     /// Whether this request may try it.
-    pub in_reach: bool,
+    pub is_eligible: bool,
 }
 
 /// What a request finds.
 #[derive(Debug, Clone, Copy)]
-pub struct FloorInputs {
+pub struct IdleProbeInputs {
     /// Whether it may be sent again if the server fails.
-    pub repeatable: bool,
+    pub retry_safe: bool,
     /// How the service fares.
-    pub present: ServicePresent,
+    pub service_load: ServiceLoad,
 }
 
 /// The unused server that the request tries, if it is to try one.
@@ -42,18 +42,18 @@
 /// takes, like cold ones, could stay unused for two seconds. A share of all in use bounds no
 /// part of them: the most suspected would get nothing for seconds, some of them well after a
 /// single failure. Trying the suspected as often as the trusted would lose more requests.
-pub fn try_unused<K: Copy>(
-    servers: &[Unused<K>],
-    inputs: &FloorInputs,
+pub fn pick_idle_probe<K: Copy>(
+    servers: &[IdleServer<K>],
+    inputs: &IdleProbeInputs,
     random: &mut impl Rng,
 ) -> Option<K> {
-    let strict = holds_strictly(&inputs.present);
+    let strict = holds_strictly(&inputs.service_load);
     let mut tries = tries_of_neglected(servers, strict);
     if !strict {
         tries.extend(try_of_missing(servers, inputs, random));
     }
     // One draw decides whether to try one, and which.
-    let requests_per_s = inputs.present.requests_per_s.max(1.0);
+    let requests_per_s = inputs.service_load.requests_per_s.max(1.0);
     let sum: f64 = tries.iter().map(|(rate, _)| rate).sum();
     let mut draw = random.random::<f64>() * requests_per_s.max(sum);
     for (rate, key) in tries {
@@ -71,14 +71,14 @@
 /// Where they are not, all of them would be tries of servers that nobody has lately found
 /// well, and the floor would still not be held: they go to those that are known instead. A
 /// box that has counted hardly any cannot tell.
-pub fn is_in_reach(servers: usize, present: &ServicePresent) -> bool {
+pub fn is_in_reach(servers: usize, present: &ServiceLoad) -> bool {
     let held = present.requests_per_s * FLOOR_WINDOW.as_secs_f64();
     present.requests_per_s < LEAST_COUNTED_PER_S || held >= servers as f64 * USED_SHARE
 }
 
 /// Whether so much is lost that all servers that may be well must be in use.
-pub fn holds_strictly(present: &ServicePresent) -> bool {
-    present.lost_share >= STRICT_LOST_SHARE
+pub fn holds_strictly(present: &ServiceLoad) -> bool {
+    present.failure_ratio >= STRICT_LOST_SHARE
 }
 
 /// The servers that are neglected, with how often each is tried a second by all boxes
@@ -88,10 +88,10 @@
 /// seconds before it ones in which many requests were not served, and what was out then counts
 /// as failed at its server, so that the sound servers are those that had nothing out: of them
 /// many may have rested for seconds after a failure or two.
-fn tries_of_neglected<K: Copy>(servers: &[Unused<K>], strict: bool) -> Vec<(f64, K)> {
+fn tries_of_neglected<K: Copy>(servers: &[IdleServer<K>], strict: bool) -> Vec<(f64, K)> {
     let neglected = servers.iter().filter(|server| {
-        let may_be_tried = strict || server.failure_share < SUSPECT_SHARE;
-        may_be_tried && server.unused_for >= NEGLECT && server.in_reach
+        let may_be_tried = strict || server.failure_probability < SUSPECT_SHARE;
+        may_be_tried && server.idle_for >= NEGLECT && server.is_eligible
     });
     let tries = neglected.map(|server| (tries_per_s(server, strict), server.key));
     tries.collect()
@@ -100,25 +100,25 @@
 /// A server that is missing from the share wanted in use, with the tries a second that
 /// bring the missing ones back.
 fn try_of_missing<K: Copy>(
-    servers: &[Unused<K>],
-    inputs: &FloorInputs,
+    servers: &[IdleServer<K>],
+    inputs: &IdleProbeInputs,
     random: &mut impl Rng,
 ) -> Option<(f64, K)> {
-    let wanted_share = match inputs.repeatable {
+    let wanted_share = match inputs.retry_safe {
         true => USED_SHARE_BY_READS,
         false => USED_SHARE,
     };
-    let is_rested = |server: &&Unused<K>| server.unused_for >= RESTED;
+    let is_rested = |server: &&IdleServer<K>| server.idle_for >= RESTED;
     let mut rested: Vec<_> = servers.iter().filter(is_rested).collect();
     let used = servers.len() - rested.len();
     let missing = servers.len() as f64 * wanted_share - used as f64;
-    rested.retain(|server| server.in_reach);
+    rested.retain(|server| server.is_eligible);
     if missing <= 0.0 || rested.is_empty() {
         return None;
     }
     // One of the less doubtful half: were it the least doubtful, all boxes would try the
     // same one before they hear of each other.
-    rested.sort_by(|a, b| a.failure_share.total_cmp(&b.failure_share));
+    rested.sort_by(|a, b| a.failure_probability.total_cmp(&b.failure_probability));
     let at = random.random_range(0..rested.len().div_ceil(2));
     Some((missing / TRIED_WITHIN.as_secs_f64(), rested[at].key))
 }
@@ -128,17 +128,17 @@
 ///
 /// Once several tries are to be expected, what is missing is the news of them and
 /// not a try: a rate that went on doubling would fill one server's queue.
-fn tries_per_s<K>(server: &Unused<K>, strict: bool) -> f64 {
-    if server.failure_share >= TRUSTED_SHARE {
+fn tries_per_s<K>(server: &IdleServer<K>, strict: bool) -> f64 {
+    if server.failure_probability >= TRUSTED_SHARE {
         return match strict {
             true => TRIES_PER_S_OF_DOUBTFUL,
             false => TRIES_PER_S_IN_CALM,
         };
     }
-    if server.unused_for >= SURELY_TRIED {
+    if server.idle_for >= SURELY_TRIED {
         return TRIES_PER_S_WITHOUT_NEWS;
     }
-    let over = server.unused_for.saturating_sub(NEGLECT);
+    let over = server.idle_for.saturating_sub(NEGLECT);
     let doublings = over.as_secs_f64() / TRIES_DOUBLE_IN.as_secs_f64();
     FIRST_TRIES_PER_S * doublings.exp2()
 }
--- a/crates/wingspur-state/src/borrowing.rs
+++ b/crates/wingspur-state/src/lease_client.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use crate::{LOAN_LASTS, Stock, Stocked};
+use crate::{PREFETCH_LEASE_TTL, PrefetchGrant, PrefetchedQuota};
 
 /// A box's dealings with its hub about one allowance.
 #[derive(Debug, Clone, Default)]
-pub struct Borrower {
-    stock: Stock,
+pub struct LeaseClient {
+    stock: PrefetchedQuota,
     demand: Demand,
     asked_stock: Option<Asked>,
     asked_urgent: Option<Asked>,
@@ -20,24 +20,24 @@
 
 /// What came of wanting one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Borrowed {
+pub enum AcquireOutcome {
     /// There was one.
-    Taken,
+    Acquired,
     /// There is none, over all boxes; there should be after a time.
     Refused(Duration),
     /// Nobody can tell.
     Unknown,
     /// The answer of another box is to be waited for.
-    Waits,
+    Pending,
 }
 
 /// A question for the hub.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum BorrowerAsk {
+pub enum LeaseDemand {
     /// For so many that are spent at once.
-    Urgent(u32),
+    OnDemand(u32),
     /// For the stock: what is held, and what is wanted on top.
-    Stock {
+    Prefetch {
         /// What is held.
         held: f64,
         /// What is wanted on top.
@@ -66,20 +66,20 @@
     at: Option<Instant>,
 }
 
-impl Borrower {
+impl LeaseClient {
     /// Wants one.
-    pub fn want(&mut self, now: Instant) -> Borrowed {
+    pub fn try_acquire(&mut self, now: Instant) -> AcquireOutcome {
         self.demand.count(now);
         self.wanted = Some(now);
         if self.take_spare(now) || self.stock.take(now) {
-            return Borrowed::Taken;
+            return AcquireOutcome::Acquired;
         }
-        self.refusal(now).unwrap_or(Borrowed::Waits)
+        self.refusal(now).unwrap_or(AcquireOutcome::Pending)
     }
 
     /// Keeps what was lent for requests that have given up meanwhile, for those that come
     /// while it may still be spent.
-    pub fn keep_spare(&mut self, count: u32, ends: Instant) {
+    pub fn retain_unused(&mut self, count: u32, ends: Instant) {
         self.spare = (count > 0).then_some((count, ends));
     }
 
@@ -87,26 +87,26 @@
         let Some((count, ends)) = self.spare.filter(|(_, ends)| *ends >= now) else {
             return false;
         };
-        self.keep_spare(count - 1, ends);
+        self.retain_unused(count - 1, ends);
         true
     }
 
     /// What who waits is told, if that is known by now.
-    pub fn refusal(&self, now: Instant) -> Option<Borrowed> {
+    pub fn refusal(&self, now: Instant) -> Option<AcquireOutcome> {
         let refused = self.refused.filter(|refused| refused.until > now)?;
         let more_in = refused.more_at.map(|at| at.saturating_duration_since(now));
-        Some(more_in.map_or(Borrowed::Unknown, Borrowed::Refused))
+        Some(more_in.map_or(AcquireOutcome::Unknown, AcquireOutcome::Refused))
     }
 
     /// What to ask the hub now, by a number of its own, while so many requests wait; none
     /// where the stock does, or an answer is to come.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         number: u32,
         waiting: u32,
         may_be_stocked: bool,
         now: Instant,
-    ) -> Option<BorrowerAsk> {
+    ) -> Option<LeaseDemand> {
         let asked = Asked {
             number,
             urgent: waiting,
@@ -118,9 +118,9 @@
         let is_refused = self.refusal(now).is_some();
         if waiting > 0 && !is_refused && !is_out(self.asked_urgent, URGENT_ANSWER_LOST) {
             self.asked_urgent = Some(asked);
-            return Some(BorrowerAsk::Urgent(waiting));
+            return Some(LeaseDemand::OnDemand(waiting));
         }
-        let (held, lasts) = self.stock.left(now);
+        let (held, lasts) = self.stock.remaining(now);
         let target = self.demand.per_s(now) * STOCKED_S;
         let is_used =
             may_be_stocked && self.wanted.is_some_and(|at| at + STOCK_KEPT_FOR > now);
@@ -134,7 +134,7 @@
             return None;
         }
         self.asked_stock = Some(asked);
-        Some(BorrowerAsk::Stock {
+        Some(LeaseDemand::Prefetch {
             held,
             wanted: (target - held).max(0.0),
         })
@@ -142,12 +142,17 @@
 
     /// Takes in what the hub lends for the stock. An answer to an earlier question than the
     /// last is void: the lender has heard since what is held without it.
-    pub fn take_stock(&mut self, number: u32, stocked: &Stocked, now: Instant) {
+    pub fn apply_prefetch_grant(
+        &mut self,
+        number: u32,
+        stocked: &PrefetchGrant,
+        now: Instant,
+    ) {
         let asked = self.asked_stock.filter(|asked| asked.number == number);
         let Some(asked) = asked else { return };
         self.asked_stock = None;
         if stocked.amount > 0.0 || stocked.renewed {
-            let ends = asked.at + LOAN_LASTS;
+            let ends = asked.at + PREFETCH_LEASE_TTL;
             self.stock.add(stocked.amount, stocked.renewed, ends, now);
         }
     }
@@ -155,7 +160,7 @@
     /// Takes in what the hub lends of what is urgent, and when it should have more; returns
     /// how many of the waiting requests may go, and until when. What is late is void: nobody
     /// counts it.
-    pub fn take_urgent(
+    pub fn apply_on_demand_grant(
         &mut self,
         number: u32,
         lent: u32,
@@ -171,7 +176,7 @@
                 more_at: more_in.map(|more_in| now + more_in),
             });
         }
-        let ends = asked.at + URGENT_LASTS;
+        let ends = asked.at + ON_DEMAND_LEASE_TTL;
         (ends >= now && lent > 0).then_some((lent, ends))
     }
 
@@ -201,7 +206,7 @@
 }
 
 /// What is lent for urgent requests is spent within this after it was asked for, or never.
-pub const URGENT_LASTS: Duration = Duration::from_millis(200);
+pub const ON_DEMAND_LEASE_TTL: Duration = Duration::from_millis(200);
 /// The stock is for so long: a hub that is lost has a successor after about a second.
 const STOCKED_S: f64 = 1.0;
 /// A smaller stock is not worth it: what one box holds no other can use.
@@ -213,7 +218,7 @@
 const DEMAND_SPAN_S: f64 = 2.0;
 /// An answer takes a millisecond or two, some more where other hubs are asked or the hub is
 /// busy; one that comes later is void, and another question is asked.
-const URGENT_ANSWER_LOST: Duration = URGENT_LASTS;
+const URGENT_ANSWER_LOST: Duration = ON_DEMAND_LEASE_TTL;
 /// What is asked for the stock waits for a frame each way, a fifth of a second at the most.
 const STOCK_ANSWER_LOST: Duration = Duration::from_millis(500);
 /// For how long a refusal is taken for the answer to all that come meanwhile: so that an
--- a/crates/wingspur-state/src/lib.rs
+++ b/crates/wingspur-state/src/lib.rs
@@ -4,89 +4,99 @@
 //! every decision can be replayed from a trace.
 
 mod account;
+mod account_limiter;
+mod announced_state;
 mod balancer;
-mod borrowing;
 mod bundle;
 mod bundle_patch;
 mod check;
-mod directory;
+mod choice_set;
+mod correlated_suspicion;
 mod evidence;
 mod fingerprint;
-mod fleet_budget;
-mod floor;
+mod fleet_retry_budget;
 mod health;
 mod hedge;
 mod history;
 mod host_routes;
+mod idle_probe;
 mod ids;
-mod judge;
-mod lending;
-mod limit;
-mod part_clock;
+mod lease_client;
+mod outlier_detector;
 mod pick;
-mod placement;
+mod quota_pool;
 mod resend_ledger;
 mod retry;
-mod returning;
+mod retry_after;
 mod route;
 mod server;
 mod server_limits;
+mod server_registry;
 mod service_table;
 mod service_time;
-mod standing;
+mod share_history;
 mod store_position;
 mod suspects;
 mod tally;
-mod tracked;
-mod unease;
+mod tracked_server;
 
 pub use account::{AccountTable, ClientAccount, KeyDigest};
-pub use balancer::{Balancer, Pick, Turned, Want};
-pub use borrowing::{Borrowed, Borrower, BorrowerAsk, URGENT_LASTS};
+pub use account_limiter::AccountLimiter;
+pub use announced_state::{AnnouncedState, AnnouncedStates, Availability};
+pub use balancer::{Balancer, Pick, PickRequest, SuspicionChange};
 pub use bundle::{
     BackendServer, Bundle, CallerLimits, Detection, Floor, HostRoute, Limits, RetryRules,
     Route, RouteClass, RouteTarget, Service,
 };
 pub use bundle_patch::BundlePatch;
 pub use check::{Finding, check_accounts, check_bundle};
-pub use directory::{Directory, DirectoryChange, ENTRY_LAPSE, RETURN_GRACE};
-pub use evidence::{EvidenceEntry, EvidenceReport, Reference, threshold, well_evidence};
+pub use evidence::{
+    EvidenceEntry, EvidenceReport, HealthBaseline, ejection_threshold, healthy_evidence,
+};
 pub use fingerprint::{ParseFingerprintError, RequestFingerprint, RequestParts};
-pub use fleet_budget::{
-    BudgetAnswer, BudgetSettings, Contact, FleetBudget, FleetDivision, FleetStanding,
-    ResendUse, ServicePresent,
+pub use fleet_retry_budget::{
+    BudgetDecision, FleetMembership, FleetRetryBudget, FleetSize, MembershipState,
+    ResendKind, RetryBudgetSettings, ServiceLoad,
 };
-pub use floor::{FloorInputs, Unused, try_unused};
-pub use health::HealthNote;
-pub use hedge::{HedgeInputs, hedge_after};
+pub use health::HealthSnapshot;
+pub use hedge::{HedgeInputs, hedge_delay};
 pub use host_routes::HostRoutes;
+pub use idle_probe::{IdleProbeInputs, IdleServer, pick_idle_probe};
 pub use ids::{
     AttemptId, BoxId, BoxKey, BundleVersion, DataCentreId, RegionId, Regions, ServerId,
     ServerIndex, ServerKey, ServiceIndex, SourceId,
 };
-pub use judge::{EjectionRecord, Judge, JudgeEvent, Verdict, VerdictStanding};
-pub use lending::{
-    AllowanceKey, AllowanceTerms, BorrowerId, LOAN_LASTS, Pool, QuotaSettings, Stock,
-    StockAsk, Stocked,
+pub use lease_client::{AcquireOutcome, LeaseClient, LeaseDemand, ON_DEMAND_LEASE_TTL};
+pub use outlier_detector::{
+    EjectionRecord, OutlierDetector, OutlierEvent, OutlierStatus, Verdict,
+};
+pub use pick::{Candidate, EjectionState, pick};
+pub use quota_pool::{
+    LeaseHolderId, PREFETCH_LEASE_TTL, PrefetchGrant, PrefetchRequest, PrefetchedQuota,
+    QuotaKey, QuotaPool, QuotaTerms, QuotaTolerance,
+};
+pub use resend_ledger::{
+    MAX_RESEND_TRANSIT, RESEND_LEASE_TTL, ResendLedger, TightestWindow,
 };
-pub use limit::AccountLimiter;
-pub use part_clock::{Mark, PartClock};
-pub use pick::{Candidate, Standing, pick};
-pub use resend_ledger::{LENT_FOR, RESEND_ON_WAY, ResendLedger, TightestWindow};
 pub use retry::{
     AttemptEnd, RetryBudget, RetryDecision, RetryReason, StopReason, decide_retry,
 };
-pub use returning::{Priority, ReturnInputs, ReturnQueue, priority_of, spare_per_s};
-pub use route::{RouteClash, RouteMatch, RouteTable};
+pub use retry_after::{
+    Priority, RetryAfterInputs, RetryAfterSchedule, priority_of, spare_capacity_per_s,
+};
+pub use route::{RouteConflict, RouteMatch, RouteTable};
 pub use server::{ServerRecord, server_key};
-pub use server_limits::{LimitChange, ServerLimits, due_share};
-pub use service_table::{AttemptOutcome, ServiceTable, TICK, VERDICT_TTL};
+pub use server_limits::{ServerLimitChange, ServerLimits, quota_request_probability};
+pub use server_registry::{
+    ENTRY_TTL, RegistryChange, STORE_RECOVERY_GRACE, ServerRegistry,
+};
+pub use service_table::{AttemptOutcome, EVIDENCE_TICK, ServiceTable, VERDICT_TTL};
 pub use service_time::ServiceTime;
-pub use standing::{Access, ServerStanding, Standings};
+pub use share_history::{ShareHistory, ShareTimestamp};
 pub use store_position::{StoreEra, StorePosition};
 pub use suspects::{
-    KnownQuarantine, QUARANTINED_FROM, REMEMBERED, SuspectEvent, SuspectNote,
-    SuspectRequests, SuspectUpdate,
+    QUARANTINE_THRESHOLD, SUSPECT_RETENTION, StoredQuarantine, SuspectEvent,
+    SuspectMessage, SuspectRequests, SuspectUpdate,
 };
 pub use tally::{KeyedTally, ServerTally, ServiceTally};
-pub use tracked::{Ended, Expected};
+pub use tracked_server::{ExpectedLatency, HealthOutcome};
--- a/crates/wingspur-state/src/judge.rs
+++ b/crates/wingspur-state/src/outlier_detector.rs
@@ -10,13 +10,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::{Evidence, EvidenceReport, LEAST_BUSY_SHARE, threshold};
-use crate::unease::{UNEASY_SHARE, Unease, groups_of};
+use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
+use crate::evidence::{Evidence, EvidenceReport, LEAST_BUSY_SHARE, ejection_threshold};
 use crate::{BoxId, DataCentreId, ServerIndex, Service};
 
 /// Judges the servers of one service.
 #[derive(Debug)]
-pub struct Judge {
+pub struct OutlierDetector {
     tag: u64,
     false_ejections_per_server_day: f64,
     /// For the number of boxes that report at present.
@@ -45,17 +45,21 @@
 
 /// What boxes do about a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum VerdictStanding {
+pub enum OutlierStatus {
     /// It takes work.
-    In,
+    #[serde(rename = "In")]
+    Active,
     /// It takes work, and boxes elsewhere try it as if it stood nearby.
     Watched,
     /// It returns by this share of its usual work, retry-safe work only.
-    Trial(f32),
+    #[serde(rename = "Trial")]
+    Probation(f32),
     /// It takes work only when no other has room.
-    Avoided,
+    #[serde(rename = "Avoided")]
+    Suspected,
     /// It takes none.
-    Out,
+    #[serde(rename = "Out")]
+    Excluded,
 }
 
 /// The judge's word to the boxes of one data centre.
@@ -64,12 +68,12 @@
     /// Stands for the service and its exact list of servers.
     pub service_tag: u64,
     /// All servers that are not simply in.
-    pub standings: Vec<(u16, VerdictStanding)>,
+    pub standings: Vec<(u16, OutlierStatus)>,
 }
 
 /// Something the judge did, for logs and counters.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum JudgeEvent {
+pub enum OutlierEvent {
     /// A server is under suspicion and avoided.
     Suspected(ServerIndex),
     /// A server went on trial.
@@ -137,7 +141,7 @@
     },
 }
 
-impl Judge {
+impl OutlierDetector {
     /// A judge without evidence; `record` is what the store holds.
     pub fn new(
         service: &Service,
@@ -149,7 +153,7 @@
         let mut judge = Self {
             tag,
             false_ejections_per_server_day: knob,
-            threshold: threshold(knob, 1, LEAST_BUSY_SHARE),
+            threshold: ejection_threshold(knob, 1, LEAST_BUSY_SHARE),
             busy_share: LEAST_BUSY_SHARE,
             floor_slots: service.floor_slots(),
             servers: service.servers.iter().map(Judged::new).collect(),
@@ -158,7 +162,7 @@
             record: None,
             stepped: None,
         };
-        judge.adopt(record.unwrap_or_default(), now);
+        judge.apply_record(record.unwrap_or_default(), now);
         judge
     }
 
@@ -171,7 +175,7 @@
     ///
     /// No box counts for more than a share of the threshold, so none can bring about an
     /// ejection alone where three or more report.
-    pub fn receive(
+    pub fn record_report(
         &mut self,
         from: &BoxId,
         data_centre: &DataCentreId,
@@ -205,7 +209,7 @@
     }
 
     /// Takes one step; call it each `TICK`, or less often without harm.
-    pub fn step(&mut self, now: Instant) -> Vec<JudgeEvent> {
+    pub fn tick(&mut self, now: Instant) -> Vec<OutlierEvent> {
         let last = self.stepped.unwrap_or(now);
         if self.stepped.is_some() && now.saturating_duration_since(last) < STEP {
             return Vec::new();
@@ -215,8 +219,11 @@
             .retain(|_, heard| now.saturating_duration_since(*heard) < OBSERVER_TTL);
         self.learn_busy_share();
         let boxes = self.observers.len().max(1);
-        self.threshold =
-            threshold(self.false_ejections_per_server_day, boxes, self.busy_share);
+        self.threshold = ejection_threshold(
+            self.false_ejections_per_server_day,
+            boxes,
+            self.busy_share,
+        );
         let most = self.threshold * self.share_of_one_box();
         for server in &mut self.servers {
             server.settle(most, self.threshold / STEPS_TO_CROSS, now);
@@ -232,7 +239,7 @@
     ///
     /// The floor is kept here: servers that are out, on trial or just returned all
     /// count as missing. The sickest suspects go first.
-    pub fn proposal(&self) -> Option<EjectionRecord> {
+    pub fn pending_record(&self) -> Option<EjectionRecord> {
         let mut missing: u32 = self
             .servers
             .iter()
@@ -259,7 +266,7 @@
     }
 
     /// Puts a record in force that the store holds now, ours or another judge's.
-    pub fn adopt(&mut self, record: EjectionRecord, now: Instant) {
+    pub fn apply_record(&mut self, record: EjectionRecord, now: Instant) {
         for server in &mut self.servers {
             let ejected = record.ejected.contains(&server.name);
             let returned = record.returned.contains(&server.name);
@@ -285,16 +292,18 @@
         let mut standings = Vec::new();
         for (index, server) in self.servers.iter().enumerate() {
             let standing = match server.state {
-                State::In if self.wants_observers(server) => VerdictStanding::Watched,
-                State::In | State::Returned { .. } => VerdictStanding::In,
+                State::In if self.wants_observers(server) => OutlierStatus::Watched,
+                State::In | State::Returned { .. } => OutlierStatus::Active,
                 State::Avoided { .. } if server.is_well_from(data_centre) => {
-                    VerdictStanding::In
+                    OutlierStatus::Active
+                }
+                State::Avoided { .. } => OutlierStatus::Suspected,
+                State::Out { .. } => OutlierStatus::Excluded,
+                State::Trial { stage, .. } => {
+                    OutlierStatus::Probation(TRIAL_SHARES[stage])
                 }
-                State::Avoided { .. } => VerdictStanding::Avoided,
-                State::Out { .. } => VerdictStanding::Out,
-                State::Trial { stage, .. } => VerdictStanding::Trial(TRIAL_SHARES[stage]),
             };
-            if standing != VerdictStanding::In {
+            if standing != OutlierStatus::Active {
                 standings.push((index as u16, standing));
             }
         }
@@ -310,7 +319,7 @@
     }
 
     /// Slots that are in by the agreed record.
-    pub fn slots_in(&self) -> u32 {
+    pub fn available_slots(&self) -> u32 {
         let kept = self
             .servers
             .iter()
@@ -347,7 +356,7 @@
     }
 
     /// Suspects servers over the threshold, unless many are uneasy at once.
-    fn suspect(&mut self, events: &mut Vec<JudgeEvent>, now: Instant) {
+    fn suspect(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
         let uneasy_at = self.threshold * UNEASY_SHARE;
         let scores = self.servers.iter().map(Judged::unease);
         let unease = Unease::new(scores, &self.groups, uneasy_at);
@@ -364,18 +373,18 @@
                     server.state = State::Avoided {
                         until: server.hold(now),
                     };
-                    events.push(JudgeEvent::Suspected(index));
+                    events.push(OutlierEvent::Suspected(index));
                 }
                 State::Avoided { .. } if server.total < FORGIVEN => {
                     server.state = State::In;
-                    events.push(JudgeEvent::Returned(index));
+                    events.push(OutlierEvent::Returned(index));
                 }
                 _ => {}
             }
         }
     }
 
-    fn advance(&mut self, events: &mut Vec<JudgeEvent>, now: Instant) {
+    fn advance(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
         let relapse_at = self.threshold * RELAPSE_SHARE;
         for (index, server) in self.servers.iter_mut().enumerate() {
             match server.state {
@@ -387,7 +396,7 @@
                         since: now,
                         agreed,
                     };
-                    events.push(JudgeEvent::OnTrial(index));
+                    events.push(OutlierEvent::OnTrial(index));
                 }
                 State::Trial { agreed, .. } if server.total >= relapse_at => {
                     let until = server.hold(now);
@@ -395,7 +404,7 @@
                         true => State::Out { until },
                         false => State::Avoided { until },
                     };
-                    events.push(JudgeEvent::Suspected(index));
+                    events.push(OutlierEvent::Suspected(index));
                 }
                 State::Trial {
                     stage,
@@ -417,7 +426,7 @@
                         },
                         false => State::In,
                     };
-                    events.push(JudgeEvent::Returned(index));
+                    events.push(OutlierEvent::Returned(index));
                 }
                 State::Returned { until } if now >= until => server.state = State::In,
                 _ => {}
@@ -428,7 +437,7 @@
     /// Takes servers out of the ejected when others have left meanwhile and the floor
     /// would not hold; they stay avoided, the least often ejected first.
     fn release_for_floor(&mut self, now: Instant) {
-        while self.slots_in() < self.floor_slots {
+        while self.available_slots() < self.floor_slots {
             let ejected = self.servers.iter_mut();
             let ejected = ejected.filter(|s| s.is_ejected() && !s.leaving);
             let Some(server) = ejected.min_by_key(|server| server.relapses) else {
--- a/crates/wingspur-state/src/pick.rs
+++ b/crates/wingspur-state/src/pick.rs
@@ -7,15 +7,15 @@
 
 /// How a server stands with this box.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Standing {
+pub enum EjectionState {
     /// Takes work.
-    In,
+    Active,
     /// Returning: takes this share of the work it would take, retry-safe only.
-    Trial(f64),
+    Probation(f64),
     /// Suspected: takes work only when no other server has room.
-    Avoided,
+    Suspected,
     /// Ejected or leaving: takes none.
-    Out,
+    Excluded,
 }
 
 /// One server as the picker sees it.
@@ -32,7 +32,7 @@
     /// Whether it stands in this box's data centre.
     pub same_data_centre: bool,
     /// How it stands.
-    pub standing: Standing,
+    pub ejection_state: EjectionState,
 }
 
 impl Candidate {
@@ -65,15 +65,18 @@
     if retry_safe && let Some(server) = pick_trial(candidates, random) {
         return Some(server);
     }
-    let standing =
-        |wanted: Standing| move |candidate: &&Candidate| candidate.standing == wanted;
-    let well: Vec<&Candidate> =
-        candidates.iter().filter(standing(Standing::In)).collect();
+    let standing = |wanted: EjectionState| {
+        move |candidate: &&Candidate| candidate.ejection_state == wanted
+    };
+    let well: Vec<&Candidate> = candidates
+        .iter()
+        .filter(standing(EjectionState::Active))
+        .collect();
     let roomy = well.iter().any(|candidate| candidate.has_room());
     if roomy || (!well.is_empty() && !retry_safe) {
         return least_loaded(&well, random);
     }
-    let avoided = candidates.iter().filter(standing(Standing::Avoided));
+    let avoided = candidates.iter().filter(standing(EjectionState::Suspected));
     let rest: Vec<&Candidate> = well.into_iter().chain(avoided).collect();
     least_loaded(&rest, random)
 }
@@ -82,10 +85,10 @@
 fn pick_trial(candidates: &[Candidate], random: &mut impl Rng) -> Option<ServerIndex> {
     let in_service = candidates
         .iter()
-        .filter(|c| c.standing != Standing::Out)
+        .filter(|c| c.ejection_state != EjectionState::Excluded)
         .count();
     for candidate in candidates {
-        let Standing::Trial(share) = candidate.standing else {
+        let EjectionState::Probation(share) = candidate.ejection_state else {
             continue;
         };
         let chance = share / in_service.max(1) as f64;
--- a/crates/wingspur-state/src/lending.rs
+++ b/crates/wingspur-state/src/quota_pool.rs
@@ -11,28 +11,28 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{ClientAccount, Mark, PartClock};
+use crate::{ClientAccount, ShareHistory, ShareTimestamp};
 
 /// Names an allowance among boxes: the hash of the account's name.
-pub type AllowanceKey = u64;
+pub type QuotaKey = u64;
 /// Names who borrows, at the lender.
-pub type BorrowerId = u64;
+pub type LeaseHolderId = u64;
 
 /// What an allowance grants over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AllowanceTerms {
+pub struct QuotaTerms {
     /// What it grants in a second.
     pub per_s: f64,
     /// What it grants at once on top.
-    pub depth: f64,
+    pub burst: f64,
     /// Whether boxes may hold some of it in stock.
-    pub stocked: bool,
+    pub allows_prefetch: bool,
 }
 
 /// How far the requests of an account may pass what its limit says, over a span.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct QuotaSettings {
+pub struct QuotaTolerance {
     /// The span, in seconds.
     pub window_s: f64,
     /// The share of the limit that may come on top.
@@ -43,12 +43,12 @@
 
 /// A box's part of one allowance.
 #[derive(Debug, Clone, Default)]
-pub struct Pool {
+pub struct QuotaPool {
     level: f64,
     /// Up to when it has refilled; none before it is first asked.
-    refilled: Option<Mark>,
+    refilled: Option<ShareTimestamp>,
     /// What borrowers hold in stock, or may.
-    loans: HashMap<BorrowerId, Loan>,
+    loans: HashMap<LeaseHolderId, Loan>,
 }
 
 /// What was lent and may not be spent yet.
@@ -60,9 +60,9 @@
 
 /// What a box asks for its stock.
 #[derive(Debug, Clone, Copy)]
-pub struct StockAsk {
+pub struct PrefetchRequest {
     /// Who asks.
-    pub borrower: BorrowerId,
+    pub borrower: LeaseHolderId,
     /// What it held when it asked.
     pub held: f64,
     /// What it would like on top.
@@ -71,7 +71,7 @@
 
 /// What a box is lent for its stock.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Stocked {
+pub struct PrefetchGrant {
     /// How much.
     pub amount: f64,
     /// Whether what it held when it asked lasts anew.
@@ -80,25 +80,25 @@
 
 /// What a box has in stock.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Stock {
+pub struct PrefetchedQuota {
     amount: f64,
     ends: Option<Instant>,
 }
 
-impl AllowanceTerms {
+impl QuotaTerms {
     /// What an account's limit grants.
     ///
     /// Most of what may come on top of the limit is granted, so that boxes can hold some of
     /// it in stock; the rest is for urgent loans and requests on their way, as reckoned in the
     /// proof.
-    pub fn of_account(account: &ClientAccount, quota: &QuotaSettings) -> Self {
+    pub fn of_account(account: &ClientAccount, quota: &QuotaTolerance) -> Self {
         let limit = account.requests_per_s * quota.window_s + account.burst;
         let on_top =
             quota.overrun * limit * GRANTED_OF_OVERRUN + quota.slack * GRANTED_OF_SLACK;
         Self {
             per_s: account.requests_per_s,
-            depth: account.burst + on_top,
-            stocked: true,
+            burst: account.burst + on_top,
+            allows_prefetch: true,
         }
     }
 
@@ -111,13 +111,13 @@
     pub fn of_server(limit_per_s: f64) -> Self {
         Self {
             per_s: limit_per_s.max(TRICKLE_PER_S),
-            depth: SERVER_DEPTH + limit_per_s * SERVER_DEPTH_S,
-            stocked: false,
+            burst: SERVER_DEPTH + limit_per_s * SERVER_DEPTH_S,
+            allows_prefetch: false,
         }
     }
 }
 
-impl Default for QuotaSettings {
+impl Default for QuotaTolerance {
     fn default() -> Self {
         Self {
             window_s: 5.0,
@@ -127,15 +127,15 @@
     }
 }
 
-impl Pool {
+impl QuotaPool {
     /// Lends to a box, or takes for this one, what is spent at once, or never: that takes no
     /// more room. The share `reserve` of the room beyond one is left to the more urgent.
-    pub fn lend_at_once(
+    pub fn lease_on_demand(
         &mut self,
         urgent: u32,
         reserve: f64,
-        terms: &AllowanceTerms,
-        clock: &PartClock,
+        terms: &QuotaTerms,
+        clock: &ShareHistory,
         now: Instant,
     ) -> u32 {
         self.refill(terms, clock, now);
@@ -146,7 +146,7 @@
     }
 
     /// Takes back what was lent and not needed; it holds no more by it than it may.
-    pub fn give_back(&mut self, count: u32) {
+    pub fn return_unused(&mut self, count: u32) {
         self.level += f64::from(count);
     }
 
@@ -154,19 +154,19 @@
     ///
     /// Stocks leave a part of the room to what is refilled, and are lent only of a part that
     /// the box has had for as long as stocks last: what other boxes have lent of it has ended.
-    pub fn stock(
+    pub fn lease_prefetch(
         &mut self,
-        ask: &StockAsk,
-        terms: &AllowanceTerms,
-        clock: &PartClock,
+        ask: &PrefetchRequest,
+        terms: &QuotaTerms,
+        clock: &ShareHistory,
         now: Instant,
-    ) -> Stocked {
+    ) -> PrefetchGrant {
         if let Some(loan) = self.loans.get_mut(&ask.borrower) {
             // It has spent the rest: that is no longer held by anybody.
             loan.amount = loan.amount.min(ask.held);
         }
         self.refill(terms, clock, now);
-        let room = (terms.depth * clock.stock_share(terms) - self.lent()).max(0.0);
+        let room = (terms.burst * clock.prefetch_share(terms) - self.lent()).max(0.0);
         let amount = ask.wanted.min(self.level * MOST_AT_ONCE_SHARE).min(room);
         self.level -= amount;
         // What it held of a loan that has ended is not counted here any more. Nothing lasts
@@ -175,20 +175,25 @@
             .loans
             .get(&ask.borrower)
             .map_or(0.0, |loan| loan.amount);
-        let renewed = held > 0.0 && self.lent() <= terms.depth * clock.stock_share(terms);
+        let renewed =
+            held > 0.0 && self.lent() <= terms.burst * clock.prefetch_share(terms);
         if renewed || amount > 0.0 {
             let loan = Loan {
                 amount: held + amount,
-                ends: now + LOAN_LASTS,
+                ends: now + PREFETCH_LEASE_TTL,
             };
             self.loans.insert(ask.borrower, loan);
         }
-        Stocked { amount, renewed }
+        PrefetchGrant { amount, renewed }
     }
 
     /// How long until there is one more.
-    pub fn next_in(&self, terms: &AllowanceTerms, clock: &PartClock) -> Duration {
-        let per_s = terms.per_s * clock.part();
+    pub fn time_to_next_token(
+        &self,
+        terms: &QuotaTerms,
+        clock: &ShareHistory,
+    ) -> Duration {
+        let per_s = terms.per_s * clock.share();
         let missing = (1.0 - self.level).max(0.0);
         let wait_s = missing / per_s.max(LEAST_PER_S);
         Duration::from_secs_f64(wait_s.min(LONGEST_WAIT_S))
@@ -197,8 +202,8 @@
     /// Whether it holds all that it may, so that a pool made anew would decide alike.
     pub fn is_full(
         &mut self,
-        terms: &AllowanceTerms,
-        clock: &PartClock,
+        terms: &QuotaTerms,
+        clock: &ShareHistory,
         now: Instant,
     ) -> bool {
         self.refill(terms, clock, now);
@@ -207,18 +212,20 @@
 
     /// Refills what the part has earned, as far as there is room for it: what is lent and may
     /// not be spent yet takes room.
-    fn refill(&mut self, terms: &AllowanceTerms, clock: &PartClock, now: Instant) {
+    fn refill(&mut self, terms: &QuotaTerms, clock: &ShareHistory, now: Instant) {
         self.loans.retain(|_, loan| loan.ends > now);
         let held = self.refilled.map(|mark| (self.level, mark));
-        self.level = clock.held_since(held, terms).min(self.room(terms, clock));
-        self.refilled = Some(clock.mark());
+        self.level = clock
+            .refilled_level(held, terms)
+            .min(self.room(terms, clock));
+        self.refilled = Some(clock.timestamp());
     }
 
     /// How much it may hold: where the part has shrunk, stocks that were lent before may take
     /// more than their share.
-    fn room(&self, terms: &AllowanceTerms, clock: &PartClock) -> f64 {
-        let stocks = terms.depth * clock.stock_share(terms);
-        let rest = terms.depth * clock.depth_share(terms) - stocks;
+    fn room(&self, terms: &QuotaTerms, clock: &ShareHistory) -> f64 {
+        let stocks = terms.burst * clock.prefetch_share(terms);
+        let rest = terms.burst * clock.burst_share(terms) - stocks;
         rest + (stocks - self.lent()).max(0.0)
     }
 
@@ -228,9 +235,9 @@
     }
 }
 
-impl Stock {
+impl PrefetchedQuota {
     /// What is left, and for how long.
-    pub fn left(&self, now: Instant) -> (f64, Duration) {
+    pub fn remaining(&self, now: Instant) -> (f64, Duration) {
         match self.ends {
             Some(ends) if ends > now => (self.amount, ends - now),
             _ => (0.0, Duration::ZERO),
@@ -239,7 +246,7 @@
 
     /// Spends one; whether there was one.
     pub fn take(&mut self, now: Instant) -> bool {
-        let (left, _) = self.left(now);
+        let (left, _) = self.remaining(now);
         if left < 1.0 {
             return false;
         }
@@ -251,7 +258,7 @@
     ///
     /// One that does not, as a hub that has just taken over, leaves it to its former end.
     pub fn add(&mut self, amount: f64, renewed: bool, ends: Instant, now: Instant) {
-        let (left, _) = self.left(now);
+        let (left, _) = self.remaining(now);
         let former = self.ends.filter(|_| left > 0.0 && !renewed);
         self.amount = left + amount;
         self.ends = Some(former.map_or(ends, |former| former.min(ends)));
@@ -261,7 +268,7 @@
 /// How long a stock lasts, from when it was asked for. Long enough that a box whose hub is
 /// lost serves on until it has another, about a second; short enough that what was lent to a
 /// box which is lost comes back soon.
-pub const LOAN_LASTS: Duration = Duration::from_secs(3);
+pub const PREFETCH_LEASE_TTL: Duration = Duration::from_secs(3);
 /// Of what may come on top of a limit, so much is granted. With a limit over five seconds
 /// and a tenth on top, what is left is 0.45 s of the rate and two requests: an urgent loan is
 /// spent 0.2 s after it was minted, and its request at its server 0.25 s later.
--- a/crates/wingspur-state/src/resend_ledger.rs
+++ b/crates/wingspur-state/src/resend_ledger.rs
@@ -48,7 +48,7 @@
     /// Counts a resend that another box makes instead, within `LENT_FOR`. Whether a server
     /// answers it is not told here, so it may arrive as late as one that nobody answers.
     pub fn lend(&mut self, now: Instant) {
-        self.unanswered.add(1, now + LENT_FOR);
+        self.unanswered.add(1, now + RESEND_LEASE_TTL);
     }
 
     /// Takes back resends that reached no server.
@@ -69,7 +69,8 @@
     pub fn forget(&mut self, window: Duration, now: Instant) {
         self.requests.forget(2 * window + BUCKET, now);
         self.ended.forget(window + BUCKET + LATE_ARRIVAL, now);
-        self.unanswered.forget(window + BUCKET + RESEND_ON_WAY, now);
+        self.unanswered
+            .forget(window + BUCKET + MAX_RESEND_TRANSIT, now);
     }
 
     /// Of all windows that a resend sent now may fall into, the one with the least room.
@@ -78,7 +79,7 @@
     /// beginning at which each bucket of resends still counts, and at the last one at which
     /// the resends that are out may.
     pub fn tightest(&self, window: Duration, ratio: f64, now: Instant) -> TightestWindow {
-        let on_way = RESEND_ON_WAY.min(window / 2);
+        let on_way = MAX_RESEND_TRANSIT.min(window / 2);
         let mut spent = self.out;
         let mut tightest = TightestWindow {
             spent,
@@ -105,7 +106,7 @@
             move |(at, resends): &(Instant, u32)| (*at + BUCKET + late, *resends)
         };
         let ended = self.ended.0.iter().map(last(LATE_ARRIVAL));
-        let unanswered = self.unanswered.0.iter().map(last(RESEND_ON_WAY));
+        let unanswered = self.unanswered.0.iter().map(last(MAX_RESEND_TRANSIT));
         let mut beginnings: Vec<_> = ended.chain(unanswered).collect();
         beginnings.sort_by_key(|(begins, _)| std::cmp::Reverse(*begins));
         beginnings
@@ -163,9 +164,9 @@
 /// not been acknowledged for so long, also after they were closed. A link that stands still
 /// for longer gives up what waits for it, and a packet that is lost again and again has been
 /// sent four times.
-pub const RESEND_ON_WAY: Duration = Duration::from_secs(3);
+pub const MAX_RESEND_TRANSIT: Duration = Duration::from_secs(3);
 /// Who borrows a resend sends it within this, or not at all.
-pub const LENT_FOR: Duration = Duration::from_millis(100);
+pub const RESEND_LEASE_TTL: Duration = Duration::from_millis(100);
 /// A caller has sent its request at most so long before it is counted here: its body is read
 /// first, and a lost packet is sent again after 0.2 s.
 const REQUEST_LAG: Duration = Duration::from_millis(500);
--- a/crates/wingspur-state/src/retry.rs
+++ b/crates/wingspur-state/src/retry.rs
@@ -70,7 +70,7 @@
     /// It may have run, and the class may not repeat.
     MayHaveRun,
     /// Its body is not kept.
-    BodyGone,
+    BodyNotBuffered,
     /// It was sent to as many servers as its route allows.
     AttemptsSpent,
     /// The time that is left is too short.
@@ -86,7 +86,7 @@
     pub const ALL: [Self; 7] = [
         Self::Answered,
         Self::MayHaveRun,
-        Self::BodyGone,
+        Self::BodyNotBuffered,
         Self::AttemptsSpent,
         Self::TimeSpent,
         Self::BudgetSpent,
@@ -98,7 +98,7 @@
         match self {
             Self::Answered => "answered",
             Self::MayHaveRun => "may_have_run",
-            Self::BodyGone => "body_gone",
+            Self::BodyNotBuffered => "body_gone",
             Self::AttemptsSpent => "attempts_spent",
             Self::TimeSpent => "time_spent",
             Self::BudgetSpent => "budget_spent",
@@ -124,8 +124,8 @@
     let reason = match end {
         AttemptEnd::NotSent => RetryReason::NotSent,
         AttemptEnd::RefusedBeforeRunning => RetryReason::RefusedBeforeRunning,
-        AttemptEnd::InDoubt if class.may_repeat() => RetryReason::InDoubt,
-        AttemptEnd::ServerError if class.may_repeat() => RetryReason::ServerError,
+        AttemptEnd::InDoubt if class.is_retry_safe() => RetryReason::InDoubt,
+        AttemptEnd::ServerError if class.is_retry_safe() => RetryReason::ServerError,
         AttemptEnd::InDoubt | AttemptEnd::ServerError => {
             return RetryDecision::Stop(StopReason::MayHaveRun);
         }
@@ -134,7 +134,7 @@
         }
     };
     if !body_kept && end != AttemptEnd::NotSent {
-        return RetryDecision::Stop(StopReason::BodyGone);
+        return RetryDecision::Stop(StopReason::BodyNotBuffered);
     }
     if tried >= usize::from(max_attempts) {
         return RetryDecision::Stop(StopReason::AttemptsSpent);
--- a/crates/wingspur-state/src/returning.rs
+++ b/crates/wingspur-state/src/retry_after.rs
@@ -8,7 +8,7 @@
 
 /// The moments that one box has promised to the callers of a service.
 #[derive(Debug, Default)]
-pub struct ReturnQueue {
+pub struct RetryAfterSchedule {
     /// When the next caller of each priority may come.
     next: BTreeMap<Priority, Instant>,
 }
@@ -18,25 +18,25 @@
 
 /// What a refusal finds.
 #[derive(Debug, Clone, Copy)]
-pub struct ReturnInputs {
+pub struct RetryAfterInputs {
     /// The caller's rank; 0 goes first.
     pub priority: Priority,
     /// The shortest wait for a slot now.
-    pub least_wait: Duration,
+    pub min_queue_wait: Duration,
     /// Callers that the service can take back from this box in a second.
     pub spare_per_s: f64,
 }
 
-impl ReturnQueue {
+impl RetryAfterSchedule {
     /// Promises a caller a place in the capacity to come.
     ///
     /// The load pattern that it answers: many callers are refused at once, come back
     /// together and are refused again. Each gets a place of its own behind those that are as
     /// urgent or more, as far apart as the service has room for them; asking again sooner
     /// gains nothing, since a new refusal names a later place.
-    pub fn promise(
+    pub fn schedule(
         &mut self,
-        inputs: &ReturnInputs,
+        inputs: &RetryAfterInputs,
         now: Instant,
         random: &mut impl Rng,
     ) -> Duration {
@@ -45,7 +45,7 @@
         let step = step.min(LONGEST_RETURN);
         // Boxes that refuse at the same time do not all name the same moment.
         let phase = step.mul_f64(random.random());
-        let earliest = now + inputs.least_wait.max(SOONEST_RETURN) + phase;
+        let earliest = now + inputs.min_queue_wait.max(SOONEST_RETURN) + phase;
         let behind = self.next.range(..=inputs.priority).map(|(_, at)| *at).max();
         let place = behind.map_or(earliest, |behind| behind.max(earliest));
         // A caller whose place is too far off is told the last one, and takes none.
@@ -66,7 +66,7 @@
 ///
 /// `capacity_per_s` is what the service's servers do in a second, `asked_per_s` what is
 /// asked of it, both over all `boxes`.
-pub fn spare_per_s(capacity_per_s: f64, asked_per_s: f64, boxes: usize) -> f64 {
+pub fn spare_capacity_per_s(capacity_per_s: f64, asked_per_s: f64, boxes: usize) -> f64 {
     let spare = (capacity_per_s - asked_per_s).max(capacity_per_s * LEAST_SPARE_SHARE);
     spare / boxes.max(1) as f64
 }
--- a/crates/wingspur-state/src/route.rs
+++ b/crates/wingspur-state/src/route.rs
@@ -25,7 +25,7 @@
 /// Two paths that cannot stand beside each other.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{path}` clashes with `{with}`")]
-pub struct RouteClash {
+pub struct RouteConflict {
     /// Where the later of the two stands.
     pub at: RouteMatch,
     /// Its path.
@@ -36,7 +36,7 @@
 
 impl RouteTable {
     /// Builds the table.
-    pub fn new(bundle: &Bundle) -> Result<Self, RouteClash> {
+    pub fn new(bundle: &Bundle) -> Result<Self, RouteConflict> {
         let mut table = Self {
             trie: matchit::Router::new(),
             paths: Vec::new(),
@@ -69,7 +69,7 @@
         Some(known.map(|(_, target)| *target))
     }
 
-    fn add_path(&mut self, path: &str, at: RouteMatch) -> Result<usize, RouteClash> {
+    fn add_path(&mut self, path: &str, at: RouteMatch) -> Result<usize, RouteConflict> {
         let slot = self.paths.len();
         let inserted = self.trie.insert(path, slot);
         inserted.map_err(|error| {
@@ -77,7 +77,7 @@
                 matchit::InsertError::Conflict { with } => with,
                 other => other.to_string(),
             };
-            RouteClash {
+            RouteConflict {
                 at,
                 path: path.to_owned(),
                 with,
--- a/crates/wingspur-state/src/server.rs
+++ b/crates/wingspur-state/src/server.rs
@@ -40,7 +40,7 @@
 
     /// Whether another record of the same run differs in nothing but what is left of its
     /// cold start, which each of its first entries tells anew.
-    pub fn stands_as(&self, other: &Self) -> bool {
+    pub fn eq_ignoring_cold(&self, other: &Self) -> bool {
         let Self {
             id,
             born_ms,
