--- a/crates/wingspur-state/src/server_limits.rs
+++ b/crates/wingspur-state/src/server_limits.rs
@@ -24,7 +24,7 @@
 
 /// A limit that is not what it was.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitChange {
+pub struct ServerLimitChange {
     /// The server.
     pub server: ServerKey,
     /// What it took before, in requests a second; none for no limit.
@@ -42,13 +42,13 @@
         server: ServerKey,
         per_s: Option<f64>,
         at: Instant,
-    ) -> Option<LimitChange> {
+    ) -> Option<ServerLimitChange> {
         if per_s.is_none() && !self.readings.contains_key(&server) {
             return None;
         }
         let known = self.readings.insert(server, Reading { per_s, at });
         let before = known.and_then(|known| known.per_s);
-        (before != per_s).then_some(LimitChange {
+        (before != per_s).then_some(ServerLimitChange {
             server,
             before,
             per_s,
@@ -66,7 +66,7 @@
         server: ServerKey,
         per_s: Option<f64>,
         (earliest, latest): (Instant, Instant),
-    ) -> Option<LimitChange> {
+    ) -> Option<ServerLimitChange> {
         let known = self.readings.get(&server).copied();
         if let Some(known) = known {
             let is_older = latest <= known.at;
@@ -79,12 +79,12 @@
     }
 
     /// All limits that are named now, for a box that has just linked with this one.
-    pub fn named(&self) -> Vec<LimitChange> {
+    pub fn current_limits(&self) -> Vec<ServerLimitChange> {
         let named = self
             .readings
             .iter()
             .filter(|(_, reading)| reading.per_s.is_some());
-        let told = named.map(|(server, reading)| LimitChange {
+        let told = named.map(|(server, reading)| ServerLimitChange {
             server: *server,
             before: None,
             per_s: reading.per_s,
@@ -104,7 +104,7 @@
     }
 
     /// Forgets limits that ended so long ago that no older news of them can still come.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn evict_expired(&mut self, now: Instant) {
         self.readings.retain(|_, reading| {
             let age = now.saturating_duration_since(reading.at);
             reading.per_s.is_some() || age < ENDED_KEPT_FOR
@@ -123,7 +123,11 @@
 /// boxes, `servers` how many may take it. Over all boxes that makes a few times as many
 /// questions as places, however many boxes there are; and no more than half as much again as
 /// its even share of the requests, since a server in need is not sent more than others.
-pub fn due_share(limit_per_s: f64, requests_per_s: f64, servers: usize) -> f64 {
+pub fn quota_request_probability(
+    limit_per_s: f64,
+    requests_per_s: f64,
+    servers: usize,
+) -> f64 {
     let least = LEAST_ASKED_PER_S / requests_per_s.max(1.0);
     let by_limit = limit_per_s * ASKED_OF_LIMIT / requests_per_s.max(1.0);
     let even = MOST_OF_EVEN_SHARE / servers.max(1) as f64;
--- a/crates/wingspur-state/src/directory.rs
+++ b/crates/wingspur-state/src/server_registry.rs
@@ -13,7 +13,7 @@
 
 /// The announced backend servers of all services.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct ServerRegistry {
     entries: BTreeMap<ServerId, Entry>,
     store: StoreStanding,
     era: StoreEra,
@@ -24,9 +24,9 @@
 
 /// What became of a server, for the tables that follow the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DirectoryChange {
+pub enum RegistryChange {
     /// It is new, or its record has changed.
-    Put(ServerRecord),
+    Updated(ServerRecord),
     /// It has started again under its id: nothing of the run before holds any more.
     Restarted {
         /// The run that is over.
@@ -35,7 +35,7 @@
         record: ServerRecord,
     },
     /// It is gone.
-    Gone(ServerRecord),
+    Removed(ServerRecord),
 }
 
 #[derive(Debug)]
@@ -75,16 +75,16 @@
     DoubtfulUntil(Instant),
 }
 
-impl Directory {
+impl ServerRegistry {
     /// Notes that the store does not answer.
     pub fn store_lost(&mut self) {
         self.store = StoreStanding::Away;
     }
 
     /// Notes that the store answers again; changes nothing while it was not lost.
-    pub fn store_returned(&mut self, now: Instant) {
+    pub fn store_recovered(&mut self, now: Instant) {
         if self.store == StoreStanding::Away {
-            self.store = StoreStanding::DoubtfulUntil(now + RETURN_GRACE);
+            self.store = StoreStanding::DoubtfulUntil(now + STORE_RECOVERY_GRACE);
         }
     }
 
@@ -92,7 +92,7 @@
     /// lacks.
     pub fn store_restored(&mut self, era: StoreEra, now: Instant) {
         self.era = era;
-        self.store = StoreStanding::DoubtfulUntil(now + RETURN_GRACE);
+        self.store = StoreStanding::DoubtfulUntil(now + STORE_RECOVERY_GRACE);
         for entry in self.entries.values_mut() {
             entry.is_written = false;
         }
@@ -100,7 +100,7 @@
 
     /// Notes that another box read the store, and for how long what it found may be
     /// doubted.
-    pub fn read_by_another(&mut self, doubtful: Duration, now: Instant) {
+    pub fn store_read_by_peer(&mut self, doubtful: Duration, now: Instant) {
         let until = now + doubtful;
         match self.store {
             StoreStanding::DoubtfulUntil(held) if held >= until => {}
@@ -114,10 +114,10 @@
     }
 
     /// For how long a vanished entry may still mean nothing.
-    pub fn doubtful_for(&self, now: Instant) -> Duration {
+    pub fn removal_grace_left(&self, now: Instant) -> Duration {
         match self.store {
             StoreStanding::Sound => Duration::ZERO,
-            StoreStanding::Away => RETURN_GRACE,
+            StoreStanding::Away => STORE_RECOVERY_GRACE,
             StoreStanding::DoubtfulUntil(until) => until.saturating_duration_since(now),
         }
     }
@@ -125,7 +125,7 @@
     /// Takes in an entry as it stands in the store; that less is left of a cold start is no
     /// change, since it was known from the first entry. An entry of an earlier run than the
     /// one that is known is old news.
-    pub fn put(&mut self, record: ServerRecord) -> Option<DirectoryChange> {
+    pub fn put(&mut self, record: ServerRecord) -> Option<RegistryChange> {
         self.put_entry(record, true)
     }
 
@@ -133,7 +133,7 @@
         &mut self,
         record: ServerRecord,
         is_written: bool,
-    ) -> Option<DirectoryChange> {
+    ) -> Option<RegistryChange> {
         let known_born_ms = self.entries.get(&record.id).map(|e| e.record.born_ms);
         if known_born_ms.is_some_and(|known| record.born_ms < known) {
             return None;
@@ -148,31 +148,34 @@
         self.gone.forget(&record.id);
         match self.entries.insert(record.id.clone(), entry) {
             Some(entry) if entry.record.born_ms < record.born_ms => {
-                Some(DirectoryChange::Restarted {
+                Some(RegistryChange::Restarted {
                     before: entry.record,
                     record,
                 })
             }
-            Some(entry) if entry.record.stands_as(&record) => {
+            Some(entry) if entry.record.eq_ignoring_cold(&record) => {
                 let is_new = changes_cold_start(&entry.record, &record, is_written);
-                is_new.then_some(DirectoryChange::Put(record))
+                is_new.then_some(RegistryChange::Updated(record))
             }
-            _ => Some(DirectoryChange::Put(record)),
+            _ => Some(RegistryChange::Updated(record)),
         }
     }
 
     /// Whether a record would change nothing but what is left of a cold start.
-    pub fn stands(&self, record: &ServerRecord) -> bool {
+    pub fn is_current(&self, record: &ServerRecord) -> bool {
         let entry = self.entries.get(&record.id);
         entry.is_some_and(|entry| {
             let is_old = record.born_ms < entry.record.born_ms;
             let is_cold_news = changes_cold_start(&entry.record, record, true);
-            is_old || (!entry.missing && entry.record.stands_as(record) && !is_cold_news)
+            is_old
+                || (!entry.missing
+                    && entry.record.eq_ignoring_cold(record)
+                    && !is_cold_news)
         })
     }
 
     /// Takes in that an entry has vanished.
-    pub fn remove(&mut self, id: &str, now: Instant) -> Option<DirectoryChange> {
+    pub fn remove(&mut self, id: &str, now: Instant) -> Option<RegistryChange> {
         self.returned.remove(id);
         let trusted = self.is_trusted(now);
         let entry = self.entries.get_mut(id)?;
@@ -189,7 +192,7 @@
         &mut self,
         listing: Vec<ServerRecord>,
         now: Instant,
-    ) -> Vec<DirectoryChange> {
+    ) -> Vec<RegistryChange> {
         self.replace_restored(listing, &[], now)
     }
 
@@ -200,7 +203,7 @@
         listing: Vec<ServerRecord>,
         gone_before: &[ServerId],
         now: Instant,
-    ) -> Vec<DirectoryChange> {
+    ) -> Vec<RegistryChange> {
         let listed: HashSet<&ServerId> = listing.iter().map(|r| &r.id).collect();
         self.returned.retain(|id, _| listed.contains(id));
         let unlisted = self.entries.keys().filter(|id| !listed.contains(id));
@@ -222,11 +225,11 @@
 
     /// Takes in which listed servers were gone before the store was restored, as another box
     /// knows.
-    pub fn hold_back_gone(
+    pub fn suppress_stale(
         &mut self,
         gone_before: &[ServerId],
         now: Instant,
-    ) -> Vec<DirectoryChange> {
+    ) -> Vec<RegistryChange> {
         let held = gone_before.iter().filter_map(|id| {
             let entry = self.entries.get(id)?;
             (!entry.is_written && !entry.missing).then(|| entry.record.clone())
@@ -242,7 +245,7 @@
         &mut self,
         record: ServerRecord,
         now: Instant,
-    ) -> Option<DirectoryChange> {
+    ) -> Option<RegistryChange> {
         let is_known = self.entries.contains_key(&record.id);
         if self.is_trusted(now) || is_known || self.gone.holds(&record) {
             return None;
@@ -253,13 +256,13 @@
             is_written: false,
         };
         self.entries.insert(record.id.clone(), entry);
-        Some(DirectoryChange::Put(record))
+        Some(RegistryChange::Updated(record))
     }
 
     /// Drops the servers that have not come back in time after an outage, and takes up those
     /// whose entries a restored store has brought back, if they are still there; `as_of` is
     /// the moment up to which the store's changes are known.
-    pub fn settle(&mut self, as_of: Instant) -> Vec<DirectoryChange> {
+    pub fn settle(&mut self, as_of: Instant) -> Vec<RegistryChange> {
         let mut changes = self.take_returned(as_of);
         if !self.is_trusted(as_of) {
             return changes;
@@ -276,12 +279,12 @@
         &mut self,
         record: ServerRecord,
         now: Instant,
-    ) -> Option<DirectoryChange> {
+    ) -> Option<RegistryChange> {
         let id = record.id.clone();
         let returned = ReturnedEntry {
             record,
             era: self.era,
-            trusted_at: now + ENTRY_LAPSE,
+            trusted_at: now + ENTRY_TTL,
         };
         let held = self.returned.get(&id);
         if held.is_none_or(|held| held.era < self.era) {
@@ -290,7 +293,7 @@
         self.drop_entry(&id)
     }
 
-    fn take_returned(&mut self, as_of: Instant) -> Vec<DirectoryChange> {
+    fn take_returned(&mut self, as_of: Instant) -> Vec<RegistryChange> {
         let returned = std::mem::take(&mut self.returned);
         let (trusted, held): (BTreeMap<_, _>, _) = returned
             .into_iter()
@@ -302,10 +305,10 @@
             .collect()
     }
 
-    fn drop_entry(&mut self, id: &str) -> Option<DirectoryChange> {
+    fn drop_entry(&mut self, id: &str) -> Option<RegistryChange> {
         let entry = self.entries.remove(id)?;
         self.gone.put(&entry.record, self.era);
-        Some(DirectoryChange::Gone(entry.record))
+        Some(RegistryChange::Removed(entry.record))
     }
 
     /// Servers whose entries have vanished in or around an outage.
@@ -317,7 +320,7 @@
     /// All entries that the store holds, those that are held back included.
     pub fn listed(&self) -> impl Iterator<Item = &ServerRecord> {
         let listed = self.entries.values().filter(|entry| !entry.missing);
-        listed.map(|entry| &entry.record).chain(self.returned())
+        listed.map(|entry| &entry.record).chain(self.suppressed())
     }
 
     /// The number of servers, missing ones included.
@@ -332,7 +335,7 @@
 
     /// Listed entries that are held back, since their servers were gone before the store was
     /// restored.
-    pub fn returned(&self) -> impl Iterator<Item = &ServerRecord> {
+    pub fn suppressed(&self) -> impl Iterator<Item = &ServerRecord> {
         self.returned.values().map(|returned| &returned.record)
     }
 
@@ -398,8 +401,8 @@
 
 /// How long servers have to write anew after the store's return. They write once a heartbeat
 /// of 1.5 s.
-pub const RETURN_GRACE: Duration = Duration::from_secs(2);
+pub const STORE_RECOVERY_GRACE: Duration = Duration::from_secs(2);
 /// The store drops an entry that is not written for three heartbeats.
-pub const ENTRY_LAPSE: Duration = Duration::from_secs(5);
+pub const ENTRY_TTL: Duration = Duration::from_secs(5);
 /// A store comes back from a copy that is seconds old; in that time fewer servers end.
 const MOST_GONE: usize = 4096;
--- a/crates/wingspur-state/src/service_table.rs
+++ b/crates/wingspur-state/src/service_table.rs
@@ -6,15 +6,16 @@
 
 use rand::Rng;
 
+use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
 use crate::evidence::{
-    Evidence, EvidenceEntry, EvidenceReport, LEAST_BUSY_SHARE, Score, threshold,
-    well_evidence,
+    Evidence, EvidenceEntry, EvidenceReport, LEAST_BUSY_SHARE, Score, ejection_threshold,
+    healthy_evidence,
 };
 use crate::history::{LatencyHistory, Present, ServiceHistory};
-use crate::judge::{Verdict, VerdictStanding};
-use crate::unease::{UNEASY_SHARE, Unease, groups_of};
+use crate::outlier_detector::{OutlierStatus, Verdict};
 use crate::{
-    AttemptId, Candidate, RetryBudget, RouteClass, ServerIndex, Service, Standing, pick,
+    AttemptId, Candidate, EjectionState, RetryBudget, RouteClass, ServerIndex, Service,
+    pick,
 };
 
 /// What a box knows of a service and its backend servers.
@@ -46,7 +47,7 @@
     load_hint: f64,
     listed_leaving: bool,
     draining: bool,
-    verdict: VerdictStanding,
+    verdict: OutlierStatus,
     history: LatencyHistory,
     /// This box's own sums: reported, and used alone when no verdict is to be had.
     score: Score,
@@ -94,7 +95,7 @@
             load_hint: 0.0,
             listed_leaving: false,
             draining: false,
-            verdict: VerdictStanding::In,
+            verdict: OutlierStatus::Active,
             history: LatencyHistory::default(),
             score: Score::default(),
             present: Present::default(),
@@ -114,7 +115,11 @@
             groups,
             budget: RetryBudget::new(service.retry.budget_percent),
             // The allowance is the fleet's: each box has its share of it.
-            threshold: threshold(knob / f64::from(boxes.max(1)), 1, LEAST_BUSY_SHARE),
+            threshold: ejection_threshold(
+                knob / f64::from(boxes.max(1)),
+                1,
+                LEAST_BUSY_SHARE,
+            ),
             reported: None,
             ticked: None,
             verdict_expires: None,
@@ -124,7 +129,7 @@
     }
 
     /// Takes over what a table of an older bundle learned of the same servers.
-    pub fn inherit(&mut self, older: &Self) {
+    pub fn inherit_state(&mut self, older: &Self) {
         for (index, server) in self.service.servers.iter().enumerate() {
             let same = |old: &crate::BackendServer| old.address == server.address;
             let Some(old) = older.service.servers.iter().position(same) else {
@@ -166,13 +171,13 @@
         random: &mut impl Rng,
     ) -> Option<ServerIndex> {
         let all: Vec<Candidate> = (0..self.servers.len())
-            .map(|server| self.candidate(server, class.may_repeat(), now))
+            .map(|server| self.candidate(server, class.is_retry_safe(), now))
             .collect();
         let fresh = all
             .iter()
             .filter(|candidate| !tried.contains(&candidate.server));
         let fresh: Vec<Candidate> = fresh.copied().collect();
-        let safe = class.may_repeat();
+        let safe = class.is_retry_safe();
         pick(&fresh, safe, random).or_else(|| pick(&all, safe, random))
     }
 
@@ -194,7 +199,12 @@
     }
 
     /// Weighs the arrival of an answer's head; its body is judged by its progress.
-    pub fn head(&mut self, id: AttemptId, outcome: AttemptOutcome, now: Instant) {
+    pub fn record_response_head(
+        &mut self,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        now: Instant,
+    ) {
         let Some(mut attempt) = self.attempts.remove(&id) else {
             return;
         };
@@ -207,7 +217,7 @@
     }
 
     /// Notes that bytes of an answer came.
-    pub fn progress(&mut self, id: AttemptId, now: Instant) {
+    pub fn record_response_progress(&mut self, id: AttemptId, now: Instant) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.since = now;
             attempt.counted = Evidence::default();
@@ -293,7 +303,7 @@
         if verdict.service_tag != self.tag {
             return;
         }
-        let mut standings = vec![VerdictStanding::In; self.servers.len()];
+        let mut standings = vec![OutlierStatus::Active; self.servers.len()];
         for (server, standing) in &verdict.standings {
             if let Some(slot) = standings.get_mut(usize::from(*server)) {
                 *slot = *standing;
@@ -302,10 +312,10 @@
         for (entry, standing) in self.servers.iter_mut().zip(standings) {
             let was_held = matches!(
                 entry.verdict,
-                VerdictStanding::Out | VerdictStanding::Avoided
+                OutlierStatus::Excluded | OutlierStatus::Suspected
             );
             let returns =
-                !matches!(standing, VerdictStanding::Out | VerdictStanding::Avoided);
+                !matches!(standing, OutlierStatus::Excluded | OutlierStatus::Suspected);
             if was_held && returns {
                 // What it did before the hold must not speak against it after.
                 entry.score = Score::default();
@@ -316,29 +326,29 @@
     }
 
     /// How a server stands with this box now.
-    pub fn standing(&self, server: ServerIndex, now: Instant) -> Standing {
+    pub fn ejection_state(&self, server: ServerIndex, now: Instant) -> EjectionState {
         let entry = &self.servers[server];
         if entry.is_leaving() {
-            return Standing::Out;
+            return EjectionState::Excluded;
         }
         let fresh = self.has_verdict(now);
         let own = if entry.avoided {
-            Standing::Avoided
+            EjectionState::Suspected
         } else {
-            Standing::In
+            EjectionState::Active
         };
         if !fresh {
             // Without a judge nobody may take capacity away: suspects are used last.
             return match entry.verdict {
-                VerdictStanding::In | VerdictStanding::Watched => own,
-                _ => Standing::Avoided,
+                OutlierStatus::Active | OutlierStatus::Watched => own,
+                _ => EjectionState::Suspected,
             };
         }
         match entry.verdict {
-            VerdictStanding::In | VerdictStanding::Watched => own,
-            VerdictStanding::Trial(share) => Standing::Trial(f64::from(share)),
-            VerdictStanding::Avoided => Standing::Avoided,
-            VerdictStanding::Out => Standing::Out,
+            OutlierStatus::Active | OutlierStatus::Watched => own,
+            OutlierStatus::Probation(share) => EjectionState::Probation(f64::from(share)),
+            OutlierStatus::Suspected => EjectionState::Suspected,
+            OutlierStatus::Excluded => EjectionState::Excluded,
         }
     }
 
@@ -353,7 +363,7 @@
 
     fn candidate(&self, server: ServerIndex, safe: bool, now: Instant) -> Candidate {
         let entry = &self.servers[server];
-        let watched = safe && entry.verdict == VerdictStanding::Watched;
+        let watched = safe && entry.verdict == OutlierStatus::Watched;
         let full = entry.outstanding >= entry.connection_share;
         Candidate {
             server,
@@ -361,10 +371,10 @@
             outstanding: entry.outstanding,
             load_hint: entry.load_hint,
             same_data_centre: entry.same_data_centre || watched,
-            standing: if full {
-                Standing::Out
+            ejection_state: if full {
+                EjectionState::Excluded
             } else {
-                self.standing(server, now)
+                self.ejection_state(server, now)
             },
         }
     }
@@ -419,7 +429,7 @@
             AttemptOutcome::Abandoned => return,
             AttemptOutcome::Failed => reference.error(),
             AttemptOutcome::Answered if settled => reference.answer(latency_ms),
-            AttemptOutcome::Answered => well_evidence(),
+            AttemptOutcome::Answered => healthy_evidence(),
         };
         // What its age has told already is not told twice.
         let step: Evidence =
@@ -475,7 +485,7 @@
     }
 
     fn is_trusted(&self) -> bool {
-        self.score.sum() < TRUSTED_SCORE && self.verdict == VerdictStanding::In
+        self.score.sum() < TRUSTED_SCORE && self.verdict == OutlierStatus::Active
     }
 }
 
@@ -488,7 +498,7 @@
 }
 
 /// How often `ServiceTable::tick` wants to be called.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const EVIDENCE_TICK: Duration = Duration::from_millis(50);
 /// A verdict is in force for so long unless it is renewed.
 pub const VERDICT_TTL: Duration = Duration::from_secs(3);
 /// A table without work is left alone after this: the present is forgotten by then.
--- a/crates/wingspur-state/src/service_time.rs
+++ b/crates/wingspur-state/src/service_time.rs
@@ -29,7 +29,7 @@
     }
 
     /// Takes in a good answer that took `ratio` times what was expected.
-    pub fn learn(&mut self, ratio: f64) {
+    pub fn record(&mut self, ratio: f64) {
         let ln = ratio.clamp(1.0 / MOST_RATIO, MOST_RATIO).ln();
         let distance = (ln - self.centre).abs().min(MOST_DISTANCE * self.deviation);
         self.answers = self.answers.saturating_add(1);
@@ -50,7 +50,7 @@
     }
 
     /// The ratio that is passed by a share of good answers.
-    pub fn ratio_passed_by(&self, share: f64) -> f64 {
+    pub fn ratio_at_survival(&self, share: f64) -> f64 {
         let over = (1.0 / share - 1.0).ln();
         (self.centre + over * self.scale()).exp()
     }
@@ -70,7 +70,7 @@
     pub fn ratio_at_quarters(&self, quarters: u32) -> Option<f64> {
         let index = usize::try_from(quarters).ok()?.checked_sub(1)?;
         let share = SILENCE_SURVIVALS.get(index)?;
-        Some(self.ratio_passed_by(*share))
+        Some(self.ratio_at_survival(*share))
     }
 
     /// The scale of the logistic distribution, whose mean distance is 2 ln 2 of it.
--- a/crates/wingspur-state/src/part_clock.rs
+++ b/crates/wingspur-state/src/share_history.rs
@@ -3,14 +3,14 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use crate::{AllowanceTerms, LOAN_LASTS};
+use crate::{PREFETCH_LEASE_TTL, QuotaTerms};
 
 /// For how long a box has had which part of all allowances.
 ///
 /// Pools are looked at when they are asked only; each then refills by what this box's
 /// part was in the meantime, moment by moment, and not by what it happens to be.
 #[derive(Debug, Clone)]
-pub struct PartClock {
+pub struct ShareHistory {
     part: f64,
     seen: Instant,
     /// The sum of part times time, in seconds of the whole.
@@ -35,22 +35,22 @@
 
 /// A moment on the part's clock.
 #[derive(Debug, Clone, Copy)]
-pub struct Mark {
+pub struct ShareTimestamp {
     at: Instant,
     whole_s: f64,
 }
 
 impl Span {
     /// The least share of the depth in it.
-    fn share(&self, terms: &AllowanceTerms) -> f64 {
-        match terms.stocked {
+    fn share(&self, terms: &QuotaTerms) -> f64 {
+        match terms.allows_prefetch {
             true => self.depth_share,
             false => self.part,
         }
     }
 }
 
-impl PartClock {
+impl ShareHistory {
     /// A box that has no part yet.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 
     /// Notes this box's part from now on. Between two notes it had the smaller of both.
-    pub fn note(&mut self, part: f64, now: Instant) {
+    pub fn record_share(&mut self, part: f64, now: Instant) {
         let low = self.part.min(part);
         let (seen, whole_s) = (self.seen, self.whole_s);
         let passed_s = now.saturating_duration_since(seen).as_secs_f64();
@@ -99,7 +99,7 @@
         let mut least = f64::INFINITY;
         for span in self.spans.iter().rev() {
             least = least.min(span.part);
-            if moment.saturating_duration_since(span.began) >= LOAN_LASTS {
+            if moment.saturating_duration_since(span.began) >= PREFETCH_LEASE_TTL {
                 return least;
             }
         }
@@ -107,7 +107,7 @@
     }
 
     /// The part that this box has.
-    pub fn part(&self) -> f64 {
+    pub fn share(&self) -> f64 {
         self.part
     }
 
@@ -116,16 +116,16 @@
     /// Of a part that the box has had for less than a stock lasts, the share for stocks is
     /// left out: the box that had it before may have lent as much, and that may not be spent
     /// yet.
-    pub fn depth_share(&self, terms: &AllowanceTerms) -> f64 {
-        match terms.stocked {
+    pub fn burst_share(&self, terms: &QuotaTerms) -> f64 {
+        match terms.allows_prefetch {
             true => self.share_of(self.part),
             false => self.part,
         }
     }
 
     /// The share of the depth that may be lent for stocks.
-    pub fn stock_share(&self, terms: &AllowanceTerms) -> f64 {
-        match terms.stocked {
+    pub fn prefetch_share(&self, terms: &QuotaTerms) -> f64 {
+        match terms.allows_prefetch {
             true => STOCK_SHARE * self.lasting,
             false => 0.0,
         }
@@ -136,19 +136,19 @@
     }
 
     /// Whether the part has grown so lately that an empty pool says nothing of the account.
-    pub fn is_young(&self, terms: &AllowanceTerms) -> bool {
-        terms.stocked && self.lasting < self.part * SETTLED_SHARE
+    pub fn has_grown_recently(&self, terms: &QuotaTerms) -> bool {
+        terms.allows_prefetch && self.lasting < self.part * SETTLED_SHARE
     }
 
     /// Whether the part has shrunk so lately that an empty pool says nothing of the account:
     /// what is missing is minted by nobody, or by another box, and may have just come back.
-    pub fn has_shrunk(&self, terms: &AllowanceTerms) -> bool {
+    pub fn has_shrunk_recently(&self, terms: &QuotaTerms) -> bool {
         let least = self.lately().fold(self.part, f64::min);
-        terms.stocked && least < self.most_lately() * SETTLED_SHARE
+        terms.allows_prefetch && least < self.max_recent_share() * SETTLED_SHARE
     }
 
     /// The greatest part that the box has had lately.
-    pub fn most_lately(&self) -> f64 {
+    pub fn max_recent_share(&self) -> f64 {
         self.lately().fold(self.part, f64::max)
     }
 
@@ -163,8 +163,8 @@
     }
 
     /// This moment.
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn timestamp(&self) -> ShareTimestamp {
+        ShareTimestamp {
             at: self.seen,
             whole_s: self.whole_s,
         }
@@ -176,12 +176,16 @@
     /// A box whose part shrank and grew again has left its tokens to those that had the part
     /// meanwhile. Of what lies before the spans that are remembered nothing is taken to be
     /// left: then and without a mark, a pool holds what it has earned over them.
-    pub fn held_since(&self, held: Option<(f64, Mark)>, terms: &AllowanceTerms) -> f64 {
+    pub fn refilled_level(
+        &self,
+        held: Option<(f64, ShareTimestamp)>,
+        terms: &QuotaTerms,
+    ) -> f64 {
         let earned_from = |whole_s: f64| (self.whole_s - whole_s) * terms.per_s;
-        let mut most = self.depth_share(terms) * terms.depth;
+        let mut most = self.burst_share(terms) * terms.burst;
         let mut end = self.whole_s;
         for span in self.spans.iter().rev() {
-            most = most.min(span.share(terms) * terms.depth + earned_from(end));
+            most = most.min(span.share(terms) * terms.burst + earned_from(end));
             if let Some((level, mark)) = held.filter(|(_, mark)| mark.at >= span.began) {
                 return most.min(level + earned_from(mark.whole_s));
             }
--- a/crates/wingspur-state/src/suspects.rs
+++ b/crates/wingspur-state/src/suspects.rs
@@ -52,7 +52,7 @@
 
 /// The same as boxes tell it each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNote {
+pub struct SuspectMessage {
     /// The request.
     pub request: RequestFingerprint,
     /// What was seen.
@@ -63,7 +63,7 @@
 
 /// What the store holds of a request that is in quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnownQuarantine {
+pub struct StoredQuarantine {
     /// Where in the store's history this was written.
     pub position: StorePosition,
     /// How often it was let through since it is in quarantine.
@@ -78,7 +78,7 @@
 struct Suspect {
     endings: Vec<Ending>,
     answered: Option<Instant>,
-    quarantine: Option<KnownQuarantine>,
+    quarantine: Option<StoredQuarantine>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -96,7 +96,7 @@
 
 impl SuspectRequests {
     /// Notes that an attempt broke off at a server that may have ended.
-    pub fn note_broken(
+    pub fn record_broken_attempt(
         &mut self,
         request: RequestFingerprint,
         server: ServerKey,
@@ -113,7 +113,11 @@
     }
 
     /// Takes out what broke off a while ago at a server that is now known to have ended.
-    pub fn take_broken(&mut self, server: ServerKey, now: Instant) -> Vec<SuspectUpdate> {
+    pub fn take_broken_attempts(
+        &mut self,
+        server: ServerKey,
+        now: Instant,
+    ) -> Vec<SuspectUpdate> {
         let (ended, others): (Vec<_>, Vec<_>) = self
             .broken
             .drain(..)
@@ -130,7 +134,11 @@
 
     /// Notes that this box has answered a request whole; whether others should hear, since
     /// servers have ended under it.
-    pub fn note_answered(&mut self, request: RequestFingerprint, now: Instant) -> bool {
+    pub fn record_complete_answer(
+        &mut self,
+        request: RequestFingerprint,
+        now: Instant,
+    ) -> bool {
         self.answered.note(request, now);
         self.is_suspect(request)
     }
@@ -154,8 +162,8 @@
     }
 
     /// Takes in what this box or another has seen; whether that is news here.
-    pub fn take_in(&mut self, updates: &SuspectUpdate, now: Instant) -> bool {
-        if age(updates.at, now) >= REMEMBERED {
+    pub fn apply_update(&mut self, updates: &SuspectUpdate, now: Instant) -> bool {
+        if age(updates.at, now) >= SUSPECT_RETENTION {
             return false;
         }
         match updates.seen {
@@ -189,7 +197,7 @@
     pub fn is_quarantined(&self, request: RequestFingerprint, now: Instant) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| {
-            suspect.endings_lately(now) >= QUARANTINED_FROM
+            suspect.endings_lately(now) >= QUARANTINE_THRESHOLD
                 || suspect.standing().is_some()
         })
     }
@@ -201,13 +209,16 @@
     }
 
     /// What the store holds of a request, as far as it has not been answered since.
-    pub fn quarantine(&self, request: RequestFingerprint) -> Option<KnownQuarantine> {
+    pub fn quarantine(&self, request: RequestFingerprint) -> Option<StoredQuarantine> {
         self.suspects.get(&request)?.standing().copied()
     }
 
     /// Requests that may rather have ended the servers that this one was out at: one of them is
     /// the same, and there are more of them, or as many and chance decides.
-    pub fn likelier(&self, request: RequestFingerprint) -> Vec<RequestFingerprint> {
+    pub fn likelier_culprits(
+        &self,
+        request: RequestFingerprint,
+    ) -> Vec<RequestFingerprint> {
         let Some(suspect) = self.suspects.get(&request) else {
             return Vec::new();
         };
@@ -221,7 +232,7 @@
 
     /// Until when a request that was let through may still be out at a server, at the
     /// latest: it has neither been answered since, nor has a server ended under it.
-    pub fn is_out_until(
+    pub fn permit_in_flight_until(
         &self,
         request: RequestFingerprint,
         lasts: Duration,
@@ -234,10 +245,10 @@
 
     /// Takes in what the store holds of a request; what is older than the known
     /// changes nothing.
-    pub fn put_quarantine(
+    pub fn apply_quarantine(
         &mut self,
         request: RequestFingerprint,
-        known: KnownQuarantine,
+        known: StoredQuarantine,
     ) {
         let suspect = self.suspects.entry(request).or_default();
         suspect.quarantine = Some(match suspect.quarantine {
@@ -251,11 +262,11 @@
     /// lost, to be written again.
     ///
     /// Tries that were counted stay counted, and a quarantine that it lacks goes on.
-    pub fn take_restored(
+    pub fn reconcile_restored(
         &mut self,
         era: StoreEra,
-        listed: &[(RequestFingerprint, KnownQuarantine)],
-    ) -> Vec<(RequestFingerprint, KnownQuarantine)> {
+        listed: &[(RequestFingerprint, StoredQuarantine)],
+    ) -> Vec<(RequestFingerprint, StoredQuarantine)> {
         for (request, known) in listed {
             let suspect = self.suspects.entry(*request).or_default();
             // One that was cleared since the copy was made is only known as answered.
@@ -263,7 +274,7 @@
                 (None, Some(answered)) => answered,
                 _ => known.heard,
             };
-            self.put_quarantine(*request, KnownQuarantine { heard, ..*known });
+            self.apply_quarantine(*request, StoredQuarantine { heard, ..*known });
         }
         let nothing = StorePosition::start_of(era);
         for suspect in self.suspects.values_mut() {
@@ -293,13 +304,13 @@
     /// All that the store holds, as far as this box knows.
     pub fn quarantines(
         &self,
-    ) -> impl Iterator<Item = (RequestFingerprint, KnownQuarantine)> {
+    ) -> impl Iterator<Item = (RequestFingerprint, StoredQuarantine)> {
         let suspects = self.suspects.iter();
         suspects.filter_map(|(request, suspect)| Some((*request, suspect.quarantine?)))
     }
 
     /// What the store still holds of requests that were answered whole since.
-    pub fn outlived_quarantines(&self) -> Vec<(RequestFingerprint, KnownQuarantine)> {
+    pub fn cleared_quarantines(&self) -> Vec<(RequestFingerprint, StoredQuarantine)> {
         let held = self.quarantines();
         let outlived = held.filter(|(request, _)| self.quarantine(*request).is_none());
         outlived.collect()
@@ -307,7 +318,7 @@
 
     /// What a box that has just linked with this one should hear: what ended servers last,
     /// most endings first, and no more than a frame should hold.
-    pub fn greeting(&self, now: Instant) -> Vec<SuspectUpdate> {
+    pub fn initial_updates(&self, now: Instant) -> Vec<SuspectUpdate> {
         let mut suspects: Vec<_> = self.suspects.iter().collect();
         suspects.sort_by_key(|(_, suspect)| {
             let newest = suspect.endings.iter().map(|ending| ending.at).max();
@@ -325,12 +336,12 @@
     }
 
     /// Forgets what is too old to count.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn evict_expired(&mut self, now: Instant) {
         self.answered.tidy(now);
         self.suspects.retain(|_, suspect| {
             suspect
                 .endings
-                .retain(|ending| age(ending.at, now) < REMEMBERED);
+                .retain(|ending| age(ending.at, now) < SUSPECT_RETENTION);
             let is_fresh = |at: Instant| age(at, now) < ANSWER_REMEMBERED;
             !suspect.endings.is_empty()
                 || suspect.quarantine.is_some()
@@ -365,7 +376,7 @@
     }
 }
 
-impl KnownQuarantine {
+impl StoredQuarantine {
     /// What is known after a newer record. A restored store may have lost tries that were
     /// counted.
     fn followed_by(self, newer: Self) -> Self {
@@ -433,12 +444,12 @@
     }
 
     fn endings_lately(&self, now: Instant) -> usize {
-        let lately = |ending: &&Ending| age(ending.at, now) < REMEMBERED;
+        let lately = |ending: &&Ending| age(ending.at, now) < SUSPECT_RETENTION;
         self.counted().filter(lately).count()
     }
 
     /// What the store holds, unless a whole answer came after this box had learned of it.
-    fn standing(&self) -> Option<&KnownQuarantine> {
+    fn standing(&self) -> Option<&StoredQuarantine> {
         let known = self.quarantine.as_ref()?;
         let clears = |answered| answered + RECORD_LATE >= known.heard;
         let is_cleared = self.answered.is_some_and(clears);
@@ -476,9 +487,9 @@
 
 impl SuspectUpdate {
     /// As it is told to another box now.
-    pub fn told(&self, now: Instant) -> SuspectNote {
+    pub fn to_message(&self, now: Instant) -> SuspectMessage {
         let age_ms = age(self.at, now).as_millis().min(u128::from(u32::MAX));
-        SuspectNote {
+        SuspectMessage {
             request: self.request,
             seen: self.seen,
             age_ms: age_ms as u32,
@@ -486,10 +497,10 @@
     }
 }
 
-impl SuspectNote {
+impl SuspectMessage {
     /// As it is heard now. What it took on its way is taken for none: the box that tells and
     /// this one need not agree on a clock.
-    pub fn heard(&self, now: Instant) -> SuspectUpdate {
+    pub fn to_update(&self, now: Instant) -> SuspectUpdate {
         let age = Duration::from_millis(self.age_ms.into());
         SuspectUpdate {
             request: self.request,
@@ -506,10 +517,10 @@
 /// From so many servers that ended under it on, a request needs a permit. One is what each
 /// request meets that runs beside another; a third is allowed before permits are counted, and
 /// with the second known everywhere it is the first of them.
-pub const QUARANTINED_FROM: usize = 2;
+pub const QUARANTINE_THRESHOLD: usize = 2;
 /// For how long an ending counts, and a request stays in quarantine: a caller that comes
 /// again after a longer pause begins anew.
-pub const REMEMBERED: Duration = Duration::from_secs(600);
+pub const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 /// An ending so shortly after a whole answer tells nothing: a page that many ask for is
 /// answered several times a second. Longer, a request that ends servers since they were
 /// replaced by others would be found later.
--- a/crates/wingspur-state/src/tracked.rs
+++ b/crates/wingspur-state/src/tracked_server.rs
@@ -6,7 +6,7 @@
 
 use crate::health::Health;
 use crate::{
-    ServerKey, ServerRecord, ServerStanding, ServerTally, ServiceTime, SourceId,
+    AnnouncedState, ServerKey, ServerRecord, ServerTally, ServiceTime, SourceId,
 };
 
 /// A backend server with all that a box knows of it.
@@ -41,7 +41,7 @@
     /// When another box last told of it.
     pub heard: Option<Instant>,
     /// What it has said of itself, and what binds by that.
-    pub standing: ServerStanding,
+    pub standing: AnnouncedState,
     /// Whether it was a suspect when this was last reviewed.
     pub suspect: bool,
 }
@@ -65,7 +65,7 @@
     /// Since when.
     pub since: Instant,
     /// When its answer should be there.
-    pub expected: Expected,
+    pub expected: ExpectedLatency,
     /// How many quarters of a failure its silence was counted as.
     pub silence_quarters: u32,
     /// Whether the beginning of its answer is here.
@@ -74,18 +74,18 @@
 
 /// When the answer of an attempt should be there.
 #[derive(Debug, Clone, Copy)]
-pub struct Expected {
+pub struct ExpectedLatency {
     /// At a server that takes the usual time, in milliseconds.
-    pub usual_ms: f64,
+    pub baseline_ms: f64,
     /// At this server while it is well, in milliseconds.
-    pub well_ms: f64,
+    pub healthy_ms: f64,
     /// How good answers spread around that.
     pub service_time: ServiceTime,
 }
 
 /// How an attempt ended, as far as it tells of the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum HealthOutcome {
     /// A good answer.
     Good,
     /// An error, or a broken, spoiled or missing answer.
@@ -98,7 +98,7 @@
     Abandoned,
 }
 
-impl Ended {
+impl HealthOutcome {
     /// The end as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -177,37 +177,37 @@
             return 0;
         }
         let out_ms = now.saturating_duration_since(self.since).as_secs_f64() * 1000.0;
-        let ratio = out_ms / self.expected.well_ms.max(LEAST_USUAL_MS);
+        let ratio = out_ms / self.expected.healthy_ms.max(LEAST_USUAL_MS);
         let service_time = &self.expected.service_time;
         let known = UNKNOWN_ROUTE_QUARTERS.saturating_add(service_time.answers());
         service_time.silence_quarters(ratio).min(known)
     }
 
     /// What its end tells of the server.
-    pub fn outcome(&self, ended: Ended, now: Instant) -> ServerTally {
+    pub fn outcome(&self, ended: HealthOutcome, now: Instant) -> ServerTally {
         let mut seen = ServerTally::default();
         match ended {
-            Ended::Good => {
+            HealthOutcome::Good => {
                 seen.good = 1;
                 let took = now.saturating_duration_since(self.since).as_secs_f64();
-                let ratio = took * 1000.0 / self.expected.usual_ms.max(LEAST_USUAL_MS);
+                let ratio = took * 1000.0 / self.expected.baseline_ms.max(LEAST_USUAL_MS);
                 seen.slowness_percent = (ratio * 100.0).min(MOST_PERCENT) as u32;
             }
-            Ended::Failed => seen.failed = 1,
-            Ended::Refused | Ended::Unreached => seen.refused = 1,
-            Ended::Abandoned if self.silence_at(now) >= ABANDONED_FAILED => {
+            HealthOutcome::Failed => seen.failed = 1,
+            HealthOutcome::Refused | HealthOutcome::Unreached => seen.refused = 1,
+            HealthOutcome::Abandoned if self.silence_at(now) >= ABANDONED_FAILED => {
                 seen.failed = 1;
             }
-            Ended::Abandoned => {}
+            HealthOutcome::Abandoned => {}
         }
         seen
     }
 }
 
 /// What an outcome says about this box's way to the server.
-pub fn path_outcome(ended: Ended, seen: &ServerTally) -> ServerTally {
+pub fn path_outcome(ended: HealthOutcome, seen: &ServerTally) -> ServerTally {
     match ended {
-        Ended::Unreached => ServerTally {
+        HealthOutcome::Unreached => ServerTally {
             failed: 1,
             ..ServerTally::default()
         },
--- a/crates/wingspur-transport/src/backend.rs
+++ b/crates/wingspur-transport/src/backend.rs
@@ -20,7 +20,7 @@
 use hyper::{Method, StatusCode};
 use smol::net::TcpStream;
 use socket2::SockRef;
-use wingspur_state::RESEND_ON_WAY;
+use wingspur_state::MAX_RESEND_TRANSIT;
 
 use crate::SendBody;
 use crate::answer_head::{
@@ -551,7 +551,7 @@
 /// then the kernel gives them up. The retry budget counts on it that nothing arrives later
 /// than `RESEND_ON_WAY`; the last packet may take a moment more.
 fn unacknowledged_for() -> Duration {
-    RESEND_ON_WAY.saturating_sub(LAST_PACKET)
+    MAX_RESEND_TRANSIT.saturating_sub(LAST_PACKET)
 }
 
 /// No packet is longer on its way.
--- a/tests/tests/balancing.rs
+++ b/tests/tests/balancing.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use wingspur_state::{
-    Balancer, Ended, Expected, Regions, ServerKey, ServerRecord, ServerTally,
-    ServicePresent, ServiceTime, Want,
+    Balancer, ExpectedLatency, HealthOutcome, PickRequest, Regions, ServerKey,
+    ServerRecord, ServerTally, ServiceLoad, ServiceTime,
 };
 
 const TYPICAL: Duration = Duration::from_millis(200);
@@ -28,7 +28,7 @@
 fn balancer(servers: usize, now: Instant) -> Balancer {
     let mut balancer = Balancer::new("dc-1".into());
     for n in 0..servers {
-        balancer.put(record(&format!("i-{n}"), "dc-1"), now);
+        balancer.upsert(record(&format!("i-{n}"), "dc-1"), now);
     }
     balancer
 }
@@ -37,29 +37,29 @@
     record(&format!("i-{n}"), "dc-1").key()
 }
 
-fn want(repeatable: bool, lost_share: f64) -> Want<'static> {
-    Want {
-        repeatable,
-        typical: TYPICAL,
-        crossing: Duration::from_millis(30),
+fn want(repeatable: bool, lost_share: f64) -> PickRequest<'static> {
+    PickRequest {
+        retry_safe: repeatable,
+        typical_latency: TYPICAL,
+        cross_data_centre_cost: Duration::from_millis(30),
         tried: &[],
-        present: ServicePresent {
+        service_load: ServiceLoad {
             requests_per_s: 50.0,
-            lost_share,
-            unseen: 0.0,
+            failure_ratio: lost_share,
+            unreported_requests: 0.0,
         },
     }
 }
 
 /// When an answer should be there, on a route that has answered often.
-fn expected(ms: f64) -> Expected {
+fn expected(ms: f64) -> ExpectedLatency {
     let mut service_time = ServiceTime::new();
     for ratio in [0.7, 0.9, 1.0, 1.1, 1.3].repeat(10) {
-        service_time.learn(ratio);
+        service_time.record(ratio);
     }
-    Expected {
-        usual_ms: ms,
-        well_ms: ms,
+    ExpectedLatency {
+        baseline_ms: ms,
+        healthy_ms: ms,
         service_time,
     }
 }
@@ -68,7 +68,7 @@
 fn one(
     balancer: &mut Balancer,
     server: usize,
-    ended: Ended,
+    ended: HealthOutcome,
     took: Duration,
     at: Instant,
 ) {
@@ -80,7 +80,7 @@
 /// How often each server is picked.
 fn picks(
     balancer: &Balancer,
-    want: &Want<'_>,
+    want: &PickRequest<'_>,
     now: Instant,
     servers: usize,
 ) -> Vec<usize> {
@@ -100,7 +100,7 @@
     let mut balancer = balancer(4, now);
     for n in 0..3 {
         let at = now + Duration::from_millis(10 * n);
-        one(&mut balancer, 0, Ended::Failed, Duration::ZERO, at);
+        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, at);
     }
     let later = now + Duration::from_millis(100);
     assert_eq!(picks(&balancer, &want(false, 0.0), later, 4)[0], 0);
@@ -126,7 +126,7 @@
         let mut balancer = balancer(2, now);
         let took = Duration::from_millis(took_ms);
         for _ in 0..2 {
-            one(&mut balancer, 0, Ended::Abandoned, took, now);
+            one(&mut balancer, 0, HealthOutcome::Abandoned, took, now);
         }
         let suspects = balancer.suspects(later);
         assert_eq!(suspects == ["i-0"], suspect, "{took_ms} ms: {suspects:?}");
@@ -140,11 +140,11 @@
     let later = now + Duration::from_millis(silent_ms);
     for _ in 0..2 {
         let id = balancer.begin(key(0), expected(expected_ms), now);
-        balancer.note_silence(id, later);
+        balancer.update_silence_evidence(id, later);
     }
     let mut random = StdRng::seed_from_u64(7);
     let pick = balancer.pick(&want(false, 0.0), later, &mut random);
-    pick.unwrap().failure_share
+    pick.unwrap().failure_probability
 }
 
 #[test]
@@ -162,13 +162,13 @@
 fn silence_on_a_route_that_never_answered_makes_no_failure() {
     let now = Instant::now();
     let mut balancer = balancer(2, now);
-    let unknown = Expected {
+    let unknown = ExpectedLatency {
         service_time: ServiceTime::new(),
         ..expected(200.0)
     };
     for _ in 0..4 {
         let id = balancer.begin(key(0), unknown, now);
-        balancer.end(id, Ended::Abandoned, now + Duration::from_secs(1));
+        balancer.end(id, HealthOutcome::Abandoned, now + Duration::from_secs(1));
     }
     assert_eq!(balancer.suspects(now + Duration::from_secs(1)), [""; 0]);
 }
@@ -179,14 +179,17 @@
     let mut balancer = balancer(2, now);
     let id = balancer.begin(key(0), expected(200.0), now);
     let later = now + Duration::from_secs(1);
-    assert!(balancer.note_silence(id, later));
-    assert!(!balancer.note_silence(id, later), "nothing new");
+    assert!(balancer.update_silence_evidence(id, later));
+    assert!(!balancer.update_silence_evidence(id, later), "nothing new");
     let told = balancer.take_changes();
     assert_eq!(told[0].1.silence_quarters, 4);
-    balancer.note_answering(id);
+    balancer.record_response_started(id);
     assert_eq!(balancer.take_changes()[0].1.silence_quarters, 0);
-    assert!(!balancer.note_silence(id, later), "it is answering");
-    balancer.end(id, Ended::Good, later);
+    assert!(
+        !balancer.update_silence_evidence(id, later),
+        "it is answering"
+    );
+    balancer.end(id, HealthOutcome::Good, later);
     assert_eq!(balancer.take_changes()[0].1.silence_quarters, 0);
 }
 
@@ -199,9 +202,9 @@
         for _ in 0..3 {
             let id = balancer.begin(key(0), expected(200.0), now);
             if answering {
-                balancer.note_answering(id);
+                balancer.record_response_started(id);
             }
-            balancer.end(id, Ended::Abandoned, later);
+            balancer.end(id, HealthOutcome::Abandoned, later);
         }
         assert_eq!(balancer.suspects(later) == ["i-0"], suspect, "{answering}");
     }
@@ -211,16 +214,16 @@
 fn the_first_failures_raise_an_alarm_and_later_ones_do_not() {
     let now = Instant::now();
     let mut balancer = balancer(2, now);
-    one(&mut balancer, 1, Ended::Good, TYPICAL, now);
-    assert!(!balancer.take_alarm());
-    one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
-    assert!(balancer.take_alarm());
+    one(&mut balancer, 1, HealthOutcome::Good, TYPICAL, now);
+    assert!(!balancer.take_new_suspicion());
+    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    assert!(balancer.take_new_suspicion());
     for _ in 0..4 {
-        one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
+        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     }
-    balancer.take_alarm();
-    one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
-    assert!(!balancer.take_alarm(), "it was known to be sick");
+    balancer.take_new_suspicion();
+    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    assert!(!balancer.take_new_suspicion(), "it was known to be sick");
 }
 
 #[test]
@@ -228,15 +231,15 @@
     let now = Instant::now();
     let mut balancer = balancer(2, now);
     for _ in 0..3 {
-        one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
+        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     }
-    let turned = balancer.review(now);
+    let turned = balancer.take_suspicion_changes(now);
     assert_eq!(turned.len(), 1);
-    assert!(turned[0].suspect && turned[0].server.id == *"i-0");
-    assert_eq!(balancer.review(now), []);
-    let healed = balancer.review(now + Duration::from_secs(60));
+    assert!(turned[0].is_suspected && turned[0].server.id == *"i-0");
+    assert_eq!(balancer.take_suspicion_changes(now), []);
+    let healed = balancer.take_suspicion_changes(now + Duration::from_secs(60));
     assert_eq!(healed.len(), 1);
-    assert!(!healed[0].suspect);
+    assert!(!healed[0].is_suspected);
 }
 
 #[test]
@@ -245,12 +248,18 @@
     let mut balancer = balancer(4, now);
     for n in 0..2 {
         for _ in 0..4 {
-            one(&mut balancer, n, Ended::Failed, Duration::ZERO, now);
+            one(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
         }
     }
     let later = now + Duration::from_millis(2500);
     for n in 2..4 {
-        one(&mut balancer, n, Ended::Good, TYPICAL, later - TYPICAL);
+        one(
+            &mut balancer,
+            n,
+            HealthOutcome::Good,
+            TYPICAL,
+            later - TYPICAL,
+        );
     }
     let lost = picks(&balancer, &want(false, 0.15), later, 4);
     assert!(lost[0] + lost[1] > 0, "{lost:?}");
@@ -268,13 +277,13 @@
     let now = Instant::now();
     let mut balancer = balancer(4, now);
     // One server failed twice in a row, another once.
-    one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
-    one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
-    one(&mut balancer, 1, Ended::Failed, Duration::ZERO, now);
+    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    one(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
     let after = |ms| now + Duration::from_millis(ms);
     let keep_others_used = |balancer: &mut Balancer, at: Instant| {
         for n in 2..4 {
-            one(balancer, n, Ended::Good, TYPICAL, at - TYPICAL);
+            one(balancer, n, HealthOutcome::Good, TYPICAL, at - TYPICAL);
         }
     };
     keep_others_used(&mut balancer, after(5_500));
@@ -295,11 +304,17 @@
     // Two of ten have rested: eight are in use, which is enough for once-only requests.
     let later = now + Duration::from_secs(3);
     for n in 2..10 {
-        one(&mut balancer, n, Ended::Good, TYPICAL, later - TYPICAL);
+        one(
+            &mut balancer,
+            n,
+            HealthOutcome::Good,
+            TYPICAL,
+            later - TYPICAL,
+        );
     }
     for n in 0..2 {
         for _ in 0..4 {
-            one(&mut balancer, n, Ended::Failed, Duration::ZERO, now);
+            one(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
         }
     }
     let reads = picks(&balancer, &want(true, 0.0), later, 10);
@@ -330,12 +345,12 @@
         leaving: true,
         ..record("i-0", "dc-1")
     };
-    balancer.put(leaving, now);
+    balancer.upsert(leaving, now);
     let cold = ServerRecord {
         cold_ms: 3000,
         ..record("i-3", "dc-1")
     };
-    balancer.put(cold, now);
+    balancer.upsert(cold, now);
     let counts = picks(&balancer, &want(true, 0.0), now, 4);
     assert_eq!((counts[0], counts[3]), (0, 0), "{counts:?}");
     let warm = picks(&balancer, &want(true, 0.0), now + Duration::from_secs(4), 4);
@@ -347,17 +362,17 @@
     let now = Instant::now();
     let mut balancer = balancer(2, now);
     let want = want(false, 0.0);
-    assert_eq!(balancer.least_wait(&want, now), Some(Duration::ZERO));
+    assert_eq!(balancer.min_queue_wait(&want, now), Some(Duration::ZERO));
     for n in 0..2 {
         for _ in 0..8 {
             balancer.begin(key(n), expected(200.0), now);
         }
     }
-    let wait = balancer.least_wait(&want, now).unwrap();
+    let wait = balancer.min_queue_wait(&want, now).unwrap();
     assert!(wait > TYPICAL, "eight before four slots: {wait:?}");
     balancer.remove(key(0));
     balancer.remove(key(1));
-    assert_eq!(balancer.least_wait(&want, now), None);
+    assert_eq!(balancer.min_queue_wait(&want, now), None);
 }
 
 #[test]
@@ -366,7 +381,13 @@
     let mut balancer = balancer(20, now);
     let later = now + Duration::from_secs(3);
     for n in 10..20 {
-        one(&mut balancer, n, Ended::Good, TYPICAL, later - TYPICAL);
+        one(
+            &mut balancer,
+            n,
+            HealthOutcome::Good,
+            TYPICAL,
+            later - TYPICAL,
+        );
     }
     let counts = picks(&balancer, &want(false, 0.2), later, 20);
     let tried = counts[..10].iter().filter(|count| **count > 0).count();
@@ -379,19 +400,25 @@
     let mut balancer = Balancer::new("dc-1".into());
     for n in 0..6 {
         let data_centre = if n < 3 { "dc-1" } else { "dc-2" };
-        balancer.put(record(&format!("i-{n}"), data_centre), now);
+        balancer.upsert(record(&format!("i-{n}"), data_centre), now);
     }
     let later = now + Duration::from_secs(3);
-    one(&mut balancer, 0, Ended::Good, TYPICAL, later - TYPICAL);
-    let dear = Want {
-        crossing: Duration::from_millis(1300),
+    one(
+        &mut balancer,
+        0,
+        HealthOutcome::Good,
+        TYPICAL,
+        later - TYPICAL,
+    );
+    let dear = PickRequest {
+        cross_data_centre_cost: Duration::from_millis(1300),
         ..want(true, 0.0)
     };
     let counts = picks(&balancer, &dear, later, 6);
     assert!(counts[1] > 0 && counts[2] > 0, "{counts:?}");
     assert_eq!(counts[3..], [0, 0, 0], "{counts:?}");
-    let lost = Want {
-        present: want(true, 0.2).present,
+    let lost = PickRequest {
+        service_load: want(true, 0.2).service_load,
         ..dear
     };
     let strict = picks(&balancer, &lost, later, 6);
@@ -412,24 +439,32 @@
         balancer.set_limit(key(n), Some(2.0));
     }
     // One that has failed once, and one that fails all the time.
-    one(&mut balancer, 0, Ended::Failed, Duration::ZERO, now);
+    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     for _ in 0..3 {
-        one(&mut balancer, 1, Ended::Failed, Duration::ZERO, now);
+        one(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
     }
     let doubted = ["i-0", "i-1"];
     let soon = now + Duration::from_secs(2);
     let mut random = StdRng::seed_from_u64(4);
     for _ in 0..200 {
-        for pick in balancer.due_limited(&want(false, 0.0), soon, &mut random) {
+        for pick in balancer.sample_rate_limited(&want(false, 0.0), soon, &mut random) {
             assert!(
                 !doubted.contains(&&*pick.server.id),
                 "{} is due",
                 pick.server.id
             );
         }
-        let once_only = balancer.limited_by_doubt(&want(false, 0.0), soon, &mut random);
+        let once_only = balancer.rate_limited_by_failure_probability(
+            &want(false, 0.0),
+            soon,
+            &mut random,
+        );
         assert_eq!(once_only.len(), 4, "a refusal is worth more than a failure");
-        let all = balancer.limited_by_doubt(&want(true, 0.0), soon, &mut random);
+        let all = balancer.rate_limited_by_failure_probability(
+            &want(true, 0.0),
+            soon,
+            &mut random,
+        );
         let ids: Vec<_> = all.iter().map(|pick| &*pick.server.id).collect();
         assert_eq!(ids.len(), 5, "what is suspected is left out: {ids:?}");
         assert_eq!(ids[4], "i-0", "what is doubted comes last");
@@ -437,7 +472,7 @@
     // With time, or good answers, the doubt goes.
     let late = now + Duration::from_secs(30);
     let is_due = |random: &mut StdRng| {
-        let due = balancer.due_limited(&want(false, 0.0), late, random);
+        let due = balancer.sample_rate_limited(&want(false, 0.0), late, random);
         due.iter().any(|pick| pick.server.id == "i-1")
     };
     assert!((0..200).any(|_| is_due(&mut random)));
@@ -449,7 +484,13 @@
     let mut balancer = balancer(1_000, start);
     let now = start + Duration::from_secs(10);
     for server in 0..20 {
-        one(&mut balancer, server, Ended::Good, TYPICAL, now - TYPICAL);
+        one(
+            &mut balancer,
+            server,
+            HealthOutcome::Good,
+            TYPICAL,
+            now - TYPICAL,
+        );
     }
     for lost_share in [0.0, 0.2] {
         let counts = picks(&balancer, &want(false, lost_share), now, 1_000);
@@ -467,12 +508,24 @@
     let answers = |server: usize| if server == 0 { 40 } else { 1 };
     for server in 0..50 {
         for _ in 0..answers(server) {
-            one(&mut balancer, server, Ended::Good, TYPICAL, now - TYPICAL);
+            one(
+                &mut balancer,
+                server,
+                HealthOutcome::Good,
+                TYPICAL,
+                now - TYPICAL,
+            );
         }
     }
-    one(&mut balancer, 0, Ended::Refused, Duration::ZERO, now);
+    one(
+        &mut balancer,
+        0,
+        HealthOutcome::Refused,
+        Duration::ZERO,
+        now,
+    );
     for _ in 0..40 {
-        one(&mut balancer, 0, Ended::Good, Duration::ZERO, now);
+        one(&mut balancer, 0, HealthOutcome::Good, Duration::ZERO, now);
     }
     let counts = picks(&balancer, &want(false, 0.0), now, 1_000);
     let proven: usize = counts[..50].iter().sum();
@@ -488,9 +541,15 @@
     let start = Instant::now();
     let mut balancer = balancer(50, start);
     let now = start + Duration::from_secs(10);
-    one(&mut balancer, 0, Ended::Good, TYPICAL, now - TYPICAL);
+    one(
+        &mut balancer,
+        0,
+        HealthOutcome::Good,
+        TYPICAL,
+        now - TYPICAL,
+    );
     let mut just_started = want(false, 0.2);
-    just_started.present.requests_per_s = 3.0;
+    just_started.service_load.requests_per_s = 3.0;
     let counts = picks(&balancer, &just_started, now, 50);
     assert!(counts[0] < 500, "{} of 1000 at the one known", counts[0]);
 }
@@ -502,8 +561,8 @@
     let places = places.map(|(place, region)| (place.to_owned(), region.to_owned()));
     let regions = Arc::new(Regions::from(places));
     let mut balancer = Balancer::with_regions("dc-1".into(), regions);
-    balancer.put(record("i-0", "dc-2"), now);
-    balancer.put(record("i-1", "dc-3"), now);
+    balancer.upsert(record("i-0", "dc-2"), now);
+    balancer.upsert(record("i-1", "dc-3"), now);
     let mut random = StdRng::seed_from_u64(1);
     let mut far = Vec::new();
     for sent in 0..100 {
--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -18,10 +18,10 @@
 use wingspur_coordination::{Announced, FleetView, LinkPeer, LinkWith, OWN_LINK};
 use wingspur_protocol::{CensusNote, FleetNote};
 use wingspur_state::{
-    BudgetSettings, DataCentreId, FleetBudget, FleetStanding, ResendUse,
+    DataCentreId, FleetMembership, FleetRetryBudget, ResendKind, RetryBudgetSettings,
 };
 
-const SETTINGS: BudgetSettings = BudgetSettings {
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_s: 10.0,
     slack: 60.0,
@@ -143,7 +143,7 @@
 
 /// A box that runs.
 struct SimBox {
-    budget: FleetBudget,
+    budget: FleetRetryBudget,
     fleet: FleetView,
     life: Life,
 }
@@ -251,7 +251,7 @@
             } else if !self.boxes.contains_key(&place) {
                 self.lives += 1;
                 let life = SimBox {
-                    budget: FleetBudget::new(SETTINGS),
+                    budget: FleetRetryBudget::new(SETTINGS),
                     fleet: FleetView::new(key_of(place), now),
                     life: self.lives,
                 };
@@ -444,7 +444,10 @@
             let known = self.announced(place);
             let run = self.boxes.get_mut(&place).expect("it runs");
             let standing = run.fleet.standing(window, &known, now);
-            let allowed = run.budget.take(ResendUse::Sure, standing, now).allowed;
+            let allowed = run
+                .budget
+                .try_spend(ResendKind::AfterFailure, standing, now)
+                .allowed;
             let mut ends_ms = now_ms;
             if allowed {
                 asking.resends += 1;
@@ -477,7 +480,8 @@
         for ending in ending {
             let same = self.boxes.get_mut(&ending.place);
             if let Some(run) = same.filter(|run| run.life == ending.life) {
-                run.budget.end(ending.resends, ending.unanswered, now);
+                run.budget
+                    .finish_request(ending.resends, ending.unanswered, now);
             }
         }
     }
@@ -610,8 +614,8 @@
 #[test]
 fn callers_that_move_from_one_box_to_another_are_not_counted_twice() {
     let start = Instant::now() + Duration::from_secs(100);
-    let alone = FleetStanding::unknown();
-    let mut boxes = [(); 2].map(|()| FleetBudget::new(SETTINGS));
+    let alone = FleetMembership::unknown();
+    let mut boxes = [(); 2].map(|()| FleetRetryBudget::new(SETTINGS));
     let (mut requests_ms, mut arrivals_ms) = (Vec::new(), Vec::new());
     for now_ms in (0..60_000u64).step_by(STEP_MS as usize) {
         let now = start + Duration::from_millis(now_ms);
@@ -619,8 +623,11 @@
         (0..2).for_each(|_| asked.count_request(now));
         requests_ms.extend([now_ms; 2]);
         for budget in &mut boxes {
-            while budget.take(ResendUse::Sure, alone, now).allowed {
-                budget.end(1, 0, now);
+            while budget
+                .try_spend(ResendKind::AfterFailure, alone, now)
+                .allowed
+            {
+                budget.finish_request(1, 0, now);
                 arrivals_ms.push(now_ms);
             }
         }
--- a/tests/tests/budgets.rs
+++ b/tests/tests/budgets.rs
@@ -8,11 +8,11 @@
 };
 use wingspur_protocol::{CensusNote, FleetNote};
 use wingspur_state::{
-    BoxKey, BudgetSettings, Contact, DataCentreId, FleetBudget, FleetStanding, ResendUse,
-    ServiceTally,
+    BoxKey, DataCentreId, FleetMembership, FleetRetryBudget, MembershipState, ResendKind,
+    RetryBudgetSettings, ServiceTally,
 };
 
-const SETTINGS: BudgetSettings = BudgetSettings {
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_s: 10.0,
     slack: 60.0,
@@ -24,18 +24,21 @@
 }
 
 /// A box whose slack is divided among so many.
-fn joined(boxes: usize) -> FleetStanding {
-    FleetStanding {
+fn joined(boxes: usize) -> FleetMembership {
+    FleetMembership {
         boxes,
-        contact: Contact::Joined,
+        state: MembershipState::Joined,
     }
 }
 
 /// Resends that a box makes at once until it may not; all arrive.
-fn spend(budget: &mut FleetBudget, standing: FleetStanding, now: Instant) -> u32 {
+fn spend(budget: &mut FleetRetryBudget, standing: FleetMembership, now: Instant) -> u32 {
     let mut spent = 0;
-    while budget.take(ResendUse::Sure, standing, now).allowed {
-        budget.end(1, 0, now);
+    while budget
+        .try_spend(ResendKind::AfterFailure, standing, now)
+        .allowed
+    {
+        budget.finish_request(1, 0, now);
         spent += 1;
     }
     spent
@@ -76,7 +79,7 @@
 }
 
 /// A hub's standing after it has heard the hubs of some data centres for a while.
-fn standing_after(known: &Announced, heard: &[&str], span: Duration) -> FleetStanding {
+fn standing_after(known: &Announced, heard: &[&str], span: Duration) -> FleetMembership {
     let start = Instant::now();
     let mut view = FleetView::new(OWN_KEY, Instant::now());
     for (id, name) in heard.iter().enumerate() {
@@ -98,7 +101,7 @@
 #[test]
 fn a_window_never_holds_more_than_its_share_and_slack() {
     let start = Instant::now() + seconds(100);
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let mut resends: Vec<Instant> = Vec::new();
     for tick in 0..400u32 {
         let now = start + Duration::from_millis(100) * tick;
@@ -123,46 +126,52 @@
 fn a_box_that_comes_has_its_requests_share_at_once_and_no_slack_until_all_count_it() {
     let start = Instant::now() + seconds(100);
     let mut contact = FleetContact::default();
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.count_request(start));
     let join = join_after(WINDOW);
     let mut spent = 0;
     for tick in 0..(join.as_millis() / 300) as u32 {
         let now = start + Duration::from_millis(300) * tick;
         contact.note(now);
-        let standing = FleetStanding {
+        let standing = FleetMembership {
             boxes: 1,
-            contact: contact.standing(WINDOW, now),
+            state: contact.standing(WINDOW, now),
         };
-        assert_eq!(standing.contact, Contact::Joining);
+        assert_eq!(standing.state, MembershipState::Joining);
         spent += spend(&mut budget, standing, now);
     }
     assert!((9..=10).contains(&spent), "{spent} of half a fifth of 100");
     contact.note(start + join);
-    assert_eq!(contact.standing(WINDOW, start + join), Contact::Joined);
+    assert_eq!(
+        contact.standing(WINDOW, start + join),
+        MembershipState::Joined
+    );
 }
 
 #[test]
 fn a_box_alone_has_the_whole_slack_once_nobody_else_can() {
     let alone = hub_of(&[]);
     let (early, late) = (join_after(WINDOW) / 2, join_after(WINDOW));
-    assert_eq!(standing_after(&alone, &[], early).contact, Contact::Joining);
+    assert_eq!(
+        standing_after(&alone, &[], early).state,
+        MembershipState::Joining
+    );
     assert_eq!(standing_after(&alone, &[], late), joined(1));
 }
 
 #[test]
 fn after_a_loss_of_all_boxes_nobody_has_any_slack_for_a_window() {
     for boxes in [1, 40] {
-        let mut budget = FleetBudget::new(SETTINGS);
+        let mut budget = FleetRetryBudget::new(SETTINGS);
         let mut contact = FleetContact::default();
         let start = Instant::now();
         contact.note(start);
         for second in 0..=10 {
             let now = start + seconds(second);
             contact.note(now);
-            let standing = FleetStanding {
+            let standing = FleetMembership {
                 boxes,
-                contact: contact.standing(WINDOW, now),
+                state: contact.standing(WINDOW, now),
             };
             assert_eq!(spend(&mut budget, standing, now), 0);
         }
@@ -172,16 +181,16 @@
 #[test]
 fn what_others_were_asked_for_and_sent_again_changes_nothing_for_a_box() {
     let now = Instant::now() + seconds(100);
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let told = |requests, resends| ServiceTally {
         requests,
         resends,
         lost: 0,
     };
-    budget.count_remote(told(5_000, 0), now);
+    budget.merge_remote_counts(told(5_000, 0), now);
     assert_eq!(spend(&mut budget, joined(40), now), 1, "60 over 40 boxes");
-    let mut other = FleetBudget::new(SETTINGS);
-    other.count_remote(told(0, 5_000), now);
+    let mut other = FleetRetryBudget::new(SETTINGS);
+    other.merge_remote_counts(told(0, 5_000), now);
     assert_eq!(spend(&mut other, joined(40), now), 1);
 }
 
@@ -194,11 +203,14 @@
         contact.note(now);
         now += Duration::from_millis(500);
     }
-    assert_eq!(contact.standing(WINDOW, now), Contact::Joined);
+    assert_eq!(contact.standing(WINDOW, now), MembershipState::Joined);
     let later = now + seconds(3);
-    assert_eq!(contact.standing(WINDOW, later), Contact::OutOfTouch);
+    assert_eq!(
+        contact.standing(WINDOW, later),
+        MembershipState::Disconnected
+    );
     contact.note(later);
-    assert_eq!(contact.standing(WINDOW, later), Contact::Joining);
+    assert_eq!(contact.standing(WINDOW, later), MembershipState::Joining);
 }
 
 #[test]
@@ -216,7 +228,7 @@
     let known = hub_of(&["b", "c", "d"]);
     let join = join_after(WINDOW);
     let half = standing_after(&known, &["b"], join);
-    assert_eq!(half.contact, Contact::OutOfTouch);
+    assert_eq!(half.state, MembershipState::Disconnected);
     let whole = standing_after(&known, &["b", "c", "d"], join);
     assert_eq!(whole, joined(31), "ten in each of three, and itself");
 }
@@ -227,19 +239,19 @@
     let mut stale = hub_of(&[]);
     stale.age = Some(seconds(9));
     assert_eq!(
-        standing_after(&stale, &[], join).contact,
-        Contact::OutOfTouch
+        standing_after(&stale, &[], join).state,
+        MembershipState::Disconnected
     );
     stale.age = None;
     assert_eq!(
-        standing_after(&stale, &[], join).contact,
-        Contact::OutOfTouch
+        standing_after(&stale, &[], join).state,
+        MembershipState::Disconnected
     );
     let mut stand_in = hub_of(&[]);
     stand_in.stands_in = true;
     assert_eq!(
-        standing_after(&stand_in, &[], join).contact,
-        Contact::OutOfTouch
+        standing_after(&stand_in, &[], join).state,
+        MembershipState::Disconnected
     );
 }
 
@@ -266,24 +278,28 @@
         }
         view.standing(WINDOW, &member, now)
     };
-    assert_eq!(after_join(None).contact, Contact::OutOfTouch);
-    assert_eq!(after_join(Some(4_000)).contact, Contact::OutOfTouch);
+    assert_eq!(after_join(None).state, MembershipState::Disconnected);
+    assert_eq!(after_join(Some(4_000)).state, MembershipState::Disconnected);
     assert_eq!(after_join(Some(100)), joined(40));
 }
 
 #[test]
 fn a_resend_counts_from_its_sending_until_a_window_after_its_request() {
     let start = Instant::now() + seconds(100);
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let standing = joined(60);
-    assert!(budget.take(ResendUse::Sure, standing, start).allowed);
-    let refused = |budget: &mut FleetBudget, now| {
-        let answer = budget.ask(ResendUse::Sure, standing, now);
+    assert!(
+        budget
+            .try_spend(ResendKind::AfterFailure, standing, start)
+            .allowed
+    );
+    let refused = |budget: &mut FleetRetryBudget, now| {
+        let answer = budget.check(ResendKind::AfterFailure, standing, now);
         assert_eq!(answer.allowed, answer.spent == 0);
         !answer.allowed
     };
     assert!(refused(&mut budget, start + seconds(15)), "it is still out");
-    budget.end(1, 0, start + seconds(15));
+    budget.finish_request(1, 0, start + seconds(15));
     assert!(refused(&mut budget, start + seconds(25)));
     assert!(!refused(&mut budget, start + seconds(26)));
 }
@@ -291,12 +307,24 @@
 #[test]
 fn a_resend_that_reached_no_server_is_given_back() {
     let now = Instant::now() + seconds(100);
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let standing = joined(60);
-    assert!(budget.take(ResendUse::Sure, standing, now).allowed);
-    assert!(!budget.take(ResendUse::Sure, standing, now).allowed);
-    budget.take_back(1);
-    assert!(budget.take(ResendUse::Sure, standing, now).allowed);
+    assert!(
+        budget
+            .try_spend(ResendKind::AfterFailure, standing, now)
+            .allowed
+    );
+    assert!(
+        !budget
+            .try_spend(ResendKind::AfterFailure, standing, now)
+            .allowed
+    );
+    budget.refund(1);
+    assert!(
+        budget
+            .try_spend(ResendKind::AfterFailure, standing, now)
+            .allowed
+    );
 }
 
 #[test]
@@ -323,13 +351,16 @@
             view.standing(window, &known, now);
             now += Duration::from_secs(1);
         }
-        view.standing(window, &known, start + until).contact
+        view.standing(window, &known, start + until).state
     };
     let (long, longer) = (seconds(50), seconds(60));
-    assert_eq!(contact_after(&mut view, long, seconds(70)), Contact::Joined);
+    assert_eq!(
+        contact_after(&mut view, long, seconds(70)),
+        MembershipState::Joined
+    );
     assert_eq!(
         contact_after(&mut view, longer, seconds(200)),
-        Contact::OutOfTouch
+        MembershipState::Disconnected
     );
 }
 
@@ -415,9 +446,9 @@
 #[test]
 fn hedges_leave_a_part_of_the_budget_to_surer_resends() {
     let now = Instant::now() + seconds(100);
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let mut hedges = 0;
-    while budget.take(ResendUse::Hedge, joined(1), now).allowed {
+    while budget.try_spend(ResendKind::Hedge, joined(1), now).allowed {
         hedges += 1;
     }
     assert!((40..=42).contains(&hedges), "{hedges}");
@@ -428,19 +459,19 @@
 #[test]
 fn a_loss_shows_at_once_and_as_long_as_the_floor_is_held() {
     let start = Instant::now();
-    let mut budget = FleetBudget::new(SETTINGS);
+    let mut budget = FleetRetryBudget::new(SETTINGS);
     let at = |ms: u64| start + Duration::from_millis(ms);
     let counts = |requests, lost| ServiceTally {
         requests,
         resends: 0,
         lost,
     };
-    budget.count_remote(counts(50, 0), at(0));
-    budget.count_remote(counts(50, 5), at(1_500));
-    let early = budget.present(at(1_500)).lost_share;
+    budget.merge_remote_counts(counts(50, 0), at(0));
+    budget.merge_remote_counts(counts(50, 5), at(1_500));
+    let early = budget.service_load(at(1_500)).failure_ratio;
     assert!(early >= 0.1, "five of fifty in the last second: {early}");
-    budget.count_remote(counts(50, 0), at(2_800));
-    let late = budget.present(at(2_800)).lost_share;
+    budget.merge_remote_counts(counts(50, 0), at(2_800));
+    let late = budget.service_load(at(2_800)).failure_ratio;
     assert!(late >= 0.05, "five of a hundred in two seconds: {late}");
-    assert_eq!(budget.present(at(9_000)).lost_share, 0.0);
+    assert_eq!(budget.service_load(at(9_000)).failure_ratio, 0.0);
 }
--- a/tests/tests/edge/mod.rs
+++ b/tests/tests/edge/mod.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use wingspur_edge::{EdgeBox, Settings, parse_settings};
 use wingspur_platform::{catalog, header_names};
-use wingspur_state::BudgetSettings;
+use wingspur_state::RetryBudgetSettings;
 use wingspur_tests::{Answer, BackendServer, PlatformStore, call};
 use wingspur_transport::{Exchange, LinkFaults, Workers};
 
@@ -242,7 +242,7 @@
 /// Settings by which a first request allows so many resends: a box that has just come has
 /// no slack, and half of what its requests earn counts at once.
 fn with_resends(mut settings: Settings, resends: f64) -> Settings {
-    settings.retry_budget = BudgetSettings {
+    settings.retry_budget = RetryBudgetSettings {
         ratio: 2.0 * resends,
         window_s: 60.0,
         slack: 0.0,
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -15,11 +15,11 @@
 };
 use wingspur_protocol::{CensusNote, FleetNote, LeftPart, Lendable, Lending};
 use wingspur_state::{
-    AllowanceTerms, Borrowed, ClientAccount, DataCentreId, LimitChange, QuotaSettings,
-    ServerKey, ServerLimits, due_share,
+    AcquireOutcome, ClientAccount, DataCentreId, QuotaTerms, QuotaTolerance, ServerKey,
+    ServerLimitChange, ServerLimits, quota_request_probability,
 };
 
-pub const QUOTA: QuotaSettings = QuotaSettings {
+pub const QUOTA: QuotaTolerance = QuotaTolerance {
     window_s: 5.0,
     overrun: 0.1,
     slack: 20.0,
@@ -311,7 +311,7 @@
     /// When what was heard last was true at the earliest, by the own clock.
     vouched: Option<Instant>,
     /// What is still to be told of the server's limit.
-    limit: Option<LimitChange>,
+    limit: Option<ServerLimitChange>,
 }
 
 pub struct Play {
@@ -515,7 +515,7 @@
                             with: *with,
                             echo: None,
                             vouched: None,
-                            limit: end.limits.named().pop(),
+                            limit: end.limits.current_limits().pop(),
                         },
                     );
                     let peer = LinkPeer {
@@ -781,7 +781,9 @@
             let run = &self.boxes[&place];
             let share = match run.limits.limit(SERVER) {
                 _ if server.is_only => 1.0,
-                Some(per_s) => due_share(per_s, requests_per_s, server.servers),
+                Some(per_s) => {
+                    quota_request_probability(per_s, requests_per_s, server.servers)
+                }
                 None => 1.0 / server.servers as f64,
             };
             if !self.random.random_bool(share.clamp(0.0, 1.0)) {
@@ -798,7 +800,7 @@
         let find = |_| allowance_of(&subject, &run.limits);
         let (outcome, messages) = run.desk.want(of, reserve, &standing, &find, now);
         match outcome {
-            Ok(Borrowed::Taken) => self.grant(place),
+            Ok(AcquireOutcome::Acquired) => self.grant(place),
             Ok(_) => self.refused += 1,
             Err(told) => run.waiting.push_back((now_ms, told)),
         }
@@ -856,7 +858,7 @@
     }
 
     /// Queues a changed limit for the links that do not hear it otherwise.
-    fn spread(&mut self, place: usize, change: &LimitChange, from: Option<Run>) {
+    fn spread(&mut self, place: usize, change: &ServerLimitChange, from: Option<Run>) {
         let run = self.boxes.get_mut(&place).expect("it runs");
         let teller = from.and_then(|from| run.links.get(&from));
         let is_own = teller.is_none_or(|link| link.with == LinkWith::Member);
@@ -925,7 +927,7 @@
                 let outcome = told.try_recv().ok();
                 let is_late = came_ms + PATIENCE_MS <= now_ms;
                 match outcome {
-                    Some(Borrowed::Taken) => granted += 1,
+                    Some(AcquireOutcome::Acquired) => granted += 1,
                     Some(_) => self.refused += 1,
                     None if is_late => self.refused += 1,
                     None => return true,
@@ -971,7 +973,7 @@
             return None;
         };
         Some(Allowance {
-            terms: AllowanceTerms::of_account(account, &QUOTA),
+            terms: QuotaTerms::of_account(account, &QUOTA),
             held_by: HeldBy::EachHub,
         })
     }
@@ -980,7 +982,7 @@
 fn allowance_of(account: &Option<Allowance>, limits: &ServerLimits) -> Option<Allowance> {
     account.clone().or_else(|| {
         Some(Allowance {
-            terms: AllowanceTerms::of_server(limits.limit(SERVER)?),
+            terms: QuotaTerms::of_server(limits.limit(SERVER)?),
             held_by: HeldBy::HubOf(centre(SERVER_PLACE)),
         })
     })
--- a/tests/tests/floor.rs
+++ b/tests/tests/floor.rs
@@ -7,8 +7,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::{
-    AttemptId, Balancer, Ended, Expected, FloorInputs, KeyedTally, ServerKey,
-    ServerRecord, ServerTally, ServicePresent, ServiceTime, Unused, Want, try_unused,
+    AttemptId, Balancer, ExpectedLatency, HealthOutcome, IdleProbeInputs, IdleServer,
+    KeyedTally, PickRequest, ServerKey, ServerRecord, ServerTally, ServiceLoad,
+    ServiceTime, pick_idle_probe,
 };
 
 /// A fleet of boxes before one service.
@@ -79,7 +80,7 @@
         for _ in 0..plan.boxes {
             let mut balancer = Balancer::new("dc-1".into());
             for n in 0..plan.servers {
-                balancer.put(record(n, 0), start);
+                balancer.upsert(record(n, 0), start);
             }
             boxes.push(balancer);
         }
@@ -127,31 +128,31 @@
         let (first, now) = (self.plan.servers, self.at(ms));
         for n in first..first + self.plan.joining {
             for balancer in &mut self.boxes {
-                balancer.put(record(n, 3_000), now);
+                balancer.upsert(record(n, 3_000), now);
             }
         }
     }
 
     fn send(&mut self, ms: u64) {
         let (now, at) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = Want {
-            repeatable: self.random.random(),
-            typical: Duration::from_millis(WORK_MS),
-            crossing: Duration::from_millis(30),
+        let want = PickRequest {
+            retry_safe: self.random.random(),
+            typical_latency: Duration::from_millis(WORK_MS),
+            cross_data_centre_cost: Duration::from_millis(30),
             tried: &[],
-            present: ServicePresent {
+            service_load: ServiceLoad {
                 requests_per_s: self.plan.requests_per_s,
-                lost_share: 0.12,
-                unseen: 0.0,
+                failure_ratio: 0.12,
+                unreported_requests: 0.0,
             },
         };
         let pick = self.boxes[at].pick(&want, now, &mut self.random).unwrap();
         let server = (0..self.sent_ms.len())
             .find(|n| key(*n) == pick.server.key())
             .unwrap();
-        let expected = Expected {
-            usual_ms: pick.usual_ms,
-            well_ms: pick.well_ms,
+        let expected = ExpectedLatency {
+            baseline_ms: pick.baseline_ms,
+            healthy_ms: pick.healthy_ms,
             service_time: ServiceTime::new(),
         };
         let id = self.boxes[at].begin(key(server), expected, now);
@@ -163,7 +164,11 @@
         while self.ends.front().is_some_and(|(due, ..)| *due <= ms) {
             let (_, at, server, id) = self.ends.pop_front().unwrap();
             let fails = self.is_sick(server) && self.random.random_bool(0.6);
-            let ended = if fails { Ended::Failed } else { Ended::Good };
+            let ended = if fails {
+                HealthOutcome::Failed
+            } else {
+                HealthOutcome::Good
+            };
             let now = self.at(ms);
             self.boxes[at].end(id, ended, now);
         }
@@ -250,28 +255,28 @@
 }
 
 /// A service that loses an eighth of its requests.
-fn losing(requests_per_s: f64) -> FloorInputs {
-    FloorInputs {
-        repeatable: false,
-        present: ServicePresent {
+fn losing(requests_per_s: f64) -> IdleProbeInputs {
+    IdleProbeInputs {
+        retry_safe: false,
+        service_load: ServiceLoad {
             requests_per_s,
-            lost_share: 0.12,
-            unseen: 0.0,
+            failure_ratio: 0.12,
+            unreported_requests: 0.0,
         },
     }
 }
 
 /// Servers by number; those from `rested` on were unused for `unused_for`.
-fn servers(count: usize, rested: usize, unused_for: Duration) -> Vec<Unused<usize>> {
-    let server = |n: usize| Unused {
+fn servers(count: usize, rested: usize, unused_for: Duration) -> Vec<IdleServer<usize>> {
+    let server = |n: usize| IdleServer {
         key: n,
-        unused_for: if n < rested {
+        idle_for: if n < rested {
             Duration::ZERO
         } else {
             unused_for
         },
-        failure_share: 0.05,
-        in_reach: true,
+        failure_probability: 0.05,
+        is_eligible: true,
     };
     (0..count).map(server).collect()
 }
@@ -284,7 +289,7 @@
     let mut tries_per_s = |unused_ms: u64| {
         let servers = servers(100, 99, Duration::from_millis(unused_ms));
         let tries = (0..DRAWS).filter(|_| {
-            try_unused(&servers, &losing(REQUESTS_PER_S), &mut random) == Some(99)
+            pick_idle_probe(&servers, &losing(REQUESTS_PER_S), &mut random) == Some(99)
         });
         tries.count() as f64 / DRAWS as f64 * REQUESTS_PER_S
     };
@@ -304,19 +309,19 @@
     let mut random = StdRng::seed_from_u64(6);
     let mut servers = servers(100, 100, Duration::ZERO);
     for (n, server) in servers.iter_mut().enumerate().take(DOUBTED) {
-        server.failure_share = 0.6 - n as f64 / 200.0;
+        server.failure_probability = 0.6 - n as f64 / 200.0;
     }
     let mut sent_ms = vec![vec![0u64]; servers.len()];
     for ms in 0..END_MS {
         for _ in 0..REQUESTS_PER_MS {
-            let tried = try_unused(&servers, &losing(1_000.0), &mut random);
+            let tried = pick_idle_probe(&servers, &losing(1_000.0), &mut random);
             // Those that are not doubted are picked all the time.
             let n = tried.unwrap_or(random.random_range(DOUBTED..servers.len()));
-            servers[n].unused_for = Duration::ZERO;
+            servers[n].idle_for = Duration::ZERO;
             sent_ms[n].push(ms);
         }
         for server in &mut servers {
-            server.unused_for += Duration::from_millis(1);
+            server.idle_for += Duration::from_millis(1);
         }
     }
     let most_doubted = &sent_ms[..20];
@@ -346,26 +351,26 @@
     let mut random = StdRng::seed_from_u64(8);
     let mut servers = servers(100, 100, Duration::ZERO);
     for (n, server) in servers.iter_mut().enumerate().take(DOUBTED) {
-        server.failure_share = 0.34 - n as f64 * 0.006;
+        server.failure_probability = 0.34 - n as f64 * 0.006;
     }
-    let calm = FloorInputs {
-        present: ServicePresent {
-            lost_share: 0.02,
-            ..losing(1_000.0).present
+    let calm = IdleProbeInputs {
+        service_load: ServiceLoad {
+            failure_ratio: 0.02,
+            ..losing(1_000.0).service_load
         },
         ..losing(1_000.0)
     };
     let mut sent_ms = vec![vec![0u64]; servers.len()];
     for ms in 0..END_MS {
         for _ in 0..REQUESTS_PER_MS {
-            let tried = try_unused(&servers, &calm, &mut random);
+            let tried = pick_idle_probe(&servers, &calm, &mut random);
             // Those that are not doubted are picked all the time.
             let n = tried.unwrap_or(random.random_range(DOUBTED..servers.len()));
-            servers[n].unused_for = Duration::ZERO;
+            servers[n].idle_for = Duration::ZERO;
             sent_ms[n].push(ms);
         }
         for server in &mut servers {
-            server.unused_for += Duration::from_millis(1);
+            server.idle_for += Duration::from_millis(1);
         }
     }
     for end in (JUDGED_MS..END_MS).step_by(50) {
--- a/tests/tests/foreign_entries.rs
+++ b/tests/tests/foreign_entries.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use wingspur_platform::{catalog, read_box, read_bundle, read_server};
 use wingspur_protocol::CatalogChange;
-use wingspur_state::{Directory, DirectoryChange, StorePosition};
+use wingspur_state::{RegistryChange, ServerRegistry, StorePosition};
 use wingspur_tests::{BackendServer, PlatformStore, Reply};
 use wingspur_transport::{Exchange, LinkFaults, Workers};
 
@@ -176,7 +176,7 @@
 #[test]
 fn a_server_that_starts_again_under_its_id_is_another_run() {
     let now = Instant::now();
-    let mut directory = Directory::default();
+    let mut directory = ServerRegistry::default();
     let run = |born: u64| {
         let mut entry = entry();
         entry["born"] = json!(born);
@@ -186,13 +186,13 @@
     assert_ne!(first.key(), second.key());
     assert_eq!(first.key(), run(1_000).key());
     directory.put(first.clone());
-    let restarted = DirectoryChange::Restarted {
+    let restarted = RegistryChange::Restarted {
         before: first.clone(),
         record: second.clone(),
     };
-    assert!(!directory.stands(&second));
+    assert!(!directory.is_current(&second));
     assert_eq!(directory.put(second.clone()), Some(restarted));
-    assert!(directory.stands(&first), "old news changes nothing");
+    assert!(directory.is_current(&first), "old news changes nothing");
     assert_eq!(directory.put(first), None);
     assert_eq!(directory.put(second.clone()), None);
     assert_eq!(directory.listed().collect::<Vec<_>>(), [&second]);
--- a/tests/tests/hedging.rs
+++ b/tests/tests/hedging.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use wingspur_state::{HedgeInputs, ServiceTime, hedge_after};
+use wingspur_state::{HedgeInputs, ServiceTime, hedge_delay};
 
 /// A route whose answers spread by a third, long before its target.
 fn inputs() -> HedgeInputs {
     let mut service_time = ServiceTime::new();
     for ratio in [0.6, 0.8, 1.0, 1.2, 1.6].repeat(20) {
-        service_time.learn(ratio);
+        service_time.record(ratio);
     }
     HedgeInputs {
-        failure_share: 0.04,
+        failure_probability: 0.04,
         expected: Duration::from_millis(200),
         service_time,
-        target_left: Duration::from_secs(5),
-        spent_share: 0.0,
+        time_to_latency_target: Duration::from_secs(5),
+        budget_used_ratio: 0.0,
     }
 }
 
 #[test]
 fn a_doubtful_server_is_given_less_time() {
     let after = |failure_share| {
-        hedge_after(&HedgeInputs {
-            failure_share,
+        hedge_delay(&HedgeInputs {
+            failure_probability: failure_share,
             ..inputs()
         })
     };
@@ -37,8 +37,8 @@
 #[test]
 fn a_scarce_budget_waits_longer() {
     let after = |spent_share| {
-        hedge_after(&HedgeInputs {
-            spent_share,
+        hedge_delay(&HedgeInputs {
+            budget_used_ratio: spent_share,
             ..inputs()
         })
     };
@@ -50,9 +50,9 @@
 #[test]
 fn the_second_is_in_time_for_the_target_while_the_budget_is_ample() {
     let after = |target_ms, spent_share| {
-        hedge_after(&HedgeInputs {
-            target_left: Duration::from_millis(target_ms),
-            spent_share,
+        hedge_delay(&HedgeInputs {
+            time_to_latency_target: Duration::from_millis(target_ms),
+            budget_used_ratio: spent_share,
             ..inputs()
         })
     };
--- a/tests/tests/judging.rs
+++ b/tests/tests/judging.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use wingspur_bench::{Scenario, service_of};
 use wingspur_state::{
-    EjectionRecord, EvidenceEntry, EvidenceReport, Judge, JudgeEvent, Service,
-    VerdictStanding,
+    EjectionRecord, EvidenceEntry, EvidenceReport, OutlierDetector, OutlierEvent,
+    OutlierStatus, Service,
 };
 
 const BOXES: usize = 6;
@@ -91,7 +91,7 @@
     ) {
         let service = service(floor);
         let mut now = Instant::now();
-        let mut judges = [0, 1].map(|_| Judge::new(&service, 1, None, now));
+        let mut judges = [0, 1].map(|_| OutlierDetector::new(&service, 1, None, now));
         let mut agreed =
             Agreed { record: EjectionRecord::default(), revision: 0, read: [0, 0] };
         let mut leaving = [false; SERVERS];
@@ -99,18 +99,18 @@
             match happening {
                 Happening::Report { judge, from, sums } => {
                     let home = HOME.to_owned();
-                    judges[judge].receive(&box_id(from), &home, &report(&sums), now);
+                    judges[judge].record_report(&box_id(from), &home, &report(&sums), now);
                 }
                 Happening::Pass { ms } => {
                     now += Duration::from_millis(ms);
                     judges.iter_mut().for_each(|judge| {
-                        judge.step(now);
+                        judge.tick(now);
                     });
                 }
                 Happening::Write { judge } => {
                     now += Duration::from_millis(100);
-                    judges[judge].step(now);
-                    let proposal = judges[judge].proposal();
+                    judges[judge].tick(now);
+                    let proposal = judges[judge].pending_record();
                     let current = agreed.read[judge] == agreed.revision;
                     if let (Some(record), true) = (proposal, current) {
                         check(&service, &record, &leaving)?;
@@ -118,16 +118,16 @@
                         agreed.revision += 1;
                     }
                     agreed.read[judge] = agreed.revision;
-                    judges[judge].adopt(agreed.record.clone(), now);
+                    judges[judge].apply_record(agreed.record.clone(), now);
                 }
                 Happening::Read { judge } => {
                     agreed.read[judge] = agreed.revision;
-                    judges[judge].adopt(agreed.record.clone(), now);
+                    judges[judge].apply_record(agreed.record.clone(), now);
                 }
                 Happening::Restart { judge } => {
                     agreed.read[judge] = agreed.revision;
                     let record = Some(agreed.record.clone());
-                    judges[judge] = Judge::new(&service, 1, record, now);
+                    judges[judge] = OutlierDetector::new(&service, 1, record, now);
                     for (server, leaving) in leaving.iter().enumerate() {
                         judges[judge].set_leaving(server, *leaving);
                     }
@@ -148,19 +148,19 @@
     ) {
         let service = service(60);
         let mut now = Instant::now();
-        let mut judge = Judge::new(&service, 1, None, now);
+        let mut judge = OutlierDetector::new(&service, 1, None, now);
         let home = HOME.to_owned();
         for sums in lies {
             for honest in 1..BOXES {
                 let well: Vec<(u16, u16)> = (0..10).map(|server| (server, 0)).collect();
-                judge.receive(&box_id(honest), &home, &report(&well), now);
+                judge.record_report(&box_id(honest), &home, &report(&well), now);
             }
-            judge.receive(&box_id(0), &home, &report(&sums), now);
+            judge.record_report(&box_id(0), &home, &report(&sums), now);
             now += Duration::from_millis(100);
-            let events = judge.step(now);
-            let suspected = |event: &JudgeEvent| matches!(event, JudgeEvent::Suspected(_));
+            let events = judge.tick(now);
+            let suspected = |event: &OutlierEvent| matches!(event, OutlierEvent::Suspected(_));
             prop_assert!(!events.iter().any(suspected));
-            prop_assert_eq!(judge.slots_in(), 30);
+            prop_assert_eq!(judge.available_slots(), 30);
         }
     }
 }
@@ -193,33 +193,33 @@
 fn with_three_sick_and_room_for_two_the_least_sick_is_only_avoided() {
     let service = service(80);
     let mut now = Instant::now();
-    let mut judge = Judge::new(&service, 1, None, now);
+    let mut judge = OutlierDetector::new(&service, 1, None, now);
     let home = HOME.to_owned();
     for _ in 0..20 {
         for index in 0..BOXES {
             let mut sums: Vec<(u16, u16)> = (0..10).map(|server| (server, 0)).collect();
             (sums[1].1, sums[4].1, sums[8].1) = (600, 400, 700);
-            judge.receive(&box_id(index), &home, &report(&sums), now);
+            judge.record_report(&box_id(index), &home, &report(&sums), now);
         }
         now += Duration::from_millis(100);
-        judge.step(now);
-        if let Some(record) = judge.proposal() {
-            judge.adopt(record, now);
+        judge.tick(now);
+        if let Some(record) = judge.pending_record() {
+            judge.apply_record(record, now);
         }
     }
     let standings = judge.verdict(&home).standings;
     let of = |server: u16| standings.iter().find(|(index, _)| *index == server);
-    assert_eq!(of(8), Some(&(8, VerdictStanding::Out)));
-    assert_eq!(of(1), Some(&(1, VerdictStanding::Out)));
-    assert_eq!(of(4), Some(&(4, VerdictStanding::Avoided)));
-    assert_eq!(judge.slots_in(), 24);
+    assert_eq!(of(8), Some(&(8, OutlierStatus::Excluded)));
+    assert_eq!(of(1), Some(&(1, OutlierStatus::Excluded)));
+    assert_eq!(of(4), Some(&(4, OutlierStatus::Suspected)));
+    assert_eq!(judge.available_slots(), 24);
 }
 
 #[test]
 fn a_server_that_one_data_centre_cannot_reach_is_ejected_for_nobody() {
     let service = service(60);
     let mut now = Instant::now();
-    let mut judge = Judge::new(&service, 1, None, now);
+    let mut judge = OutlierDetector::new(&service, 1, None, now);
     let (cut, well) = ("data-centre-1".to_owned(), "data-centre-2".to_owned());
     for _ in 0..20 {
         for index in 0..BOXES {
@@ -228,18 +228,18 @@
                 .map(|server| (server, if feels && server == 3 { 900 } else { 0 }))
                 .collect();
             let home = if feels { &cut } else { &well };
-            judge.receive(&box_id(index), home, &report(&sums), now);
+            judge.record_report(&box_id(index), home, &report(&sums), now);
         }
         now += Duration::from_millis(100);
-        judge.step(now);
-        if let Some(record) = judge.proposal() {
-            judge.adopt(record, now);
+        judge.tick(now);
+        if let Some(record) = judge.pending_record() {
+            judge.apply_record(record, now);
         }
     }
     assert_eq!(
         judge.verdict(&cut).standings,
-        [(3, VerdictStanding::Avoided)]
+        [(3, OutlierStatus::Suspected)]
     );
     assert_eq!(judge.verdict(&well).standings, []);
-    assert_eq!(judge.slots_in(), 30);
+    assert_eq!(judge.available_slots(), 30);
 }
--- a/tests/tests/lending.rs
+++ b/tests/tests/lending.rs
@@ -5,12 +5,12 @@
 
 use wingspur_coordination::{DELEGATED_FOR, Delegation};
 use wingspur_state::{
-    AllowanceTerms, Borrowed, Borrower, BorrowerAsk, BudgetSettings, ClientAccount,
-    Contact, FleetBudget, FleetStanding, PartClock, Pool, QuotaSettings, ResendUse,
-    StockAsk, Stocked,
+    AcquireOutcome, ClientAccount, FleetMembership, FleetRetryBudget, LeaseClient,
+    LeaseDemand, MembershipState, PrefetchGrant, PrefetchRequest, QuotaPool, QuotaTerms,
+    QuotaTolerance, ResendKind, RetryBudgetSettings, ShareHistory,
 };
 
-const BUDGET: BudgetSettings = BudgetSettings {
+const BUDGET: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     window_s: 10.0,
     slack: 4.0,
@@ -38,22 +38,38 @@
 fn a_resend_that_is_lent_counts_as_the_lenders_own_until_it_can_no_longer_arrive() {
     let (start, joined) = (
         start(),
-        FleetStanding {
+        FleetMembership {
             boxes: 1,
-            contact: Contact::Joined,
+            state: MembershipState::Joined,
         },
     );
-    let mut budget = FleetBudget::new(BUDGET);
+    let mut budget = FleetRetryBudget::new(BUDGET);
     for _ in 0..4 {
-        assert!(budget.lend(ResendUse::Sure, joined, start).allowed);
+        assert!(
+            budget
+                .try_lend(ResendKind::AfterFailure, joined, start)
+                .allowed
+        );
     }
     for later_ms in [0, 5_000, 12_900] {
         let now = start + ms(later_ms);
-        assert!(!budget.lend(ResendUse::Sure, joined, now).allowed);
-        assert!(!budget.take(ResendUse::Sure, joined, now).allowed);
+        assert!(
+            !budget
+                .try_lend(ResendKind::AfterFailure, joined, now)
+                .allowed
+        );
+        assert!(
+            !budget
+                .try_spend(ResendKind::AfterFailure, joined, now)
+                .allowed
+        );
     }
     let free = start + ms(13_500);
-    assert!(budget.take(ResendUse::Sure, joined, free).allowed);
+    assert!(
+        budget
+            .try_spend(ResendKind::AfterFailure, joined, free)
+            .allowed
+    );
 }
 
 #[test]
@@ -71,47 +87,47 @@
 }
 
 /// Notes a part from one moment to another, as often as a box does.
-fn keep(clock: &mut PartClock, part: f64, from: Instant, until: Instant) {
+fn keep(clock: &mut ShareHistory, part: f64, from: Instant, until: Instant) {
     let mut now = from;
     while now < until {
-        clock.note(part, now);
+        clock.record_share(part, now);
         now += ms(200);
     }
-    clock.note(part, until);
+    clock.record_share(part, until);
 }
 
 #[test]
 fn a_pool_holds_no_more_than_its_part_of_the_depth_whatever_its_rest() {
     let (start, account) = (start(), account(10.0));
-    let terms = AllowanceTerms::of_account(&account, &QuotaSettings::default());
-    let (mut clock, mut pool) = (PartClock::new(start), Pool::default());
+    let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
+    let (mut clock, mut pool) = (ShareHistory::new(start), QuotaPool::default());
     let later = start + Duration::from_secs(900);
     keep(&mut clock, 0.25, start, later);
-    let lent = pool.lend_at_once(1_000, 0.0, &terms, &clock, later);
-    assert_eq!(lent, (terms.depth / 4.0) as u32);
-    clock.note(0.0, later + ms(1));
-    clock.note(0.0, later + ms(60_000));
-    let none = pool.lend_at_once(1, 0.0, &terms, &clock, later + ms(60_000));
+    let lent = pool.lease_on_demand(1_000, 0.0, &terms, &clock, later);
+    assert_eq!(lent, (terms.burst / 4.0) as u32);
+    clock.record_share(0.0, later + ms(1));
+    clock.record_share(0.0, later + ms(60_000));
+    let none = pool.lease_on_demand(1, 0.0, &terms, &clock, later + ms(60_000));
     assert_eq!(none, 0, "a box without a part has nothing");
 }
 
 #[test]
 fn a_part_that_comes_back_holds_only_what_it_has_earned_since() {
     let (start, account) = (start(), account(10.0));
-    let terms = AllowanceTerms::of_account(&account, &QuotaSettings::default());
+    let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
     let later = start + Duration::from_secs(100);
-    let mut clock = PartClock::new(start);
+    let mut clock = ShareHistory::new(start);
     keep(&mut clock, 1.0, start, later);
-    let mut asked = Pool::default();
-    assert_eq!(asked.lend_at_once(1, 0.0, &terms, &clock, later), 1);
+    let mut asked = QuotaPool::default();
+    assert_eq!(asked.lease_on_demand(1, 0.0, &terms, &clock, later), 1);
     let gone = later + Duration::from_secs(2);
     keep(&mut clock, 0.0, later, gone);
     let back = gone + Duration::from_secs(1);
     keep(&mut clock, 1.0, gone, back);
     // Another box may have spent all that was there: ten a second are earned since.
-    let mut never_asked = Pool::default();
+    let mut never_asked = QuotaPool::default();
     for pool in [&mut asked, &mut never_asked] {
-        let lent = pool.lend_at_once(1_000, 0.0, &terms, &clock, back);
+        let lent = pool.lease_on_demand(1_000, 0.0, &terms, &clock, back);
         assert!((9..=10).contains(&lent), "{lent}");
     }
 }
@@ -119,9 +135,9 @@
 #[test]
 fn stocks_are_lent_only_of_a_part_that_was_had_for_as_long_as_stocks_last() {
     let (start, account) = (start(), account(10.0));
-    let terms = AllowanceTerms::of_account(&account, &QuotaSettings::default());
-    let (mut clock, mut pool) = (PartClock::new(start), Pool::default());
-    let ask = |held| StockAsk {
+    let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
+    let (mut clock, mut pool) = (ShareHistory::new(start), QuotaPool::default());
+    let ask = |held| PrefetchRequest {
         borrower: 7,
         held,
         wanted: 5.0,
@@ -129,53 +145,66 @@
     let soon = start + ms(2_900);
     keep(&mut clock, 1.0, start, soon);
     // The hub before may have lent as much, and that lasts for three seconds.
-    let none = pool.stock(&ask(0.0), &terms, &clock, soon);
+    let none = pool.lease_prefetch(&ask(0.0), &terms, &clock, soon);
     assert_eq!(none.amount, 0.0);
-    let most = pool.lend_at_once(1_000, 0.0, &terms, &clock, soon);
-    assert!(f64::from(most) <= terms.depth * 0.4, "{most}");
+    let most = pool.lease_on_demand(1_000, 0.0, &terms, &clock, soon);
+    assert!(f64::from(most) <= terms.burst * 0.4, "{most}");
     let later = soon + Duration::from_secs(6);
     keep(&mut clock, 1.0, soon, later);
-    let lent = pool.stock(&ask(0.0), &terms, &clock, later);
+    let lent = pool.lease_prefetch(&ask(0.0), &terms, &clock, later);
     assert_eq!(lent.amount, 5.0);
-    assert!(pool.stock(&ask(5.0), &terms, &clock, later).renewed);
+    assert!(
+        pool.lease_prefetch(&ask(5.0), &terms, &clock, later)
+            .renewed
+    );
     // What the part has no room for any more is left to end.
     let shrunk = later + ms(100);
-    clock.note(0.1, shrunk);
-    let kept = pool.stock(&ask(5.0), &terms, &clock, shrunk);
+    clock.record_share(0.1, shrunk);
+    let kept = pool.lease_prefetch(&ask(5.0), &terms, &clock, shrunk);
     assert_eq!((kept.amount, kept.renewed), (0.0, false));
 }
 
 #[test]
 fn a_stock_that_the_hub_does_not_renew_keeps_its_end() {
     let start = start();
-    let mut borrower = Borrower::default();
+    let mut borrower = LeaseClient::default();
     for _ in 0..6 {
-        assert_eq!(borrower.want(start), Borrowed::Waits);
+        assert_eq!(borrower.try_acquire(start), AcquireOutcome::Pending);
     }
-    let asked = borrower.ask(1, 0, true, start);
-    assert!(matches!(asked, Some(BorrowerAsk::Stock { .. })));
-    let lent = Stocked {
+    let asked = borrower.next_request(1, 0, true, start);
+    assert!(matches!(asked, Some(LeaseDemand::Prefetch { .. })));
+    let lent = PrefetchGrant {
         amount: 12.0,
         renewed: false,
     };
-    borrower.take_stock(7, &lent, start + ms(5));
+    borrower.apply_prefetch_grant(7, &lent, start + ms(5));
     assert_eq!(
-        borrower.want(start + ms(6)),
-        Borrowed::Waits,
+        borrower.try_acquire(start + ms(6)),
+        AcquireOutcome::Pending,
         "another's answer"
     );
-    borrower.take_stock(1, &lent, start + ms(7));
-    assert_eq!(borrower.want(start + ms(8)), Borrowed::Taken);
+    borrower.apply_prefetch_grant(1, &lent, start + ms(7));
+    assert_eq!(
+        borrower.try_acquire(start + ms(8)),
+        AcquireOutcome::Acquired
+    );
     // Another hub lends on top, and knows nothing of what was held.
     for _ in 0..6 {
-        borrower.want(start + ms(2_500));
+        borrower.try_acquire(start + ms(2_500));
     }
-    assert!(borrower.ask(2, 0, true, start + ms(2_500)).is_some());
-    borrower.take_stock(2, &lent, start + ms(2_510));
-    assert_eq!(borrower.want(start + ms(2_900)), Borrowed::Taken);
+    assert!(
+        borrower
+            .next_request(2, 0, true, start + ms(2_500))
+            .is_some()
+    );
+    borrower.apply_prefetch_grant(2, &lent, start + ms(2_510));
     assert_eq!(
-        borrower.want(start + ms(3_001)),
-        Borrowed::Waits,
+        borrower.try_acquire(start + ms(2_900)),
+        AcquireOutcome::Acquired
+    );
+    assert_eq!(
+        borrower.try_acquire(start + ms(3_001)),
+        AcquireOutcome::Pending,
         "it has ended"
     );
 }
@@ -183,15 +212,18 @@
 #[test]
 fn what_is_lent_at_once_is_void_when_it_is_late() {
     let start = start();
-    let mut borrower = Borrower::default();
-    borrower.want(start);
+    let mut borrower = LeaseClient::default();
+    borrower.try_acquire(start);
+    assert_eq!(
+        borrower.next_request(1, 1, true, start),
+        Some(LeaseDemand::OnDemand(1))
+    );
     assert_eq!(
-        borrower.ask(1, 1, true, start),
-        Some(BorrowerAsk::Urgent(1))
+        borrower.apply_on_demand_grant(1, 1, None, start + ms(201)),
+        None
     );
-    assert_eq!(borrower.take_urgent(1, 1, None, start + ms(201)), None);
-    borrower.want(start + ms(300));
-    assert!(borrower.ask(2, 1, true, start + ms(300)).is_some());
-    let lent = borrower.take_urgent(2, 1, None, start + ms(305));
+    borrower.try_acquire(start + ms(300));
+    assert!(borrower.next_request(2, 1, true, start + ms(300)).is_some());
+    let lent = borrower.apply_on_demand_grant(2, 1, None, start + ms(305));
     assert_eq!(lent, Some((1, start + ms(500))));
 }
--- a/tests/tests/lending_desk.rs
+++ b/tests/tests/lending_desk.rs
@@ -4,7 +4,7 @@
 
 use wingspur_coordination::{Allowance, HeldBy, LendingDesk, Standing};
 use wingspur_protocol::{Lendable, LoanRequest};
-use wingspur_state::{AllowanceTerms, Borrowed, ClientAccount, QuotaSettings};
+use wingspur_state::{AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance};
 
 const OF: Lendable = Lendable::Account(1);
 const SERVER: Lendable = Lendable::Server(2);
@@ -20,16 +20,10 @@
     };
     let (terms, held_by) = match of {
         Lendable::Account(_) => {
-            let quota = QuotaSettings::default();
-            (
-                AllowanceTerms::of_account(&account, &quota),
-                HeldBy::EachHub,
-            )
+            let quota = QuotaTolerance::default();
+            (QuotaTerms::of_account(&account, &quota), HeldBy::EachHub)
         }
-        _ => (
-            AllowanceTerms::of_server(10.0),
-            HeldBy::HubOf("dc-1".into()),
-        ),
+        _ => (QuotaTerms::of_server(10.0), HeldBy::HubOf("dc-1".into())),
     };
     Some(Allowance { terms, held_by })
 }
@@ -64,7 +58,7 @@
     let mut refused = 0;
     for _ in 0..100 {
         match desk.want(OF, 0.0, &hub(), &allowance, now).0 {
-            Ok(Borrowed::Refused(_)) => refused += 1,
+            Ok(AcquireOutcome::Refused(_)) => refused += 1,
             Ok(_) => {}
             Err(waits) => told.push(waits),
         }
@@ -80,7 +74,7 @@
     }
     let taken = told
         .iter()
-        .filter(|told| told.try_recv() == Ok(Borrowed::Taken));
+        .filter(|told| told.try_recv() == Ok(AcquireOutcome::Acquired));
     assert!(taken.count() >= 8);
 }
 
@@ -112,7 +106,7 @@
     let mut desk = desk_since(start, now);
     let mut takes = |reserve| {
         let (outcome, _) = desk.want(SERVER, reserve, &hub(), &allowance, now);
-        matches!(outcome, Ok(Borrowed::Taken))
+        matches!(outcome, Ok(AcquireOutcome::Acquired))
     };
     // A server that takes ten a second may be sent five at once.
     let less_urgent = (0..10).filter(|_| takes(0.75)).count();
--- a/tests/tests/limited_service.rs
+++ b/tests/tests/limited_service.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::{
-    AttemptId, Balancer, Ended, Expected, Pick, ServerKey, ServerRecord, ServicePresent,
-    ServiceTime, Want,
+    AttemptId, Balancer, ExpectedLatency, HealthOutcome, Pick, PickRequest, ServerKey,
+    ServerRecord, ServiceLoad, ServiceTime,
 };
 
 const SERVERS: usize = 16;
@@ -62,7 +62,7 @@
         let start = Instant::now();
         let mut balancer = Balancer::new("dc-1".into());
         for n in 0..SERVERS {
-            balancer.put(record(n), start);
+            balancer.upsert(record(n), start);
         }
         for n in 0..limited {
             balancer.set_limit(key(n), Some(per_s));
@@ -90,7 +90,11 @@
         while self.ends.front().is_some_and(|(due_ms, ..)| *due_ms <= ms) {
             let (_, id, fails) = self.ends.pop_front().expect("it is there");
             let now = self.at(ms);
-            let ended = if fails { Ended::Failed } else { Ended::Good };
+            let ended = if fails {
+                HealthOutcome::Failed
+            } else {
+                HealthOutcome::Good
+            };
             self.balancer.end(id, ended, now);
         }
         for places in &mut self.places[..self.limited] {
@@ -115,23 +119,29 @@
     /// cheapest without a limit, or else one of those with limits that has a place.
     fn request(&mut self, ms: u64) {
         let now = self.at(ms);
-        let want = Want {
-            repeatable: false,
-            typical: Duration::from_millis(WORK_MS),
-            crossing: Duration::ZERO,
+        let want = PickRequest {
+            retry_safe: false,
+            typical_latency: Duration::from_millis(WORK_MS),
+            cross_data_centre_cost: Duration::ZERO,
             tried: &[],
-            present: ServicePresent {
+            service_load: ServiceLoad {
                 requests_per_s: REQUESTS_PER_S,
-                lost_share: 0.05,
-                unseen: 0.0,
+                failure_ratio: 0.05,
+                unreported_requests: 0.0,
             },
         };
         self.sent += 1;
-        let due = self.balancer.due_limited(&want, now, &mut self.random);
+        let due = self
+            .balancer
+            .sample_rate_limited(&want, now, &mut self.random);
         let pick = self.first_with_place(due.into_iter().take(1).collect());
         let pick = pick.or_else(|| self.balancer.pick(&want, now, &mut self.random));
         let pick = pick.or_else(|| {
-            let all = self.balancer.limited_by_doubt(&want, now, &mut self.random);
+            let all = self.balancer.rate_limited_by_failure_probability(
+                &want,
+                now,
+                &mut self.random,
+            );
             self.first_with_place(all.into_iter().take(4).collect())
         });
         let Some(pick) = pick else {
@@ -148,9 +158,9 @@
         let fails = self.random.random::<f64>() < share;
         self.failed += usize::from(fails);
         self.at_limited += usize::from(server < self.limited);
-        let expected = Expected {
-            usual_ms: WORK_MS as f64,
-            well_ms: WORK_MS as f64,
+        let expected = ExpectedLatency {
+            baseline_ms: WORK_MS as f64,
+            healthy_ms: WORK_MS as f64,
             service_time: ServiceTime::new(),
         };
         let id = self.balancer.begin(pick.server.key(), expected, now);
--- a/tests/tests/many_servers.rs
+++ b/tests/tests/many_servers.rs
@@ -9,8 +9,8 @@
 use wingspur_coordination::{LinkKind, Rollup, UpdateReader};
 use wingspur_protocol::Digest;
 use wingspur_state::{
-    AttemptId, Balancer, BudgetSettings, Ended, Expected, FleetBudget, ServerKey,
-    ServerRecord, ServicePresent, ServiceTime, Want,
+    AttemptId, Balancer, ExpectedLatency, FleetRetryBudget, HealthOutcome, PickRequest,
+    RetryBudgetSettings, ServerKey, ServerRecord, ServiceLoad, ServiceTime,
 };
 
 /// A service whose servers turn sick for a while, each at its own times.
@@ -65,7 +65,7 @@
     out: VecDeque<Out>,
     in_use: Vec<u32>,
     /// What the boxes count of the service, as if each heard of all at once.
-    budget: FleetBudget,
+    budget: FleetRetryBudget,
     /// When each server was last sent a request, and since when it is well.
     sent_ms: Vec<u64>,
     well_since_ms: Vec<u64>,
@@ -113,7 +113,7 @@
         for at in 0..plan.boxes {
             let mut balancer = Balancer::new("dc-1".into());
             for record in &records {
-                balancer.put(record.clone(), start);
+                balancer.upsert(record.clone(), start);
             }
             boxes.push(balancer);
             hub.add_link(at as u64 + 1, LinkKind::Member);
@@ -132,7 +132,7 @@
             numbers: records.iter().map(ServerRecord::key).zip(0..).collect(),
             out: VecDeque::new(),
             in_use: vec![0; plan.servers],
-            budget: FleetBudget::new(BudgetSettings::default()),
+            budget: FleetRetryBudget::new(RetryBudgetSettings::default()),
             sent_ms: vec![0; plan.servers],
             well_since_ms: vec![0; plan.servers],
             ended: VecDeque::new(),
@@ -194,23 +194,23 @@
 
     fn send(&mut self, ms: u64) {
         let (now, at) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = Want {
-            repeatable: false,
-            typical: Duration::from_millis(WORK_MS),
-            crossing: Duration::from_millis(30),
+        let want = PickRequest {
+            retry_safe: false,
+            typical_latency: Duration::from_millis(WORK_MS),
+            cross_data_centre_cost: Duration::from_millis(30),
             tried: &[],
-            present: ServicePresent {
-                unseen: self.plan.requests_per_s * self.plan.unseen_s,
-                ..self.budget.present(now)
+            service_load: ServiceLoad {
+                unreported_requests: self.plan.requests_per_s * self.plan.unseen_s,
+                ..self.budget.service_load(now)
             },
         };
         self.budget.count_request(now);
         let pick = self.boxes[at].pick(&want, now, &mut self.random).unwrap();
         let key = pick.server.key();
         let server = self.numbers[&key];
-        let expected = Expected {
-            usual_ms: pick.usual_ms,
-            well_ms: pick.well_ms,
+        let expected = ExpectedLatency {
+            baseline_ms: pick.baseline_ms,
+            healthy_ms: pick.healthy_ms,
             service_time: ServiceTime::new(),
         };
         let id = self.boxes[at].begin(key, expected, now);
@@ -225,7 +225,7 @@
             at,
             server,
             id,
-            is_floor_try: pick.is_floor_try,
+            is_floor_try: pick.is_idle_probe,
         });
     }
 
@@ -240,11 +240,15 @@
                 WELL_FAILS
             };
             let fails = self.random.random_bool(fails);
-            let ended = if fails { Ended::Failed } else { Ended::Good };
+            let ended = if fails {
+                HealthOutcome::Failed
+            } else {
+                HealthOutcome::Good
+            };
             let now = self.at(ms);
             self.boxes[out.at].end(out.id, ended, now);
             if fails && !out.is_floor_try {
-                self.budget.count_lost(now);
+                self.budget.count_failed_request(now);
             }
             self.ended.push_back((ms, fails));
             let is_judged = out.ends_ms >= JUDGED_MS + WORK_MS;
--- a/tests/tests/news_age.rs
+++ b/tests/tests/news_age.rs
@@ -128,7 +128,7 @@
         host: format!("host-{}.example", number % 40),
         path_prefix: format!("/path-{number}/"),
         class: RouteClass::Read,
-        targets: vec![RouteTarget::whole("reads".to_owned())],
+        targets: vec![RouteTarget::single("reads".to_owned())],
         timeout_ms,
         target_latency_ms: 800,
         max_attempts: 2,
--- a/tests/tests/placing.rs
+++ b/tests/tests/placing.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::{
-    AttemptId, Balancer, Ended, Expected, ServerKey, ServerRecord, ServerTally,
-    ServicePresent, ServiceTime, Want,
+    AttemptId, Balancer, ExpectedLatency, HealthOutcome, PickRequest, ServerKey,
+    ServerRecord, ServerTally, ServiceLoad, ServiceTime,
 };
 
 /// The load and the fleet.
@@ -91,7 +91,7 @@
         let start = Instant::now();
         let balancer = || {
             let mut balancer = Balancer::new("dc-1".into());
-            (0..plan.servers).for_each(|n| balancer.put(record(n), start));
+            (0..plan.servers).for_each(|n| balancer.upsert(record(n), start));
             balancer
         };
         let nothing = vec![ServerTally::default(); plan.servers];
@@ -140,23 +140,24 @@
 
     fn send(&mut self, ms: u64) {
         let (now, from) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = Want {
-            repeatable: false,
-            typical: Duration::from_millis(MEAN_WORK_MS as u64),
-            crossing: Duration::from_millis(30),
+        let want = PickRequest {
+            retry_safe: false,
+            typical_latency: Duration::from_millis(MEAN_WORK_MS as u64),
+            cross_data_centre_cost: Duration::from_millis(30),
             tried: &[],
-            present: ServicePresent {
+            service_load: ServiceLoad {
                 requests_per_s: self.plan.requests_per_s,
-                lost_share: 0.02,
-                unseen: self.plan.requests_per_s * self.plan.news_every_ms as f64
+                failure_ratio: 0.02,
+                unreported_requests: self.plan.requests_per_s
+                    * self.plan.news_every_ms as f64
                     / 1000.0,
             },
         };
         let pick = self.boxes[from].pick(&want, now, &mut self.random).unwrap();
         let n = self.number_of(pick.server.key());
-        let expected = Expected {
-            usual_ms: pick.usual_ms,
-            well_ms: pick.well_ms,
+        let expected = ExpectedLatency {
+            baseline_ms: pick.baseline_ms,
+            healthy_ms: pick.healthy_ms,
             service_time: ServiceTime::new(),
         };
         let id = self.boxes[from].begin(self.keys[n], expected, now);
@@ -173,7 +174,7 @@
             self.workers[n].waiting.push_back(sent);
         } else {
             self.outcome.refused += 1;
-            self.boxes[from].end(id, Ended::Refused, now);
+            self.boxes[from].end(id, HealthOutcome::Refused, now);
         }
     }
 
@@ -190,7 +191,7 @@
         let done: Vec<(u64, usize, Sent)> = done;
         for (_, n, sent) in done {
             let now = self.at(ms);
-            self.boxes[sent.from].end(sent.id, Ended::Good, now);
+            self.boxes[sent.from].end(sent.id, HealthOutcome::Good, now);
             self.workers[n].running -= 1;
             if let Some(next) = self.workers[n].waiting.pop_front() {
                 self.work(n, next, ms);
--- a/tests/tests/quarantine/mod.rs
+++ b/tests/tests/quarantine/mod.rs
@@ -12,8 +12,8 @@
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{CountOutcome, DeskStep, QuarantineDesk};
 use wingspur_state::{
-    KnownQuarantine, RequestFingerprint, RequestParts, StorePosition, SuspectEvent,
-    SuspectNote, SuspectRequests, SuspectUpdate,
+    RequestFingerprint, RequestParts, StorePosition, StoredQuarantine, SuspectEvent,
+    SuspectMessage, SuspectRequests, SuspectUpdate,
 };
 
 pub type Ms = u64;
@@ -277,7 +277,7 @@
         to: usize,
         life: u32,
         from: usize,
-        note: SuspectNote,
+        note: SuspectMessage,
     },
     Record {
         to: usize,
@@ -1065,7 +1065,7 @@
         self.requests.get_mut(&number).expect("it lives").over = true;
         let now = self.instant();
         let suspects = &mut self.boxes[request.at].suspects;
-        if suspects.note_answered(request.print, now) {
+        if suspects.record_complete_answer(request.print, now) {
             let updates = SuspectUpdate {
                 request: request.print,
                 seen: SuspectEvent::AnsweredWhole,
@@ -1111,7 +1111,7 @@
 
     fn own_updates(&mut self, place: usize, updates: SuspectUpdate) {
         let now = self.instant();
-        if !self.boxes[place].suspects.take_in(&updates, now) {
+        if !self.boxes[place].suspects.apply_update(&updates, now) {
             return;
         }
         self.spread(place, None, &updates);
@@ -1119,7 +1119,7 @@
         self.vouch_soon(place, updates.request);
     }
 
-    fn note(&mut self, to: usize, life: u32, from: usize, note: SuspectNote) {
+    fn note(&mut self, to: usize, life: u32, from: usize, note: SuspectMessage) {
         if self.boxes[to].life != life || !self.boxes[to].alive {
             return;
         }
@@ -1135,8 +1135,8 @@
             );
         }
         let now = self.instant();
-        let updates = note.heard(now);
-        if !self.boxes[to].suspects.take_in(&updates, now) {
+        let updates = note.to_update(now);
+        if !self.boxes[to].suspects.apply_update(&updates, now) {
             return;
         }
         self.spread(to, Some(from), &updates);
@@ -1185,7 +1185,7 @@
 
     fn send_note(&mut self, from: usize, to: usize, updates: &SuspectUpdate) {
         self.outcome.notes += 1;
-        let note = updates.told(self.instant());
+        let note = updates.to_message(self.instant());
         let Some(way) = self.way(from, to) else {
             return;
         };
@@ -1211,7 +1211,7 @@
         if !self.boxes[one].alive {
             return;
         }
-        for updates in self.boxes[one].suspects.greeting(now) {
+        for updates in self.boxes[one].suspects.initial_updates(now) {
             self.send_note(one, other, &updates);
         }
     }
@@ -1251,13 +1251,13 @@
         let played = &mut self.boxes[to];
         match record {
             Some(record) => {
-                let known = KnownQuarantine {
+                let known = StoredQuarantine {
                     position: StorePosition::new(self.store.era, record.revision),
                     tries: record.tries,
                     counted_by: record.counted_by,
                     heard,
                 };
-                played.suspects.put_quarantine(print, known);
+                played.suspects.apply_quarantine(print, known);
             }
             None => {
                 played.suspects.remove_quarantine(print);
@@ -1428,7 +1428,7 @@
         played.era = era;
         played.desk.note_era(era);
         let listed = records.iter().map(|(print, record)| {
-            let known = KnownQuarantine {
+            let known = StoredQuarantine {
                 position: StorePosition::new(era, record.revision),
                 tries: record.tries,
                 counted_by: record.counted_by,
@@ -1437,7 +1437,7 @@
             (*print, known)
         });
         let listed: Vec<_> = listed.collect();
-        let lost = played.suspects.take_restored(era, &listed);
+        let lost = played.suspects.reconcile_restored(era, &listed);
         if self.hub_of(to) != to {
             return;
         }
@@ -1458,11 +1458,11 @@
         }
         let now = self.instant();
         let played = &mut self.boxes[place];
-        played.suspects.tidy(now);
+        played.suspects.evict_expired(now);
         played.desk.tidy(now);
         let len = played.suspects.len();
         self.outcome.most_suspects = self.outcome.most_suspects.max(len);
-        let outlived = self.boxes[place].suspects.outlived_quarantines();
+        let outlived = self.boxes[place].suspects.cleared_quarantines();
         if self.hub_of(place) != place || self.has_now(Fault::StoreAway) {
             return;
         }
--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -15,8 +15,8 @@
     ListingUpdate, Stamps,
 };
 use wingspur_state::{
-    Access, Bundle, Directory, DirectoryChange, ServerId, ServerKey, ServerRecord,
-    Standings, StorePosition,
+    AnnouncedStates, Availability, Bundle, RegistryChange, ServerId, ServerKey,
+    ServerRecord, ServerRegistry, StorePosition,
 };
 
 use super::store::Store;
@@ -50,8 +50,8 @@
     disturbed_ms: Ms,
     feed: FeedView,
     recent: RecentChanges,
-    directory: Directory,
-    standings: Standings,
+    directory: ServerRegistry,
+    standings: AnnouncedStates,
     /// The servers that its services know.
     table: BTreeMap<ServerId, ServerRecord>,
     bundle: Option<Arc<Bundle>>,
@@ -893,7 +893,7 @@
         let now = self.instant();
         let played = &mut self.boxes[place];
         played.reading.failures = 0;
-        played.directory.store_returned(now);
+        played.directory.store_recovered(now);
     }
 
     fn pause(&mut self, failures: u32) -> Ms {
@@ -1003,7 +1003,7 @@
         match update {
             CatalogUpdate::Listing(told) if told.listing.position > known => {
                 let doubtful = Duration::from_millis(told.doubtful_ms.into());
-                played.directory.read_by_another(doubtful, now);
+                played.directory.store_read_by_peer(doubtful, now);
                 self.apply_listing(place, (*told).clone());
                 let own = self.boxes[place].listing(now);
                 self.spread(place, &own, true, Some(from));
@@ -1027,7 +1027,7 @@
                 doubtful_ms,
             } => {
                 let doubtful = Duration::from_millis(doubtful_ms.into());
-                played.directory.read_by_another(doubtful, now);
+                played.directory.store_read_by_peer(doubtful, now);
                 let urgent = !changes.changes.is_empty();
                 let update = CatalogUpdate::Changes {
                     changes: changes.clone(),
@@ -1191,7 +1191,7 @@
             played.feed.note(from as u64, &frame.feed, vouched);
         }
         for key in frame.leaving {
-            if played.standings.receive_leaving(key, now) {
+            if played.standings.record_draining(key, now) {
                 for (other, link) in &mut played.links {
                     if *other != from {
                         link.leaving.push(key);
@@ -1288,7 +1288,7 @@
         if let Some(update) = update {
             link.queue.push(&update, true);
         }
-        let leaving = played.standings.leaving().into_iter();
+        let leaving = played.standings.draining().into_iter();
         link.leaving.extend(leaving.map(|(key, _)| key));
     }
 
@@ -1435,8 +1435,8 @@
             disturbed_ms: 0,
             feed: FeedView::new(format!("box-{place}").as_str().into(), now),
             recent: RecentChanges::default(),
-            directory: Directory::default(),
-            standings: Standings::default(),
+            directory: ServerRegistry::default(),
+            standings: AnnouncedStates::default(),
             table: BTreeMap::new(),
             bundle: None,
             links: BTreeMap::new(),
@@ -1465,7 +1465,7 @@
         let is_newer = bundle.is_some_and(|bundle| self.put_in_force(bundle));
         let is_of_this_era = told.listing.position.era() == self.feed.position().era();
         let gone = match is_of_this_era {
-            true => self.directory.hold_back_gone(&told.returned, now),
+            true => self.directory.suppress_stale(&told.returned, now),
             false => Vec::new(),
         };
         self.follow(&gone, now);
@@ -1475,12 +1475,12 @@
     fn knows_more(&self, told: &ListingUpdate) -> bool {
         let bundle = told.listing.bundle.as_ref();
         let has_newer = bundle.is_some_and(|bundle| bundle.version < self.version());
-        let mut returned = self.directory.returned();
+        let mut returned = self.directory.suppressed();
         has_newer || returned.any(|record| !told.returned.contains(&record.id))
     }
 
     fn doubtful_ms(&self, now: Instant) -> u32 {
-        self.directory.doubtful_for(now).as_millis() as u32
+        self.directory.removal_grace_left(now).as_millis() as u32
     }
 
     fn listing(&self, now: Instant) -> CatalogUpdate {
@@ -1494,7 +1494,7 @@
             listing,
             doubtful_ms: self.doubtful_ms(now),
             missing: self.directory.missing().cloned().collect(),
-            returned: self.directory.returned().map(|r| r.id.clone()).collect(),
+            returned: self.directory.suppressed().map(|r| r.id.clone()).collect(),
         }))
     }
 
@@ -1518,25 +1518,25 @@
             CatalogUpdate::Listing(_) => true,
             CatalogUpdate::Changes { changes, .. } => changes.changes.iter().any(brings),
         });
-        let knows_gone = self.directory.returned().next().is_some();
+        let knows_gone = self.directory.suppressed().next().is_some();
         match knows_gone || (newest > bundle_version && !told) {
             true => Some(self.listing(now)),
             false => update,
         }
     }
 
-    fn follow(&mut self, changes: &[DirectoryChange], now: Instant) {
+    fn follow(&mut self, changes: &[RegistryChange], now: Instant) {
         for change in changes {
             match change {
-                DirectoryChange::Put(record)
-                | DirectoryChange::Restarted { record, .. } => {
+                RegistryChange::Updated(record)
+                | RegistryChange::Restarted { record, .. } => {
                     self.standings.announce(record.key());
                     if record.leaving {
-                        self.standings.receive_announced_leaving(record.key(), now);
+                        self.standings.record_catalog_draining(record.key(), now);
                     }
                     self.table.insert(record.id.clone(), record.clone());
                 }
-                DirectoryChange::Gone(record) => {
+                RegistryChange::Removed(record) => {
                     self.standings.withdraw(record.key());
                     self.table.remove(&record.id);
                 }
@@ -1547,7 +1547,7 @@
     fn uses(&self, id: &ServerId, now: Instant) -> bool {
         let record = self.table.get(id);
         record.is_some_and(|record| {
-            self.standings.standing(record.key()).access(now) == Access::Open
+            self.standings.state(record.key()).availability(now) == Availability::Open
         })
     }
 }
--- a/tests/tests/returning.rs
+++ b/tests/tests/returning.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use wingspur_state::{ReturnInputs, ReturnQueue, spare_per_s};
+use wingspur_state::{RetryAfterInputs, RetryAfterSchedule, spare_capacity_per_s};
 
 const BOXES: usize = 40;
 const ROOM_PER_S: f64 = 200.0;
@@ -12,18 +12,19 @@
 /// The callers that come back in each tenth of a second, by priority.
 fn returns_of(callers: usize, seed: u64) -> Vec<[usize; 2]> {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut boxes: Vec<ReturnQueue> = (0..BOXES).map(|_| Default::default()).collect();
+    let mut boxes: Vec<RetryAfterSchedule> =
+        (0..BOXES).map(|_| Default::default()).collect();
     let start = Instant::now();
     let mut returns = vec![[0, 0]; 30];
     for n in 0..callers {
         let refused_at = Duration::from_millis(random.random_range(0..100));
-        let inputs = ReturnInputs {
+        let inputs = RetryAfterInputs {
             priority: (n % 2) as u16,
-            least_wait: Duration::ZERO,
-            spare_per_s: spare_per_s(1_000.0, 1_000.0 - ROOM_PER_S, BOXES),
+            min_queue_wait: Duration::ZERO,
+            spare_per_s: spare_capacity_per_s(1_000.0, 1_000.0 - ROOM_PER_S, BOXES),
         };
         let now = start + refused_at;
-        let wait = boxes[n % BOXES].promise(&inputs, now, &mut random);
+        let wait = boxes[n % BOXES].schedule(&inputs, now, &mut random);
         let tenth = (refused_at + wait).as_millis() as usize / 100;
         returns[tenth][n % 2] += 1;
     }
@@ -42,16 +43,16 @@
 
 #[test]
 fn the_more_urgent_come_back_first() {
-    let mut queue = ReturnQueue::default();
+    let mut queue = RetryAfterSchedule::default();
     let mut random = StdRng::seed_from_u64(1);
     let now = Instant::now();
     let mut promise = |priority| {
-        let inputs = ReturnInputs {
+        let inputs = RetryAfterInputs {
             priority,
-            least_wait: Duration::ZERO,
+            min_queue_wait: Duration::ZERO,
             spare_per_s: 5.0,
         };
-        queue.promise(&inputs, now, &mut random)
+        queue.schedule(&inputs, now, &mut random)
     };
     let urgent = [promise(0), promise(0), promise(0)];
     let other = promise(1);
@@ -63,18 +64,18 @@
 
 #[test]
 fn asking_again_too_soon_gains_no_earlier_place() {
-    let mut queue = ReturnQueue::default();
+    let mut queue = RetryAfterSchedule::default();
     let mut random = StdRng::seed_from_u64(2);
     let start = Instant::now();
-    let inputs = ReturnInputs {
+    let inputs = RetryAfterInputs {
         priority: 1,
-        least_wait: Duration::ZERO,
+        min_queue_wait: Duration::ZERO,
         spare_per_s: 4.0,
     };
     let mut place = start;
     for n in 0..6 {
         let now = start + Duration::from_millis(20 * n);
-        let next = now + queue.promise(&inputs, now, &mut random);
+        let next = now + queue.schedule(&inputs, now, &mut random);
         assert!(next > place);
         place = next;
     }
@@ -82,18 +83,18 @@
 
 #[test]
 fn a_service_without_room_still_takes_some_back_and_none_waits_for_ever() {
-    let per_s = spare_per_s(100.0, 500.0, 10);
+    let per_s = spare_capacity_per_s(100.0, 500.0, 10);
     assert!((0.9..=1.1).contains(&per_s), "{per_s}");
-    let mut queue = ReturnQueue::default();
+    let mut queue = RetryAfterSchedule::default();
     let mut random = StdRng::seed_from_u64(3);
     let now = Instant::now();
     for _ in 0..50 {
-        let inputs = ReturnInputs {
+        let inputs = RetryAfterInputs {
             priority: 0,
-            least_wait: Duration::from_secs(30),
+            min_queue_wait: Duration::from_secs(30),
             spare_per_s: 0.0,
         };
-        let wait = queue.promise(&inputs, now, &mut random);
+        let wait = queue.schedule(&inputs, now, &mut random);
         assert!(wait <= Duration::from_secs(2), "{wait:?}");
     }
 }
--- a/tests/tests/server_limit_values.rs
+++ b/tests/tests/server_limit_values.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use wingspur_protocol::{UnreadableLimit, parse_server_limit};
-use wingspur_state::{LimitChange, ServerLimits};
+use wingspur_state::{ServerLimitChange, ServerLimits};
 
 #[test]
 fn only_plain_decimal_numbers_are_limits() {
@@ -46,7 +46,7 @@
     let at = |ms| start + Duration::from_millis(ms);
     assert_eq!(limits.receive_answer(7, None, at(0)), None);
     let named = limits.receive_answer(7, Some(1.5), at(10));
-    let wanted = LimitChange {
+    let wanted = ServerLimitChange {
         server: 7,
         before: None,
         per_s: Some(1.5),
--- a/tests/tests/service_time.rs
+++ b/tests/tests/service_time.rs
@@ -10,7 +10,7 @@
     let mut time = ServiceTime::new();
     for _ in 0..answers {
         let offset = random.random_range(-half_width..half_width);
-        time.learn((centre.ln() + offset).exp());
+        time.record((centre.ln() + offset).exp());
     }
     time
 }
@@ -19,7 +19,7 @@
 fn a_quantile_is_the_inverse_of_the_survival() {
     let time = learned(1.2, 0.5, 200);
     for share in [0.9, 0.5, 0.1, 0.01] {
-        let back = time.survival(time.ratio_passed_by(share));
+        let back = time.survival(time.ratio_at_survival(share));
         assert!((back - share).abs() < 1e-9, "{share}: {back}");
     }
 }
@@ -28,18 +28,18 @@
 fn the_median_and_the_spread_are_learned() {
     let narrow = learned(0.8, 0.3, 300);
     let wide = learned(0.8, 1.5, 300);
-    let median = narrow.ratio_passed_by(0.5);
+    let median = narrow.ratio_at_survival(0.5);
     assert!((0.7..0.9).contains(&median), "{median}");
-    assert!(narrow.ratio_passed_by(0.05) < 1.6);
-    assert!(wide.ratio_passed_by(0.05) > 2.5);
+    assert!(narrow.ratio_at_survival(0.05) < 1.6);
+    assert!(wide.ratio_at_survival(0.05) > 2.5);
 }
 
 #[test]
 fn one_straggler_does_not_stretch_what_is_usual() {
     let mut time = learned(1.0, 0.3, 100);
-    let before = time.ratio_passed_by(0.05);
-    time.learn(20.0);
-    assert!(time.ratio_passed_by(0.05) < 1.3 * before);
+    let before = time.ratio_at_survival(0.05);
+    time.record(20.0);
+    assert!(time.ratio_at_survival(0.05) < 1.3 * before);
 }
 
 #[test]
--- a/tests/tests/standing.rs
+++ b/tests/tests/standing.rs
@@ -5,7 +5,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::{
-    Access, Balancer, ServerRecord, ServerStanding, ServicePresent, Standings, Want,
+    AnnouncedState, AnnouncedStates, Availability, Balancer, PickRequest, ServerRecord,
+    ServiceLoad,
 };
 
 const RUN: u64 = 7;
@@ -47,7 +48,7 @@
     Event::OtherForgotten,
 ];
 
-fn happen(standings: &mut Standings, event: Event, now: Instant) {
+fn happen(standings: &mut AnnouncedStates, event: Event, now: Instant) {
     match event {
         Event::Withdrawn => standings.withdraw(RUN),
         Event::Announced => standings.announce(RUN),
@@ -58,9 +59,9 @@
             standings.receive_backoff(RUN, now + Duration::from_millis(ms));
         }
         Event::Leaves => {
-            standings.receive_leaving(RUN, now);
+            standings.record_draining(RUN, now);
         }
-        Event::AnnouncedLeaving => standings.receive_announced_leaving(RUN, now),
+        Event::AnnouncedLeaving => standings.record_catalog_draining(RUN, now),
         Event::OtherForgotten => standings.forget(OTHER_RUN),
     }
 }
@@ -95,13 +96,13 @@
     }
 }
 
-fn name(access: Access) -> &'static str {
+fn name(access: Availability) -> &'static str {
     match access {
-        Access::Open => "open",
-        Access::WithPlace(_) => "with place",
-        Access::LastResort(_) => "last resort",
-        Access::NotBefore(_) => "rests",
-        Access::Closed => "closed",
+        Availability::Open => "open",
+        Availability::RequiresQuota(_) => "with place",
+        Availability::LastResort(_) => "last resort",
+        Availability::BackoffUntil(_) => "rests",
+        Availability::Unavailable => "closed",
     }
 }
 
@@ -112,7 +113,7 @@
     let start = Instant::now();
     for seed in 0..50 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut standings = Standings::default();
+        let mut standings = AnnouncedStates::default();
         let mut history = Vec::new();
         let mut ms = 0;
         for _ in 0..40 {
@@ -126,7 +127,7 @@
             happen(&mut standings, event, at(start, ms));
             history.push((ms, event));
             ms += random.random_range(0..700);
-            let access = standings.standing(RUN).access(at(start, ms));
+            let access = standings.state(RUN).availability(at(start, ms));
             let told = expected(&history, ms);
             assert_eq!(name(access), told, "seed {seed}, {ms} ms: {history:?}");
         }
@@ -137,13 +138,13 @@
 #[test]
 fn the_next_run_is_bound_by_nothing() {
     let now = Instant::now();
-    let mut standings = Standings::default();
-    standings.receive_leaving(RUN, now);
+    let mut standings = AnnouncedStates::default();
+    standings.record_draining(RUN, now);
     standings.receive_backoff(RUN, now + Duration::from_secs(60));
     standings.limits.receive_answer(RUN, Some(1.0), now);
     standings.forget(RUN);
-    assert_eq!(standings.standing(RUN), ServerStanding::default());
-    assert_eq!(standings.standing(OTHER_RUN), ServerStanding::default());
+    assert_eq!(standings.state(RUN), AnnouncedState::default());
+    assert_eq!(standings.state(OTHER_RUN), AnnouncedState::default());
 }
 
 /// What was said of runs that never come back takes bounded room, and an announced run keeps
@@ -151,22 +152,28 @@
 #[test]
 fn words_of_runs_that_are_gone_are_bounded() {
     let now = Instant::now();
-    let mut standings = Standings::default();
-    standings.receive_leaving(RUN, now);
+    let mut standings = AnnouncedStates::default();
+    standings.record_draining(RUN, now);
     standings.announce(RUN);
     for run in 100..20_000 {
-        standings.receive_leaving(run, now);
+        standings.record_draining(run, now);
         standings.withdraw(run);
     }
-    assert_eq!(standings.leaving().len(), 8_192 + 1);
+    assert_eq!(standings.draining().len(), 8_192 + 1);
     let later = now + Duration::from_secs(2);
-    assert_eq!(standings.standing(RUN).access(later), Access::Closed);
-    assert_eq!(standings.standing(19_999).access(later), Access::Closed);
+    assert_eq!(
+        standings.state(RUN).availability(later),
+        Availability::Unavailable
+    );
+    assert_eq!(
+        standings.state(19_999).availability(later),
+        Availability::Unavailable
+    );
     // Others tell of runs that this box never knew.
     for run in 30_000..50_000 {
-        standings.receive_leaving(run, now);
+        standings.record_draining(run, now);
     }
-    assert_eq!(standings.leaving().len(), 8_192 + 1);
+    assert_eq!(standings.draining().len(), 8_192 + 1);
 }
 
 fn record(n: usize) -> ServerRecord {
@@ -182,16 +189,16 @@
     }
 }
 
-fn want(requests_per_s: f64) -> Want<'static> {
-    Want {
-        repeatable: true,
-        typical: Duration::from_millis(200),
-        crossing: Duration::from_millis(30),
+fn want(requests_per_s: f64) -> PickRequest<'static> {
+    PickRequest {
+        retry_safe: true,
+        typical_latency: Duration::from_millis(200),
+        cross_data_centre_cost: Duration::from_millis(30),
         tried: &[],
-        present: ServicePresent {
+        service_load: ServiceLoad {
             requests_per_s,
-            lost_share: 0.3,
-            unseen: 0.0,
+            failure_ratio: 0.3,
+            unreported_requests: 0.0,
         },
     }
 }
@@ -202,15 +209,15 @@
 fn no_way_leads_to_a_server_that_rests_or_leaves() {
     let start = Instant::now();
     let mut balancer = Balancer::new("dc-1".into());
-    let mut standings = Standings::default();
+    let mut standings = AnnouncedStates::default();
     for n in 0..3 {
-        balancer.put(record(n), start);
+        balancer.upsert(record(n), start);
     }
     let (rests, leaves) = (record(0).key(), record(1).key());
     standings.receive_backoff(rests, at(start, 8_000));
-    standings.receive_announced_leaving(leaves, start);
+    standings.record_catalog_draining(leaves, start);
     for server in [rests, leaves] {
-        balancer.set_standing(server, standings.standing(server));
+        balancer.set_announced_state(server, standings.state(server));
     }
     let random = &mut StdRng::seed_from_u64(1);
     // The others were unused for seconds: tries for the floor go to none of them.
@@ -219,9 +226,13 @@
         let want = want(50.0);
         let pick = balancer.pick(&want, now, random).expect("one is open");
         assert_eq!(pick.server.id, "i-2", "{ms} ms");
-        assert!(balancer.due_limited(&want, now, random).is_empty());
-        assert!(balancer.limited_by_doubt(&want, now, random).is_empty());
-        assert!(balancer.pick_leaving(&want, now, random).is_none());
+        assert!(balancer.sample_rate_limited(&want, now, random).is_empty());
+        assert!(
+            balancer
+                .rate_limited_by_failure_probability(&want, now, random)
+                .is_empty()
+        );
+        assert!(balancer.pick_draining(&want, now, random).is_none());
         assert!(!balancer.may_send(rests, now) && !balancer.may_send(leaves, now));
     }
     let now = at(start, 8_000);
@@ -241,18 +252,18 @@
 fn the_first_that_is_back_tells_when_to_come_again() {
     let start = Instant::now();
     let mut balancer = Balancer::new("dc-1".into());
-    let mut standings = Standings::default();
+    let mut standings = AnnouncedStates::default();
     for (n, ms) in [(0, 700), (1, 10_000)] {
-        balancer.put(record(n), start);
+        balancer.upsert(record(n), start);
         standings.receive_backoff(record(n).key(), at(start, ms));
-        let standing = standings.standing(record(n).key());
-        balancer.set_standing(record(n).key(), standing);
+        let standing = standings.state(record(n).key());
+        balancer.set_announced_state(record(n).key(), standing);
     }
     let want = want(50.0);
-    let back = balancer.soonest_back(&want, start);
+    let back = balancer.shortest_backoff(&want, start);
     assert_eq!(back, Some(Duration::from_millis(700)));
-    assert_eq!(balancer.least_wait(&want, start), back);
-    let both = balancer.capacity_per_s(want.typical, at(start, 10_000));
-    let first = balancer.capacity_per_s(want.typical, start);
+    assert_eq!(balancer.min_queue_wait(&want, start), back);
+    let both = balancer.capacity_per_s(want.typical_latency, at(start, 10_000));
+    let first = balancer.capacity_per_s(want.typical_latency, start);
     assert!((both / first - 2.0).abs() < 0.01, "{first} of {both}");
 }
--- a/tests/tests/suspects.rs
+++ b/tests/tests/suspects.rs
@@ -4,7 +4,7 @@
 
 use wingspur_coordination::{CountOutcome, DeskStep, MOST_TRIES, QuarantineDesk};
 use wingspur_state::{
-    KnownQuarantine, REMEMBERED, RequestFingerprint, RequestParts, StorePosition,
+    RequestFingerprint, RequestParts, SUSPECT_RETENTION, StorePosition, StoredQuarantine,
     SuspectEvent, SuspectRequests, SuspectUpdate,
 };
 
@@ -37,8 +37,8 @@
     }
 }
 
-fn known(revision: u64, tries: u32, heard: Instant) -> KnownQuarantine {
-    KnownQuarantine {
+fn known(revision: u64, tries: u32, heard: Instant) -> StoredQuarantine {
+    StoredQuarantine {
         position: StorePosition::new(0, revision),
         tries,
         counted_by: 7,
@@ -49,8 +49,8 @@
 /// A box that knows of two servers that ended under a request.
 fn quarantined(name: &str, now: Instant) -> SuspectRequests {
     let mut suspects = SuspectRequests::default();
-    suspects.take_in(&ended(name, 1, now), now);
-    suspects.take_in(&ended(name, 2, now), now);
+    suspects.apply_update(&ended(name, 1, now), now);
+    suspects.apply_update(&ended(name, 2, now), now);
     suspects
 }
 
@@ -58,24 +58,24 @@
 fn two_servers_quarantine_a_request_and_one_whole_answer_clears_it() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    assert!(suspects.take_in(&ended("a", 1, now), now));
+    assert!(suspects.apply_update(&ended("a", 1, now), now));
     assert!(
-        !suspects.take_in(&ended("a", 1, now), now),
+        !suspects.apply_update(&ended("a", 1, now), now),
         "the same server"
     );
     assert!(!suspects.is_quarantined(request("a"), now));
-    assert!(suspects.take_in(&ended("a", 2, now), now));
+    assert!(suspects.apply_update(&ended("a", 2, now), now));
     assert!(suspects.is_quarantined(request("a"), now));
     assert!(!suspects.is_quarantined(request("b"), now));
-    assert!(suspects.take_in(&answered("a", now + SECOND), now + SECOND));
+    assert!(suspects.apply_update(&answered("a", now + SECOND), now + SECOND));
     assert!(!suspects.is_quarantined(request("a"), now + SECOND));
     // News of what was before comes late, and changes nothing.
-    assert!(!suspects.take_in(&ended("a", 3, now), now + SECOND));
+    assert!(!suspects.apply_update(&ended("a", 3, now), now + SECOND));
     // What comes after counts anew.
     let later = now + 10 * SECOND;
-    suspects.take_in(&ended("a", 4, later), later);
+    suspects.apply_update(&ended("a", 4, later), later);
     assert!(!suspects.is_quarantined(request("a"), later));
-    suspects.take_in(&ended("a", 5, later), later);
+    suspects.apply_update(&ended("a", 5, later), later);
     assert!(suspects.is_quarantined(request("a"), later));
 }
 
@@ -83,20 +83,20 @@
 fn a_popular_request_is_cleared_by_an_answer_of_a_moment_before() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    assert!(!suspects.note_answered(request("popular"), now));
+    assert!(!suspects.record_complete_answer(request("popular"), now));
     for server in 0..5 {
-        suspects.take_in(&ended("popular", server, now + SECOND), now + SECOND);
+        suspects.apply_update(&ended("popular", server, now + SECOND), now + SECOND);
     }
     let heard = now + SECOND;
     let before = suspects.answered_before(request("popular"), heard);
     assert_eq!(before, Some(now), "others should hear of it");
-    suspects.take_in(&answered("popular", now), heard);
+    suspects.apply_update(&answered("popular", now), heard);
     assert!(!suspects.is_quarantined(request("popular"), heard));
     // Long before, it tells nothing: servers were replaced since, maybe.
     let later = now + 20 * SECOND;
-    suspects.tidy(later);
-    suspects.take_in(&ended("popular", 8, later), later);
-    suspects.take_in(&ended("popular", 9, later), later);
+    suspects.evict_expired(later);
+    suspects.apply_update(&ended("popular", 8, later), later);
+    suspects.apply_update(&ended("popular", 9, later), later);
     assert_eq!(suspects.answered_before(request("popular"), later), None);
     assert!(suspects.is_quarantined(request("popular"), later));
 }
@@ -105,33 +105,29 @@
 fn what_the_store_holds_is_known_to_a_box_that_starts() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    suspects.put_quarantine(request("a"), known(5, 1, now));
+    suspects.apply_quarantine(request("a"), known(5, 1, now));
     assert!(suspects.is_quarantined(request("a"), now));
     // An older revision is old news.
-    suspects.put_quarantine(request("a"), known(4, 0, now));
+    suspects.apply_quarantine(request("a"), known(4, 0, now));
     assert_eq!(suspects.quarantine(request("a")).map(|q| q.tries), Some(1));
-    suspects.take_in(&answered("a", now + SECOND), now + SECOND);
+    suspects.apply_update(&answered("a", now + SECOND), now + SECOND);
     assert!(!suspects.is_quarantined(request("a"), now + SECOND));
-    assert_eq!(
-        suspects.outlived_quarantines().len(),
-        1,
-        "it is to be ended"
-    );
+    assert_eq!(suspects.cleared_quarantines().len(), 1, "it is to be ended");
     suspects.remove_quarantine(request("a"));
-    assert!(suspects.outlived_quarantines().is_empty());
+    assert!(suspects.cleared_quarantines().is_empty());
 }
 
 #[test]
 fn tries_counted_before_a_store_restore_still_count() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    let at = |era, revision, tries| KnownQuarantine {
+    let at = |era, revision, tries| StoredQuarantine {
         position: StorePosition::new(era, revision),
         ..known(revision, tries, now)
     };
-    suspects.put_quarantine(request("a"), at(1, 9, 2));
+    suspects.apply_quarantine(request("a"), at(1, 9, 2));
     // The copy is of before the second try.
-    suspects.put_quarantine(request("a"), at(2, 7, 1));
+    suspects.apply_quarantine(request("a"), at(2, 7, 1));
     let stands = suspects
         .quarantine(request("a"))
         .expect("it is in quarantine");
@@ -145,19 +141,19 @@
 fn quarantine_that_a_restored_store_lacks_goes_on_and_is_written_again() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    let at = |revision, tries| KnownQuarantine {
+    let at = |revision, tries| StoredQuarantine {
         position: StorePosition::new(1, revision),
         ..known(revision, tries, now)
     };
     for (name, tries) in [("lost", 2), ("behind", 3), ("held", 1)] {
-        suspects.put_quarantine(request(name), at(9, tries));
+        suspects.apply_quarantine(request(name), at(9, tries));
     }
     let held = |name: &str, tries| {
         let position = StorePosition::new(2, 5);
         let listed = known(5, tries, now + SECOND);
-        (request(name), KnownQuarantine { position, ..listed })
+        (request(name), StoredQuarantine { position, ..listed })
     };
-    let lost = suspects.take_restored(2, &[held("behind", 1), held("held", 1)]);
+    let lost = suspects.reconcile_restored(2, &[held("behind", 1), held("held", 1)]);
     let mut lost: Vec<_> = lost
         .into_iter()
         .map(|(request, known)| (request, known.tries, known.position))
@@ -175,38 +171,37 @@
 fn request_cleared_before_a_store_restore_stays_cleared() {
     let now = Instant::now();
     let mut suspects = quarantined("a", now);
-    suspects.put_quarantine(request("a"), known(5, 3, now));
-    suspects.take_in(&answered("a", now + SECOND), now + SECOND);
+    suspects.apply_quarantine(request("a"), known(5, 3, now));
+    suspects.apply_update(&answered("a", now + SECOND), now + SECOND);
     suspects.remove_quarantine(request("a"));
     // The copy still holds it, and comes long after the answer.
     let later = now + 20 * SECOND;
-    let listed = KnownQuarantine {
+    let listed = StoredQuarantine {
         position: StorePosition::new(1, 5),
         ..known(5, 3, later)
     };
-    assert_eq!(suspects.take_restored(1, &[(request("a"), listed)]), []);
-    assert!(!suspects.is_quarantined(request("a"), later));
     assert_eq!(
-        suspects.outlived_quarantines().len(),
-        1,
-        "it is to be ended"
+        suspects.reconcile_restored(1, &[(request("a"), listed)]),
+        []
     );
+    assert!(!suspects.is_quarantined(request("a"), later));
+    assert_eq!(suspects.cleared_quarantines().len(), 1, "it is to be ended");
 }
 
 #[test]
 fn condition_of_an_era_that_is_over_is_not_written_on() {
     let now = Instant::now();
     let mut suspects = quarantined("a", now);
-    let of_era = |era| KnownQuarantine {
+    let of_era = |era| StoredQuarantine {
         position: StorePosition::new(era, 5),
         ..known(5, 1, now - 10 * SECOND)
     };
-    suspects.put_quarantine(request("a"), of_era(1));
+    suspects.apply_quarantine(request("a"), of_era(1));
     let mut desk = QuarantineDesk::new(7);
     desk.note_era(2);
     let step = desk.ask(request("a"), &suspects, now);
     assert!(matches!(step, DeskStep::Later(_)), "{step:?}");
-    suspects.take_restored(2, &[(request("a"), of_era(2))]);
+    suspects.reconcile_restored(2, &[(request("a"), of_era(2))]);
     let step = desk.ask(request("a"), &suspects, now);
     assert!(
         matches!(step, DeskStep::Count(count) if count.tries == 2),
@@ -220,15 +215,15 @@
     let mut suspects = quarantined("worst", now);
     for n in 0..10_000 {
         let at = now + Duration::from_millis(n);
-        suspects.take_in(&ended(&format!("page-{n}"), 100 + n, at), at);
+        suspects.apply_update(&ended(&format!("page-{n}"), 100 + n, at), at);
     }
     assert!(suspects.len() <= 2_048, "{}", suspects.len());
     let later = now + 10 * SECOND;
     assert!(suspects.is_quarantined(request("worst"), later));
-    let greeting = suspects.greeting(later);
+    let greeting = suspects.initial_updates(later);
     assert!(greeting.len() <= 64, "{}", greeting.len());
     assert_eq!(greeting[0].request, request("worst"));
-    suspects.tidy(now + REMEMBERED + 10 * SECOND);
+    suspects.evict_expired(now + SUSPECT_RETENTION + 10 * SECOND);
     assert!(suspects.is_empty());
 }
 
@@ -236,12 +231,17 @@
 fn a_broken_attempt_counts_once_its_server_has_gone() {
     let now = Instant::now();
     let mut suspects = SuspectRequests::default();
-    suspects.note_broken(request("a"), 1, now);
-    suspects.note_broken(request("b"), 2, now);
-    let updates = suspects.take_broken(1, now + 5 * SECOND);
+    suspects.record_broken_attempt(request("a"), 1, now);
+    suspects.record_broken_attempt(request("b"), 2, now);
+    let updates = suspects.take_broken_attempts(1, now + 5 * SECOND);
     assert_eq!(updates, [ended("a", 1, now)]);
-    assert!(suspects.take_broken(1, now + 5 * SECOND).is_empty(), "once");
-    let late = suspects.take_broken(2, now + 60 * SECOND);
+    assert!(
+        suspects
+            .take_broken_attempts(1, now + 5 * SECOND)
+            .is_empty(),
+        "once"
+    );
+    let late = suspects.take_broken_attempts(2, now + 60 * SECOND);
     assert!(late.is_empty(), "it ended for another reason");
 }
 
@@ -250,7 +250,7 @@
 fn all_boxes_together_let_a_request_through_three_times() {
     let now = Instant::now();
     let a = request("a");
-    let mut stands: Option<KnownQuarantine> = None;
+    let mut stands: Option<StoredQuarantine> = None;
     let mut lent = 0;
     let mut desks: Vec<_> = (0..5).map(QuarantineDesk::new).collect();
     for round in 0..20 {
@@ -259,7 +259,7 @@
             let mut suspects = quarantined("a", now);
             // Every other box has heard nothing of what the others did.
             if let Some(known) = stands.filter(|_| n % 2 == 0) {
-                suspects.put_quarantine(a, known);
+                suspects.apply_quarantine(a, known);
             }
             let DeskStep::Count(count) = desk.ask(a, &suspects, at) else {
                 continue;
@@ -312,7 +312,7 @@
     let step = desk.counted(a, CountOutcome::Unknown, true, now);
     assert_eq!(step, DeskStep::Lend, "on its own account");
     // The store held it after all, and tells so.
-    suspects.put_quarantine(a, known(1, 1, now));
+    suspects.apply_quarantine(a, known(1, 1, now));
     let DeskStep::Count(count) = desk.ask(a, &suspects, now + 5 * SECOND) else {
         panic!("there are two more");
     };
@@ -324,10 +324,10 @@
     let now = Instant::now();
     let mut suspects = quarantined("beside", now);
     for server in 1..4 {
-        suspects.take_in(&ended("fatal", server, now), now);
+        suspects.apply_update(&ended("fatal", server, now), now);
     }
     let tried = now + SECOND;
-    suspects.put_quarantine(request("fatal"), known(3, 1, tried));
+    suspects.apply_quarantine(request("fatal"), known(3, 1, tried));
     let mut desk = QuarantineDesk::new(7);
     let step = desk.ask(request("beside"), &suspects, tried);
     assert!(
--- a/tests/tests/words_play.rs
+++ b/tests/tests/words_play.rs
@@ -8,8 +8,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::{
-    AttemptId, Balancer, Ended, Expected, Pick, ServerKey, ServerRecord, ServerTally,
-    ServicePresent, ServiceTime, Standings, Want,
+    AnnouncedStates, AttemptId, Balancer, ExpectedLatency, HealthOutcome, Pick,
+    PickRequest, ServerKey, ServerRecord, ServerTally, ServiceLoad, ServiceTime,
 };
 
 const SERVERS: usize = 12;
@@ -105,7 +105,7 @@
 struct Answer {
     due_ms: u64,
     sent: Sent,
-    ended: Ended,
+    ended: HealthOutcome,
     rest_ms: Option<u64>,
     leaves: bool,
 }
@@ -113,7 +113,7 @@
 struct SimBox {
     life: u64,
     balancer: Balancer,
-    standings: Standings,
+    standings: AnnouncedStates,
     /// What the box has heard, kept here by itself: until when a run rests, since when it
     /// leaves.
     heard: HashMap<ServerKey, (u64, Option<u64>)>,
@@ -233,7 +233,7 @@
         let mut fresh = SimBox {
             life: self.lives,
             balancer: Balancer::new("dc-1".into()),
-            standings: Standings::default(),
+            standings: AnnouncedStates::default(),
             heard: HashMap::new(),
             remote: BTreeMap::new(),
             waiting: Vec::new(),
@@ -322,22 +322,22 @@
     fn request(&mut self, place: usize, tried: Option<ServerKey>, patience_ms: u64) {
         let now = self.now();
         let tried: Vec<_> = tried.into_iter().collect();
-        let want = Want {
-            repeatable: true,
-            typical: Duration::from_millis(WORK_MS),
-            crossing: Duration::ZERO,
+        let want = PickRequest {
+            retry_safe: true,
+            typical_latency: Duration::from_millis(WORK_MS),
+            cross_data_centre_cost: Duration::ZERO,
             tried: &tried,
-            present: ServicePresent {
+            service_load: ServiceLoad {
                 requests_per_s: 100.0,
-                lost_share: 0.0,
-                unseen: 0.0,
+                failure_ratio: 0.0,
+                unreported_requests: 0.0,
             },
         };
         let balancer = &self.boxes[place].balancer;
         let pick = balancer.pick(&want, now, &mut self.random);
         let waits_long = |pick: &Pick| pick.wait_ms > WORK_MS as f64;
         let leaving = match pick.as_ref().is_none_or(waits_long) && tried.is_empty() {
-            true => balancer.pick_leaving(&want, now, &mut self.random),
+            true => balancer.pick_draining(&want, now, &mut self.random),
             false => None,
         };
         let leaving = leaving.filter(|leaving| {
@@ -348,7 +348,7 @@
         if let Some(pick) = leaving.or(pick) {
             return self.send(place, &pick, is_leaving, !tried.is_empty());
         }
-        let back = balancer.soonest_back(&want, now);
+        let back = balancer.shortest_backoff(&want, now);
         let back_ms = back.map(|back| back.as_millis() as u64);
         if let Some(back_ms) = back_ms.filter(|back_ms| *back_ms <= patience_ms) {
             let spread = self.random.random_range(0..50);
@@ -384,9 +384,9 @@
             self.outcome.sent_to_leaving_in_vain += u64::from(in_vain);
         }
         let sim = &mut self.boxes[place];
-        let expected = Expected {
-            usual_ms: pick.usual_ms,
-            well_ms: pick.well_ms,
+        let expected = ExpectedLatency {
+            baseline_ms: pick.baseline_ms,
+            healthy_ms: pick.healthy_ms,
             service_time: ServiceTime::new(),
         };
         let attempt = sim.balancer.begin(key, expected, now);
@@ -412,15 +412,15 @@
             let needy = self.setting.speaks(sent.server, self.now_ms);
             let server = &mut self.servers[sent.server];
             if !server.is_up || server.key != sent.key {
-                self.answer(sent, Ended::Unreached, None);
+                self.answer(sent, HealthOutcome::Unreached, None);
             } else if needy && self.setting.rest_ms.is_some() {
-                self.answer(sent, Ended::Refused, self.setting.rest_ms);
+                self.answer(sent, HealthOutcome::Refused, self.setting.rest_ms);
             } else if server.running.len() < SLOTS {
                 server.running.push((self.now_ms + WORK_MS, sent));
             } else if server.waiting.len() < QUEUE {
                 server.waiting.push_back(sent);
             } else {
-                self.answer(sent, Ended::Refused, None);
+                self.answer(sent, HealthOutcome::Refused, None);
             }
         }
     }
@@ -437,12 +437,12 @@
                 if let Some(next) = self.servers[n].waiting.pop_front() {
                     self.servers[n].running.push((now_ms + WORK_MS, next));
                 }
-                self.answer(sent, Ended::Good, None);
+                self.answer(sent, HealthOutcome::Good, None);
             }
         }
     }
 
-    fn answer(&mut self, sent: Sent, ended: Ended, rest_ms: Option<u64>) {
+    fn answer(&mut self, sent: Sent, ended: HealthOutcome, rest_ms: Option<u64>) {
         let due_ms = self.now_ms + self.random.random_range(1..5);
         let server = &mut self.servers[sent.server];
         let leaves = server.leaves_since.is_some();
@@ -450,7 +450,7 @@
             server.backoff_until_ms = server.backoff_until_ms.max(due_ms + rest_ms);
             server.used_again_ms = None;
         }
-        if ended == Ended::Good && self.now_ms >= server.backoff_until_ms {
+        if ended == HealthOutcome::Good && self.now_ms >= server.backoff_until_ms {
             server.used_again_ms.get_or_insert(self.now_ms);
         }
         self.answers.push(Answer {
@@ -458,7 +458,7 @@
             sent,
             ended,
             rest_ms,
-            leaves: leaves && ended == Ended::Good,
+            leaves: leaves && ended == HealthOutcome::Good,
         });
     }
 
@@ -479,7 +479,7 @@
             let sim = &mut self.boxes[sent.place];
             sim.balancer.end(sent.attempt, answer.ended, now);
             match answer.ended {
-                Ended::Good => self.outcome.served += 1,
+                HealthOutcome::Good => self.outcome.served += 1,
                 _ if !sent.resend => self.request(sent.place, Some(key), 0),
                 _ => self.outcome.refused += 1,
             }
@@ -498,10 +498,10 @@
         }
         if answer.leaves {
             heard.1 = heard.1.or(Some(now_ms));
-            sim.standings.receive_leaving(key, now);
+            sim.standings.record_draining(key, now);
         }
-        let standing = sim.standings.standing(key);
-        sim.balancer.set_standing(key, standing);
+        let standing = sim.standings.state(key);
+        sim.balancer.set_announced_state(key, standing);
     }
 
     /// How long the servers were idle after their last rests, at most.
@@ -544,9 +544,9 @@
 
 fn announce(sim: &mut SimBox, record: &ServerRecord, now: Instant) {
     sim.standings.announce(record.key());
-    sim.balancer.put(record.clone(), now);
-    let standing = sim.standings.standing(record.key());
-    sim.balancer.set_standing(record.key(), standing);
+    sim.balancer.upsert(record.clone(), now);
+    let standing = sim.standings.state(record.key());
+    sim.balancer.set_announced_state(record.key(), standing);
 }
 
 fn withdraw(sim: &mut SimBox, server: ServerKey) {
