--- a/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
+++ b/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use wingspur_bench::{DecisionRow, Scenario, service_of};
-use wingspur_coordination::{Membership, MembershipSettings, Roster};
+use wingspur_coordination::{Membership, MembershipSettings, RendezvousSet};
 use wingspur_protocol::{BoxList, BoxState, ListedBox, Manifest};
 use wingspur_state::{
     AccountLimiter, AttemptOutcome, Bundle, CallerLimits, EvidenceEntry, EvidenceReport,
@@ -131,7 +131,7 @@
     let region = Region::new(ALLOCATOR);
     let mut membership =
         Membership::new("box-0".to_owned(), MembershipSettings::default());
-    membership.set_list(&list);
+    membership.update_listed(&list);
     let bytes = held(&region);
     let mut now = Instant::now();
     let mut lot = 0u64;
@@ -139,17 +139,17 @@
         now += Duration::from_millis(500);
         lot = lot.wrapping_add(77);
         black_box(membership.begin_round(lot, now));
-        black_box(membership.live(now));
+        black_box(membership.live_boxes(now));
     });
     row("membership round", size, bytes, operation_us)
 }
 
 fn placement(size: usize) -> DecisionRow {
     let region = Region::new(ALLOCATOR);
-    let roster = Roster::new(boxes(size).into_iter().map(|listed| listed.id));
+    let roster = RendezvousSet::new(boxes(size).into_iter().map(|listed| listed.id));
     let bytes = held(&region);
     let operation_us = time_us(|| {
-        black_box(roster.holder("judge/exam-pages"));
+        black_box(roster.owner("judge/exam-pages"));
     });
     row("placement", size, bytes, operation_us)
 }
--- a/crates/wingspur-coordination/src/announcement.rs
+++ b/crates/wingspur-coordination/src/announcement.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AnnouncementInputs {
     /// Announced boxes of its data centre that go before it as a hub.
-    pub before: usize,
+    pub ranked_before: usize,
     /// What it can carry for others, in shares of the least box that is planned for.
     pub capacity: u32,
     /// Whether it is announced.
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncementStep {
     /// It stays as it is.
-    Stay,
+    Keep,
     /// It is announced, unless others are within this time.
     AnnounceWithin(Duration),
     /// Its lease may lapse: others stand before it.
@@ -36,15 +36,15 @@
 /// ones, so that these are announced when the others ask themselves.
 pub fn announcement_step(inputs: &AnnouncementInputs) -> AnnouncementStep {
     if inputs.announced {
-        return match inputs.before < LAPSING_BEFORE {
-            true => AnnouncementStep::Stay,
+        return match inputs.ranked_before < LAPSING_BEFORE {
+            true => AnnouncementStep::Keep,
             false => AnnouncementStep::Lapse,
         };
     }
-    let span = match inputs.before {
+    let span = match inputs.ranked_before {
         0 => SPAN_WITHOUT_ANY,
         before if before < CANDIDATES => SPAN_WITH_SOME,
-        _ => return AnnouncementStep::Stay,
+        _ => return AnnouncementStep::Keep,
     };
     AnnouncementStep::AnnounceWithin(span / inputs.capacity.max(1))
 }
@@ -52,14 +52,14 @@
 /// Whether a box that starts lists the whole catalog at once, rather than wait for its hub
 /// to tell it: it may be the hub that others wait for. `was_announced` tells whether it
 /// still is from its last run, `before` how many boxes go before it as the hub.
-pub fn lists_at_start(was_announced: bool, before: usize) -> bool {
+pub fn lists_catalog_at_start(was_announced: bool, before: usize) -> bool {
     was_announced || before < CANDIDATES
 }
 
 /// Whether a box that has just started waits for its hub's listing, rather than list the
 /// catalog itself: only for a hub that has one, and for a bounded time since its start. A
 /// hub may have just started too, or the store may turn it away.
-pub fn waits_for_hub_listing(hub_has_catalog: bool, since_start: Duration) -> bool {
+pub fn waits_for_hub_snapshot(hub_has_catalog: bool, since_start: Duration) -> bool {
     hub_has_catalog && since_start < LISTING_WAIT
 }
 
--- a/crates/wingspur-coordination/src/fleet_census.rs
+++ b/crates/wingspur-coordination/src/box_registry.rs
@@ -15,7 +15,7 @@
 /// is used by nobody. A box that starts again keeps its key: its new run uses its part only
 /// once its former one cannot any more.
 #[derive(Debug)]
-pub struct FleetCensus {
+pub struct BoxRegistry {
     links: BTreeMap<LinkId, LinkCensus>,
     /// Over how many links each box is counted now.
     present: HashMap<BoxKey, u32>,
@@ -35,7 +35,7 @@
     told: Option<BTreeSet<BoxKey>>,
 }
 
-impl FleetCensus {
+impl BoxRegistry {
     /// Counts this box only.
     pub fn new(own: BoxKey) -> Self {
         Self {
--- a/crates/wingspur-coordination/src/feed_view.rs
+++ b/crates/wingspur-coordination/src/catalog_freshness.rs
@@ -10,7 +10,7 @@
 
 /// What is known of the catalog's freshness.
 #[derive(Debug)]
-pub struct FeedView {
+pub struct CatalogFreshnessTracker {
     own: BoxId,
     /// Up to where the store's history is known.
     position: StorePosition,
@@ -47,7 +47,7 @@
     Older,
 }
 
-impl FeedView {
+impl CatalogFreshnessTracker {
     /// Nothing known yet.
     pub fn new(own: BoxId, now: Instant) -> Self {
         let place = hash_of(&own) as f64 / u64::MAX as f64;
@@ -95,7 +95,7 @@
     }
 
     /// Notes that all changes up to a position are known.
-    pub fn reach(&mut self, position: StorePosition) {
+    pub fn advance_to(&mut self, position: StorePosition) {
         self.position = self.position.max(position);
         self.era = self.era.max(position.era());
     }
@@ -113,7 +113,7 @@
 
     /// Whether this box may leave it to another, which tries in vain, to try again soon; a
     /// hub never may.
-    pub fn may_leave_it(&self, is_hub: bool) -> bool {
+    pub fn may_defer_read(&self, is_hub: bool) -> bool {
         !is_hub && !self.trying.is_empty()
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Notes what the other side of a link says.
-    pub fn note(&mut self, link: LinkId, state: &FeedState, now: Instant) {
+    pub fn receive(&mut self, link: LinkId, state: &FeedState, now: Instant) {
         match state.tries {
             true => self.trying.insert(link),
             false => self.trying.remove(&link),
@@ -182,7 +182,7 @@
     }
 
     /// How old the newest news is, whoever read it.
-    pub fn news_age(&self, now: Instant) -> Duration {
+    pub fn staleness(&self, now: Instant) -> Duration {
         let theirs = self.links.values().map(|(_, at)| *at);
         let known = theirs.chain(self.own_fresh).chain([self.unfed_since]);
         let newest = known.max().unwrap_or(self.unfed_since);
@@ -191,21 +191,26 @@
 
     /// How old the newest reading of the store is that has reached this box; none before
     /// any has.
-    pub fn vouched_age(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmed_age(&self, now: Instant) -> Option<Duration> {
         let theirs = self.links.values().map(|(_, at)| *at);
         let newest = theirs.chain(self.own_fresh).max()?;
         Some(now.saturating_duration_since(newest))
     }
 
     /// Whether the news is later than usual.
-    pub fn is_late(&self, now: Instant) -> bool {
-        self.news_age(now) > LATE_NEWS
+    pub fn is_lagging(&self, now: Instant) -> bool {
+        self.staleness(now) > LATE_NEWS
     }
 
     /// Whether this box should read the store itself: the hub always does, another box when
     /// nobody's reading has reached it for a while, each a little later than the one before
     /// it in rank.
-    pub fn should_read(&mut self, is_hub: bool, rank: usize, now: Instant) -> bool {
+    pub fn should_watch_store(
+        &mut self,
+        is_hub: bool,
+        rank: usize,
+        now: Instant,
+    ) -> bool {
         let freshest = self.links.values().map(|(_, at)| *at).max();
         if let Some(at) = freshest {
             self.unfed_since = self.unfed_since.max(at);
--- a/crates/wingspur-coordination/src/delegation.rs
+++ b/crates/wingspur-coordination/src/delegation.rs
@@ -12,18 +12,18 @@
 /// order: it gives up the part first. A box that has just started waits as long, unless the
 /// whole fleet starts for the first time: what its former run said may still count.
 #[derive(Debug, Clone, Copy)]
-pub struct Delegation {
+pub struct ShareDelegation {
     to: Option<LinkId>,
     /// From when on nobody else uses the part.
     free_from: Instant,
 }
 
-impl Delegation {
+impl ShareDelegation {
     /// A box that starts now.
     pub fn new(now: Instant) -> Self {
         Self {
             to: None,
-            free_from: now + DELEGATED_FOR,
+            free_from: now + DELEGATION_TTL,
         }
     }
 
@@ -36,12 +36,12 @@
     }
 
     /// Whether a frame that is sent now may leave the part to the hub at a link; notes it.
-    pub fn leave_to(&mut self, link: LinkId, now: Instant) -> bool {
+    pub fn delegate_to(&mut self, link: LinkId, now: Instant) -> bool {
         if self.to != Some(link) && !self.is_free(now) {
             return false;
         }
         self.to = Some(link);
-        self.free_from = now + DELEGATED_FOR;
+        self.free_from = now + DELEGATION_TTL;
         true
     }
 
@@ -61,4 +61,4 @@
 /// For how long a hub uses a member's part without news of it: a sign of life each way takes
 /// up to 0.45 s, and more where boxes have a tenth of a core. The member's part earns nothing
 /// for as long when its hub is lost, or it has just started.
-pub const DELEGATED_FOR: Duration = Duration::from_millis(800);
+pub const DELEGATION_TTL: Duration = Duration::from_millis(800);
--- a/crates/wingspur-coordination/src/fleet_contact.rs
+++ b/crates/wingspur-coordination/src/fleet_connectivity.rs
@@ -21,14 +21,14 @@
 /// longer than that; and each holds the largest number that it was told in the time that it
 /// was in touch. So each part is at most the slack divided by how many use one.
 #[derive(Debug, Clone, Default)]
-pub struct FleetContact {
+pub struct FleetConnectivity {
     /// Since when the box has been in touch, and when it last was.
     spell: Option<(Instant, Instant)>,
     /// When the box started, if the whole fleet started with it for the first time.
     first_start: Option<Instant>,
 }
 
-impl FleetContact {
+impl FleetConnectivity {
     /// A box that starts now with the whole fleet, for the first time.
     pub fn at_first_start(now: Instant) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 
     /// Whether the box may use its part of what is shared over a window.
-    pub fn standing(&self, window: Duration, now: Instant) -> MembershipState {
+    pub fn membership_state(&self, window: Duration, now: Instant) -> MembershipState {
         let Some((since, last)) = self.spell else {
             return MembershipState::Disconnected;
         };
@@ -72,7 +72,7 @@
         }
         let waits_for = match self.is_from_the_first(since) {
             true => ON_WAY + TOUCH + MARGIN,
-            false => join_after(window),
+            false => required_contact_time(window),
         };
         if now.saturating_duration_since(since) < waits_for {
             return MembershipState::Joining;
@@ -81,7 +81,7 @@
     }
 }
 
-impl FleetContact {
+impl FleetConnectivity {
     /// Whether the box has been in touch since the fleet first started.
     ///
     /// Why it need not wait for a window: nobody spent anything before, and a run that takes
@@ -97,7 +97,7 @@
 }
 
 /// For how long a box must have been in touch, and how long the number of boxes is held.
-pub fn join_after(window: Duration) -> Duration {
+pub fn required_contact_time(window: Duration) -> Duration {
     window + ON_WAY + TOUCH + MARGIN
 }
 
--- a/crates/wingspur-coordination/src/fleet_count.rs
+++ b/crates/wingspur-coordination/src/fleet_size.rs
@@ -9,21 +9,21 @@
 /// number, the connections to a server and the slack of the retry budget, would be dealt out
 /// several times until all have linked with it.
 #[derive(Debug, Clone, Default)]
-pub struct FleetCount(Peaks);
+pub struct FleetSizeTracker(Peaks);
 
 /// Counts that may still be the largest of some span, the largest first.
 #[derive(Debug, Clone, Default)]
 struct Peaks(VecDeque<(Instant, usize)>);
 
-impl FleetCount {
+impl FleetSizeTracker {
     /// Takes in how many are counted now; returns how many to go by.
-    pub fn follow(&mut self, counted: usize, now: Instant) -> usize {
+    pub fn record(&mut self, counted: usize, now: Instant) -> usize {
         self.0.follow(counted, now);
-        self.most(HOLD, now)
+        self.max_within(HOLD, now)
     }
 
     /// The most that were counted in the last while.
-    pub fn most(&self, span: Duration, now: Instant) -> usize {
+    pub fn max_within(&self, span: Duration, now: Instant) -> usize {
         self.0.most(span, now)
     }
 }
--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -6,30 +6,31 @@
 use wingspur_protocol::{CensusNote, FleetNote, LeftPart};
 use wingspur_state::{BoxKey, DataCentreId, FleetMembership, MembershipState};
 
-use crate::fleet_count::LONGEST_HOLD;
+use crate::fleet_size::LONGEST_HOLD;
 use crate::{
-    DELEGATED_FOR, Delegation, FleetCensus, FleetContact, FleetCount, LinkId, join_after,
+    BoxRegistry, DELEGATION_TTL, FleetConnectivity, FleetSizeTracker, LinkId,
+    ShareDelegation, required_contact_time,
 };
 
 /// What a box knows of the fleet by its links and the announcements.
 #[derive(Debug)]
 pub struct FleetView {
     links: BTreeMap<LinkId, HeardLink>,
-    count: FleetCount,
-    census: FleetCensus,
-    contact: FleetContact,
-    delegation: Delegation,
+    count: FleetSizeTracker,
+    census: BoxRegistry,
+    contact: FleetConnectivity,
+    delegation: ShareDelegation,
     /// This box's data centre.
     home: DataCentreId,
     /// Whom its part of what the servers of each data centre take is left to.
-    places: BTreeMap<DataCentreId, Delegation>,
+    places: BTreeMap<DataCentreId, ShareDelegation>,
     /// The same for a data centre of which nothing was said yet.
-    fresh: Delegation,
+    fresh: ShareDelegation,
 }
 
 /// What the other side of a link is to this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LinkWith {
+pub enum PeerRole {
     /// A box that reports to this one.
     Member,
     /// The hub that this one reports to.
@@ -49,24 +50,24 @@
 
 /// What is announced, and what this box is by it.
 #[derive(Debug, Clone)]
-pub struct Announced {
+pub struct AnnouncementView {
     /// Announced boxes, this one included.
-    pub boxes: usize,
+    pub announced_boxes: usize,
     /// The greatest size of the fleet that an announced box tells of; 0 for unknown.
-    pub told_boxes: usize,
+    pub reported_fleet_size: usize,
     /// The other data centres.
     pub data_centres: Vec<DataCentreId>,
     /// Whether this box is the hub of its data centre.
     pub is_hub: bool,
     /// Whether it is so in place of another that it cannot reach.
-    pub stands_in: bool,
+    pub is_acting_hub: bool,
     /// How old the view of the announcements is; none if nothing is known.
     pub age: Option<Duration>,
 }
 
 /// What a box tells of the fleet, by what the other side is to it.
 #[derive(Debug, Clone, Copy)]
-pub struct ToldOfFleet {
+pub struct OutgoingFleetNotes {
     to_member: FleetNote,
     to_hub: FleetNote,
 }
@@ -74,7 +75,7 @@
 #[derive(Debug)]
 struct HeardLink {
     data_centre: DataCentreId,
-    with: LinkWith,
+    with: PeerRole,
     told: FleetNote,
     heard: Instant,
     /// When it surely ran, and heard this box.
@@ -85,13 +86,13 @@
     left: BTreeMap<DataCentreId, (f64, Instant)>,
 }
 
-impl ToldOfFleet {
+impl OutgoingFleetNotes {
     /// What one link is told.
-    pub fn on(&self, with: LinkWith) -> FleetNote {
+    pub fn note_for(&self, with: PeerRole) -> FleetNote {
         match with {
-            LinkWith::Member => self.to_member,
-            LinkWith::Hub => self.to_hub,
-            LinkWith::OwnHub => FleetNote::default(),
+            PeerRole::Member => self.to_member,
+            PeerRole::Hub => self.to_hub,
+            PeerRole::OwnHub => FleetNote::default(),
         }
     }
 }
@@ -100,23 +101,23 @@
     /// A box that knows of no other, by its own key.
     pub fn new(own: BoxKey, now: Instant) -> Self {
         Self {
-            delegation: Delegation::new(now),
+            delegation: ShareDelegation::new(now),
             home: DataCentreId::default(),
             places: BTreeMap::new(),
-            fresh: Delegation::new(now),
+            fresh: ShareDelegation::new(now),
             links: BTreeMap::new(),
-            count: FleetCount::default(),
-            census: FleetCensus::new(own),
-            contact: FleetContact::default(),
+            count: FleetSizeTracker::default(),
+            census: BoxRegistry::new(own),
+            contact: FleetConnectivity::default(),
         }
     }
 
     /// The same for a box that starts with the whole fleet, for the first time.
     pub fn at_first_start(own: BoxKey, now: Instant) -> Self {
         Self {
-            contact: FleetContact::at_first_start(now),
-            delegation: Delegation::at_first_start(now),
-            fresh: Delegation::at_first_start(now),
+            contact: FleetConnectivity::at_first_start(now),
+            delegation: ShareDelegation::at_first_start(now),
+            fresh: ShareDelegation::at_first_start(now),
             ..Self::new(own, now)
         }
     }
@@ -127,10 +128,10 @@
     }
 
     /// Takes up a link with a box of a data centre.
-    pub fn add_link(&mut self, id: LinkId, peer: LinkPeer, with: LinkWith, now: Instant) {
+    pub fn add_link(&mut self, id: LinkId, peer: LinkPeer, with: PeerRole, now: Instant) {
         match with {
-            LinkWith::Member => self.census.add_member(id, peer.key),
-            LinkWith::Hub | LinkWith::OwnHub => self.census.add_hub(id),
+            PeerRole::Member => self.census.add_member(id, peer.key),
+            PeerRole::Hub | PeerRole::OwnHub => self.census.add_hub(id),
         }
         let link = HeardLink {
             data_centre: peer.data_centre,
@@ -152,7 +153,7 @@
 
     /// Takes in that the hub at a link, which may have been given up here, does not use this
     /// box's part any more.
-    pub fn release_part(&mut self, id: LinkId, now: Instant) {
+    pub fn release_share(&mut self, id: LinkId, now: Instant) {
         self.delegation.release(id, now);
         for delegation in self.places.values_mut() {
             delegation.release(id, now);
@@ -164,20 +165,20 @@
         &mut self,
         id: LinkId,
         note: &CensusNote,
-        known: &Announced,
+        known: &AnnouncementView,
         now: Instant,
     ) {
         if *note != CensusNote::default() {
             self.census.receive(id, note, now);
-            self.boxes(known, now);
+            self.fleet_size(known, now);
         }
     }
 
     /// What another hub has not been told yet of whom this one counts.
     pub fn census_for(&mut self, id: LinkId) -> CensusNote {
         match self.links.get(&id).map(|link| link.with) {
-            Some(LinkWith::Hub) => self.census.updates_for(id),
-            Some(LinkWith::Member | LinkWith::OwnHub) | None => CensusNote::default(),
+            Some(PeerRole::Hub) => self.census.updates_for(id),
+            Some(PeerRole::Member | PeerRole::OwnHub) | None => CensusNote::default(),
         }
     }
 
@@ -187,7 +188,7 @@
         &mut self,
         id: LinkId,
         told: FleetNote,
-        known: &Announced,
+        known: &AnnouncementView,
         vouched: Option<Instant>,
         now: Instant,
     ) {
@@ -200,10 +201,10 @@
         link.told = told;
         link.heard = vouched.unwrap_or(link.heard);
         link.vouched = vouched.or(link.vouched);
-        if told.delegates && link.with == LinkWith::Member {
+        if told.delegates && link.with == PeerRole::Member {
             link.delegated = vouched.or(link.delegated);
         }
-        if link.with == LinkWith::OwnHub
+        if link.with == PeerRole::OwnHub
             && let Some(vouched) = vouched
             && let Some(touch_ms) = told.touch_ms
             && let Some(at) = vouched.checked_sub(Duration::from_millis(touch_ms.into()))
@@ -211,18 +212,22 @@
             self.contact.note(at);
         }
         if changed {
-            self.boxes(known, now);
+            self.fleet_size(known, now);
         }
     }
 
     /// What the other sides of links should be told now.
-    pub fn tell(&mut self, known: &Announced, now: Instant) -> ToldOfFleet {
+    pub fn outgoing_notes(
+        &mut self,
+        known: &AnnouncementView,
+        now: Instant,
+    ) -> OutgoingFleetNotes {
         self.note_contact(known, now);
         let age = self.contact.age(now).filter(|_| known.is_hub);
         let touch_ms = age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32);
-        ToldOfFleet {
+        OutgoingFleetNotes {
             to_member: FleetNote {
-                boxes: self.boxes(known, now) as u32,
+                boxes: self.fleet_size(known, now) as u32,
                 touch_ms,
                 ..FleetNote::default()
             },
@@ -236,63 +241,71 @@
     }
 
     /// The boxes of the fleet, as far as this one knows.
-    pub fn boxes(&mut self, known: &Announced, now: Instant) -> usize {
+    pub fn fleet_size(&mut self, known: &AnnouncementView, now: Instant) -> usize {
         let linked = self.census.count(now);
-        let own_hub = self.with(LinkWith::OwnHub);
+        let own_hub = self.with(PeerRole::OwnHub);
         let told_here = own_hub.map(|link| link.told.boxes).max();
         // Another hub may count a hub of this data centre that this one does not hear.
-        let told_there = self.with(LinkWith::Hub).map(|link| link.told.counted).max();
+        let told_there = self.with(PeerRole::Hub).map(|link| link.told.counted).max();
         let told = told_here.max(told_there).unwrap_or(0);
-        let counted = known.boxes.max(linked).max(told as usize);
-        self.count.follow(counted, now)
+        let counted = known.announced_boxes.max(linked).max(told as usize);
+        self.count.record(counted, now)
     }
 
     /// How this box stands with the fleet, as far as what is shared over a window goes.
-    pub fn standing(
+    pub fn membership(
         &mut self,
         window: Duration,
-        known: &Announced,
+        known: &AnnouncementView,
         now: Instant,
     ) -> FleetMembership {
         self.note_contact(known, now);
-        let span = join_after(window);
+        let span = required_contact_time(window);
         // Counts that are not held for the span would divide the slack by too few.
         let contact = match span <= LONGEST_HOLD {
-            true => self.contact.standing(window, now),
+            true => self.contact.membership_state(window, now),
             false => MembershipState::Disconnected,
         };
         FleetMembership {
             // Each tick counts: a request need not.
-            boxes: self.count.most(span, now).max(known.boxes),
+            boxes: self.count.max_within(span, now).max(known.announced_boxes),
             state: contact,
         }
     }
 
     /// What a frame that is sent now on a link tells of the fleet.
-    pub fn tell_on(&mut self, id: LinkId, told: &ToldOfFleet, now: Instant) -> FleetNote {
-        let with = self.links.get(&id).map_or(LinkWith::Hub, |link| link.with);
-        let mut note = told.on(with);
-        note.delegates = with == LinkWith::OwnHub && self.delegation.leave_to(id, now);
+    pub fn note_for_link(
+        &mut self,
+        id: LinkId,
+        told: &OutgoingFleetNotes,
+        now: Instant,
+    ) -> FleetNote {
+        let with = self.links.get(&id).map_or(PeerRole::Hub, |link| link.with);
+        let mut note = told.note_for(with);
+        note.delegates = with == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
         note
     }
 
     /// This box's part of what the fleet has but once: its own, and those of the members that
     /// leave theirs to it, of all boxes. The parts of all boxes never add up to more than the
     /// whole, as long as none of them counts fewer boxes than have a part.
-    pub fn part(&mut self, known: &Announced, now: Instant) -> f64 {
+    pub fn share(&mut self, known: &AnnouncementView, now: Instant) -> f64 {
         self.note_contact(known, now);
-        self.boxes(known, now);
+        self.fleet_size(known, now);
         if !self.may_use_part(known, now) {
             return 0.0;
         }
         let is_left = |link: &&HeardLink| {
             let left = link.delegated;
-            left.is_some_and(|at| now.saturating_duration_since(at) < DELEGATED_FOR)
+            left.is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_TTL)
         };
-        let left = self.with(LinkWith::Member).filter(is_left).count();
+        let left = self.with(PeerRole::Member).filter(is_left).count();
         let parts = left + usize::from(self.delegation.is_free(now));
-        let counted = self.count.most(LONGEST_HOLD, now);
-        let boxes = counted.max(known.boxes).max(known.told_boxes).max(parts);
+        let counted = self.count.max_within(LONGEST_HOLD, now);
+        let boxes = counted
+            .max(known.announced_boxes)
+            .max(known.reported_fleet_size)
+            .max(parts);
         parts as f64 / boxes as f64
     }
 
@@ -301,18 +314,18 @@
     ///
     /// Each box's part is used by one hub, but for `DELEGATED_FOR` after a member has gone
     /// from one hub to another: the former one may have left it to the holder just before.
-    pub fn part_for(
+    pub fn share_for(
         &mut self,
         data_centre: &DataCentreId,
-        known: &Announced,
+        known: &AnnouncementView,
         now: Instant,
     ) -> f64 {
         let is_free = self.place(data_centre).is_free(now);
-        let own = if is_free { self.part(known, now) } else { 0.0 };
-        let hubs = self.with(LinkWith::Hub);
+        let own = if is_free { self.share(known, now) } else { 0.0 };
+        let hubs = self.with(PeerRole::Hub);
         let left = hubs.filter_map(|link| link.left.get(data_centre));
         let left =
-            left.filter(|(_, at)| now.saturating_duration_since(*at) < DELEGATED_FOR);
+            left.filter(|(_, at)| now.saturating_duration_since(*at) < DELEGATION_TTL);
         let left: f64 = left.map(|(part, _)| part).sum();
         (own + left).min(1.0)
     }
@@ -321,10 +334,14 @@
     ///
     /// The hub there, since most that is sent to them comes from there; where it is not heard,
     /// that of the first data centre that is.
-    pub fn holder_for(&self, data_centre: &DataCentreId, now: Instant) -> Option<LinkId> {
+    pub fn allocator_for(
+        &self,
+        data_centre: &DataCentreId,
+        now: Instant,
+    ) -> Option<LinkId> {
         let hubs = self.links.iter().filter(|(_, link)| {
             let age = now.saturating_duration_since(link.heard);
-            link.with == LinkWith::Hub && age < HUB_HEARD_WITHIN
+            link.with == PeerRole::Hub && age < HUB_HEARD_WITHIN
         });
         let hubs: Vec<_> = hubs.collect();
         if *data_centre == self.home {
@@ -339,24 +356,24 @@
     }
 
     /// The parts that this box, a hub, leaves to the hub at a link.
-    pub fn leave_parts(
+    pub fn delegate_shares(
         &mut self,
         id: LinkId,
-        known: &Announced,
+        known: &AnnouncementView,
         now: Instant,
     ) -> Vec<LeftPart> {
         let is_hub = self
             .links
             .get(&id)
-            .is_some_and(|link| link.with == LinkWith::Hub);
+            .is_some_and(|link| link.with == PeerRole::Hub);
         if !is_hub || !known.is_hub {
             return Vec::new();
         }
-        let part = self.part(known, now);
+        let part = self.share(known, now);
         let mut left = Vec::new();
         for name in known.data_centres.iter().filter(|_| part > 0.0) {
-            let is_holder = self.holder_for(name, now) == Some(id);
-            if is_holder && self.place(name).leave_to(id, now) {
+            let is_holder = self.allocator_for(name, now) == Some(id);
+            if is_holder && self.place(name).delegate_to(id, now) {
                 left.push(LeftPart {
                     data_centre: name.clone(),
                     part,
@@ -367,7 +384,7 @@
     }
 
     /// Takes in the parts that another hub leaves to this one, as of a moment or later.
-    pub fn receive_left(
+    pub fn receive_delegated_shares(
         &mut self,
         id: LinkId,
         left: &[LeftPart],
@@ -381,7 +398,7 @@
         }
     }
 
-    fn place(&mut self, data_centre: &DataCentreId) -> &mut Delegation {
+    fn place(&mut self, data_centre: &DataCentreId) -> &mut ShareDelegation {
         if !self.places.contains_key(data_centre) {
             self.places.insert(data_centre.clone(), self.fresh);
         }
@@ -390,7 +407,7 @@
 
     /// How old at most the newest is that this box has heard of any other; none if it never
     /// heard one.
-    pub fn heard_age(&self, now: Instant) -> Option<Duration> {
+    pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
         let vouched = self.links.values().filter_map(|link| link.vouched);
         let newest = vouched.max()?;
         Some(now.saturating_duration_since(newest))
@@ -399,25 +416,25 @@
     /// Whether this box knows how many boxes there are at least: by what announcements tell,
     /// or by its hub's links, once these have stood for long enough. One that is cut off from
     /// the store and from a data centre stops before the others cease to count it.
-    fn may_use_part(&self, known: &Announced, now: Instant) -> bool {
+    fn may_use_part(&self, known: &AnnouncementView, now: Instant) -> bool {
         let in_touch = self.contact.age(now).is_some_and(|age| age <= CUT_OFF);
-        let is_told = known.told_boxes > 1 || self.contact.is_settled(now);
+        let is_told = known.reported_fleet_size > 1 || self.contact.is_settled(now);
         let store_age = known.age.unwrap_or(Duration::MAX);
         is_told && (in_touch || store_age <= USED_WITHOUT_STORE)
     }
 
     /// Notes, on a hub, when it was in touch with the hubs of all data centres.
-    fn note_contact(&mut self, known: &Announced, now: Instant) {
+    fn note_contact(&mut self, known: &AnnouncementView, now: Instant) {
         let fresh = known.age.is_some_and(|age| age <= MOST_FEED_AGE);
         if !known.is_hub || !fresh {
             return;
         }
-        if known.stands_in && known.data_centres.is_empty() {
+        if known.is_acting_hub && known.data_centres.is_empty() {
             // The hub that it stands in for may run, with members that nobody here hears of.
             return;
         }
         let heard = |data_centre: &DataCentreId| {
-            let hubs = self.with(LinkWith::Hub);
+            let hubs = self.with(PeerRole::Hub);
             let there = hubs.filter(|link| link.data_centre == *data_centre);
             there.map(|link| link.heard).max()
         };
@@ -427,7 +444,7 @@
         }
     }
 
-    fn with(&self, with: LinkWith) -> impl Iterator<Item = &HeardLink> {
+    fn with(&self, with: PeerRole) -> impl Iterator<Item = &HeardLink> {
         self.links.values().filter(move |link| link.with == with)
     }
 }
--- a/crates/wingspur-coordination/src/lib.rs
+++ b/crates/wingspur-coordination/src/lib.rs
@@ -1,52 +1,55 @@
 //! What the boxes of a fleet do together, as state machines without I/O.
 
 mod announcement;
+mod box_registry;
+mod catalog_freshness;
 mod catalog_queue;
 mod delegation;
-mod feed_view;
-mod fleet_census;
-mod fleet_contact;
-mod fleet_count;
+mod fleet_connectivity;
+mod fleet_size;
 mod fleet_view;
 mod key_set;
-mod lending_desk;
 mod link_clock;
 mod link_plan;
-mod listing_frames;
 mod membership;
-mod placement;
-mod quarantine_desk;
+mod quarantine_registry;
+mod quota_leases;
 mod recent_changes;
+mod rendezvous;
 mod rollup;
 mod shard_log;
+mod snapshot_frames;
 mod update_pacer;
 
 pub use announcement::{
-    AnnouncementInputs, AnnouncementStep, announcement_step, lists_at_start,
-    waits_for_hub_listing,
+    AnnouncementInputs, AnnouncementStep, announcement_step, lists_catalog_at_start,
+    waits_for_hub_snapshot,
 };
+pub use box_registry::BoxRegistry;
+pub use catalog_freshness::{CatalogFreshnessTracker, EraChange};
 pub use catalog_queue::CatalogQueue;
-pub use delegation::{DELEGATED_FOR, Delegation};
-pub use feed_view::{EraChange, FeedView};
-pub use fleet_census::FleetCensus;
-pub use fleet_contact::{FleetContact, join_after};
-pub use fleet_count::FleetCount;
-pub use fleet_view::{Announced, FleetView, LinkPeer, LinkWith, ToldOfFleet};
-pub use lending_desk::{
-    Allowance, FindAllowance, HeldBy, LendingDesk, LendingMessage, LendingMessages,
-    PlaceStanding, Reserve, Standing, Told,
+pub use delegation::{DELEGATION_TTL, ShareDelegation};
+pub use fleet_connectivity::{FleetConnectivity, required_contact_time};
+pub use fleet_size::FleetSizeTracker;
+pub use fleet_view::{
+    AnnouncementView, FleetView, LinkPeer, OutgoingFleetNotes, PeerRole,
 };
 pub use link_clock::LinkClock;
 pub use link_plan::{LinkPlanner, PlannedLink};
-pub use listing_frames::{ListingFrames, PendingListing};
-pub use membership::{HeardRefusal, Membership, MembershipSettings, PeerView};
-pub use placement::{Roster, hash_of};
-pub use quarantine_desk::{
-    CountOutcome, DeskStep, MOST_TRIES, QuarantineCount, QuarantineDesk, TRY_LASTS,
+pub use membership::{Membership, MembershipSettings, MessageRejection, PeerView};
+pub use quarantine_registry::{
+    MAX_TRIALS, QuarantineRegistry, RecordOutcome, TRIAL_TIMEOUT, TrialDecision,
+    TrialRecord,
+};
+pub use quota_leases::{
+    DataCentreQuota, FindQuota, PendingGrant, Quota, QuotaAllocator, QuotaLeaseManager,
+    QuotaMessage, QuotaMessages, QuotaTopology, ReserveShare,
 };
 pub use recent_changes::RecentChanges;
-pub use rollup::{LinkId, LinkKind, OWN_LINK, Rollup, SourceUpdate, UpdateReader};
+pub use rendezvous::{RendezvousSet, hash_of};
+pub use rollup::{LinkId, LinkKind, OWN_LINK, Rollup, SourceUpdate, TallyUpdateReader};
 pub use shard_log::{
-    ClaimTicket, ClaimVerdict, LogCommand, SegmentWrite, ShardLog, ShardLogSettings,
+    ClaimResult, ClaimTicket, LogCommand, SegmentWrite, ShardLog, ShardLogSettings,
 };
+pub use snapshot_frames::{PendingSnapshot, SnapshotFrameCache};
 pub use update_pacer::UpdatePacer;
--- a/crates/wingspur-coordination/src/link_clock.rs
+++ b/crates/wingspur-coordination/src/link_clock.rs
@@ -62,7 +62,7 @@
 
     /// What the other side said last was true at this moment or later; none before it has
     /// answered anything.
-    pub fn vouched(&self) -> Option<Instant> {
+    pub fn peer_state_as_of(&self) -> Option<Instant> {
         self.answered
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// For how long the oldest of them has waited.
-    pub fn waits_for(&self, now: Instant) -> Duration {
+    pub fn oldest_unanswered_age(&self, now: Instant) -> Duration {
         let oldest = self.unanswered.front().map_or(now, |sent_ms| {
             self.began + Duration::from_millis(u64::from(*sent_ms))
         });
--- a/crates/wingspur-coordination/src/link_plan.rs
+++ b/crates/wingspur-coordination/src/link_plan.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes in an announced box.
-    pub fn put(&mut self, record: BoxRecord) {
+    pub fn upsert(&mut self, record: BoxRecord) {
         let stops = self.stopping.get(&record.id) == Some(&record.incarnation);
         if record.id == self.own.id || stops {
             return;
@@ -105,7 +105,7 @@
             self.remove(gone, now);
         }
         self.stopping.retain(|id, _| listed.contains(id));
-        listing.into_iter().for_each(|record| self.put(record));
+        listing.into_iter().for_each(|record| self.upsert(record));
     }
 
     /// The announced boxes, without this one.
@@ -119,7 +119,7 @@
     }
 
     /// The greatest size of the fleet that an announced box tells of; 0 for unknown.
-    pub fn announced_fleet(&self) -> usize {
+    pub fn reported_fleet_size(&self) -> usize {
         let told = self.boxes.values().map(|record| record.fleet_boxes);
         told.max().unwrap_or(0) as usize
     }
@@ -133,12 +133,12 @@
     }
 
     /// Passes over a box that is about to come up, as when all start together.
-    pub fn avoid_briefly(&mut self, id: &BoxId, now: Instant) {
+    pub fn back_off_briefly(&mut self, id: &BoxId, now: Instant) {
         self.avoided.insert(id.clone(), (now + BRIEF_AVOIDANCE, 0));
     }
 
     /// Passes a box over for a while, longer each time in a row.
-    pub fn avoid(&mut self, id: &BoxId, now: Instant) {
+    pub fn back_off(&mut self, id: &BoxId, now: Instant) {
         let (_, before) = self.avoided.get(id).copied().unwrap_or((now, 0));
         let times = before + 1;
         let hold = FIRST_AVOIDANCE * 2u32.pow((times - 1).min(MOST_DOUBLINGS));
@@ -146,7 +146,7 @@
     }
 
     /// Notes that a box was reached.
-    pub fn reached(&mut self, id: &BoxId) {
+    pub fn note_reached(&mut self, id: &BoxId) {
         self.avoided.remove(id);
     }
 
--- a/crates/wingspur-coordination/src/membership.rs
+++ b/crates/wingspur-coordination/src/membership.rs
@@ -14,7 +14,7 @@
 use wingspur_protocol::{BoxList, BoxState, ListedBox, Suspicion};
 use wingspur_state::{BoxId, DataCentreId};
 
-use crate::{Roster, hash_of};
+use crate::{RendezvousSet, hash_of};
 
 /// One box's view of the fleet.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     round: u64,
     watched: Vec<BoxId>,
     /// The last answer of `live`, and when it was worked out; none after a change.
-    roster: Option<(Instant, Arc<Roster>)>,
+    roster: Option<(Instant, Arc<RendezvousSet>)>,
 }
 
 /// The times of membership.
@@ -66,7 +66,7 @@
 
 /// Why a message's sender was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum HeardRefusal {
+pub enum MessageRejection {
     /// The box is not in the platform's list.
     #[error("the sender is not in the list of boxes")]
     Unlisted,
@@ -108,7 +108,7 @@
     }
 
     /// Takes in the platform's list.
-    pub fn set_list(&mut self, list: &BoxList) {
+    pub fn update_listed(&mut self, list: &BoxList) {
         let others = list.boxes.iter().filter(|listed| listed.id != self.own);
         let listed: HashMap<&BoxId, &ListedBox> =
             others.map(|listed| (&listed.id, listed)).collect();
@@ -133,8 +133,8 @@
         incarnation: u64,
         sequence: u64,
         now: Instant,
-    ) -> Result<(), HeardRefusal> {
-        let peer = self.peers.get_mut(from).ok_or(HeardRefusal::Unlisted)?;
+    ) -> Result<(), MessageRejection> {
+        let peer = self.peers.get_mut(from).ok_or(MessageRejection::Unlisted)?;
         peer.admit(incarnation, sequence)?;
         peer.heard = Some(now);
         self.suspicions.remove(&(from.clone(), self.own.clone()));
@@ -142,7 +142,7 @@
     }
 
     /// Counts an answer of a box as a sign of life.
-    pub fn answered(&mut self, from: &BoxId, now: Instant) {
+    pub fn record_reply(&mut self, from: &BoxId, now: Instant) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.heard = Some(now);
             self.suspicions.remove(&(from.clone(), self.own.clone()));
@@ -234,7 +234,7 @@
     /// All boxes that count as living, this one included.
     ///
     /// Worked out anew at most once in `ROSTER_TTL`: the request path asks often.
-    pub fn live(&mut self, now: Instant) -> Arc<Roster> {
+    pub fn live_boxes(&mut self, now: Instant) -> Arc<RendezvousSet> {
         // While nobody is suspected, only the list and those who leave change it.
         let quiet = self.suspicions.is_empty();
         let fresh = |at: Instant| now.saturating_duration_since(at) < ROSTER_TTL;
@@ -247,7 +247,7 @@
         let live = self.peers.values().filter(|peer| peer.stays(&down));
         let hashed = live.map(|peer| (peer.hash, peer.listed.id.clone()));
         let own = (hash_of(&self.own), self.own.clone());
-        let roster = Arc::new(Roster::from_hashed(hashed.chain([own])));
+        let roster = Arc::new(RendezvousSet::from_hashed(hashed.chain([own])));
         self.roster = Some((now, roster.clone()));
         roster
     }
@@ -352,9 +352,9 @@
     }
 
     /// Incarnations grow with the time of the start; an older one is a leftover.
-    fn admit(&mut self, incarnation: u64, sequence: u64) -> Result<(), HeardRefusal> {
+    fn admit(&mut self, incarnation: u64, sequence: u64) -> Result<(), MessageRejection> {
         if incarnation < self.incarnation {
-            return Err(HeardRefusal::Replaced);
+            return Err(MessageRejection::Replaced);
         }
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
@@ -370,7 +370,7 @@
         }
         let behind = self.newest_sequence - sequence;
         if behind >= 64 || self.window >> behind & 1 == 1 {
-            return Err(HeardRefusal::Replayed);
+            return Err(MessageRejection::Replayed);
         }
         self.window |= 1 << behind;
         Ok(())
--- a/crates/wingspur-coordination/src/quarantine_desk.rs
+++ b/crates/wingspur-coordination/src/quarantine_registry.rs
@@ -16,7 +16,7 @@
 
 /// What a box has let through of requests in quarantine.
 #[derive(Debug)]
-pub struct QuarantineDesk {
+pub struct QuarantineRegistry {
     /// Under which name this box counts.
     own: SourceId,
     /// The store's era.
@@ -26,11 +26,11 @@
 
 /// What is to be done about a request in quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DeskStep {
+pub enum TrialDecision {
     /// It may be sent to one server.
     Lend,
     /// That has to be counted in the store first.
-    Count(QuarantineCount),
+    Count(TrialRecord),
     /// The store cannot be had: the hub is to be asked.
     AskHub,
     /// It may not, and may ask again after this.
@@ -39,18 +39,18 @@
 
 /// What is written to the store, and on top of what.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct QuarantineCount {
+pub struct TrialRecord {
     /// How often the request has been let through then.
     pub tries: u32,
     /// Who counts.
     pub counted_by: SourceId,
     /// What it is written on top of.
-    pub position: StorePosition,
+    pub expected_position: StorePosition,
 }
 
 /// What came of the write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CountOutcome {
+pub enum RecordOutcome {
     /// It stands.
     Stands,
     /// Something else stands there: what is known was old.
@@ -66,12 +66,12 @@
     /// Since when this box knows that another may rather have ended the servers.
     keeps_away: Option<Instant>,
     /// What was written last; the store may hold it though its answer was lost.
-    last_count: Option<QuarantineCount>,
+    last_count: Option<TrialRecord>,
     is_counting: bool,
     touched: Instant,
 }
 
-impl QuarantineDesk {
+impl QuarantineRegistry {
     /// The desk of a box that counts under a name of its own.
     pub fn new(own: SourceId) -> Self {
         Self {
@@ -91,12 +91,12 @@
     /// One that only ran beside another keeps away from it: out at one server, the other would
     /// end that under it again. Both are often let through at the same moment, when a server
     /// comes back; so one waits for as long as news of the other takes.
-    pub fn ask(
+    pub fn request_trial(
         &mut self,
         request: RequestFingerprint,
         suspects: &SuspectRequests,
         now: Instant,
-    ) -> DeskStep {
+    ) -> TrialDecision {
         let known = suspects.quarantine(request);
         let likelier = suspects.likelier_culprits(request);
         let has_likelier = !likelier.is_empty();
@@ -104,37 +104,37 @@
         let (own, era) = (self.own, self.era);
         let case = self.case(request, now);
         if case.is_counting {
-            return DeskStep::Later(COUNTING_TAKES);
+            return TrialDecision::Later(COUNTING_TAKES);
         }
         if known.is_some_and(|known| known.position.era() != era) {
             // What the restored store holds of it has yet to be read.
-            return DeskStep::Later(LOOK_AGAIN);
+            return TrialDecision::Later(LOOK_AGAIN);
         }
         case.note_counted(known.as_ref(), own);
         let tries = known.map_or(0, |known| known.tries) + case.uncounted;
         if !out_for.is_zero() {
             // Also the last one may yet clear it.
-            return DeskStep::Later(out_for.min(LOOK_AGAIN));
+            return TrialDecision::Later(out_for.min(LOOK_AGAIN));
         }
-        if tries >= MOST_TRIES {
-            return DeskStep::Later(ends_in(known.as_ref(), now));
+        if tries >= MAX_TRIALS {
+            return TrialDecision::Later(ends_in(known.as_ref(), now));
         }
         if has_likelier && !case.has_kept_away(now) {
-            return DeskStep::Later(NEWS_TAKES);
+            return TrialDecision::Later(NEWS_TAKES);
         }
         case.keeps_away = None;
         let on = known.map_or(StorePosition::start_of(era), |known| known.position);
-        DeskStep::Count(case.count(tries + 1, own, on))
+        TrialDecision::Count(case.count(tries + 1, own, on))
     }
 
     /// Whether the quarantine of a request has to be written to the store, so that boxes that
     /// start know of it; it is counted as being written from now on.
-    pub fn open(
+    pub fn begin_quarantine(
         &mut self,
         request: RequestFingerprint,
         known: Option<&StoredQuarantine>,
         now: Instant,
-    ) -> Option<QuarantineCount> {
+    ) -> Option<TrialRecord> {
         let (own, on) = (self.own, StorePosition::start_of(self.era));
         let case = self.case(request, now);
         if known.is_some() || case.is_counting {
@@ -144,44 +144,44 @@
     }
 
     /// Takes in what came of the write that opens a quarantine.
-    pub fn opened(
+    pub fn quarantine_recorded(
         &mut self,
         request: RequestFingerprint,
-        outcome: CountOutcome,
+        outcome: RecordOutcome,
         now: Instant,
     ) {
         let case = self.case(request, now);
         case.is_counting = false;
-        if outcome == CountOutcome::Stands {
+        if outcome == RecordOutcome::Stands {
             case.uncounted = 0;
         }
     }
 
     /// Takes in what came of the write that a request waits for; `nobody_else` where no other
     /// box can be asked.
-    pub fn counted(
+    pub fn trial_recorded(
         &mut self,
         request: RequestFingerprint,
-        outcome: CountOutcome,
+        outcome: RecordOutcome,
         nobody_else: bool,
         now: Instant,
-    ) -> DeskStep {
+    ) -> TrialDecision {
         let case = self.case(request, now);
         case.is_counting = false;
         match outcome {
-            CountOutcome::Stands => {
+            RecordOutcome::Stands => {
                 case.uncounted = 0;
-                DeskStep::Lend
+                TrialDecision::Lend
             }
-            CountOutcome::Overtaken => DeskStep::Later(COUNTING_TAKES),
-            CountOutcome::Unknown if !nobody_else => DeskStep::AskHub,
-            CountOutcome::Unknown if case.uncounted < MOST_UNCOUNTED => {
+            RecordOutcome::Overtaken => TrialDecision::Later(COUNTING_TAKES),
+            RecordOutcome::Unknown if !nobody_else => TrialDecision::AskHub,
+            RecordOutcome::Unknown if case.uncounted < MOST_UNCOUNTED => {
                 // Without it, a request that only ran beside the one that ends servers would
                 // be refused until the store is back.
                 case.uncounted += 1;
-                DeskStep::Lend
+                TrialDecision::Lend
             }
-            CountOutcome::Unknown => DeskStep::Later(STORE_AWAY),
+            RecordOutcome::Unknown => TrialDecision::Later(STORE_AWAY),
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Forgets what nobody has asked for in a long time.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn evict_idle(&mut self, now: Instant) {
         self.cases.retain(|_, case| {
             now.saturating_duration_since(case.touched) < SUSPECT_RETENTION
                 || case.is_counting
@@ -216,7 +216,7 @@
         let others = likelier
             .iter()
             .filter_map(|other| suspects.permit_in_flight_until(*other, ENDS_SERVERS_IN));
-        let own = suspects.permit_in_flight_until(request, TRY_LASTS);
+        let own = suspects.permit_in_flight_until(request, TRIAL_TIMEOUT);
         let until = others.chain(own).max();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
@@ -241,11 +241,11 @@
         tries: u32,
         counted_by: SourceId,
         position: StorePosition,
-    ) -> QuarantineCount {
-        let count = QuarantineCount {
+    ) -> TrialRecord {
+        let count = TrialRecord {
             tries,
             counted_by,
-            position,
+            expected_position: position,
         };
         self.is_counting = true;
         self.last_count = Some(count);
@@ -280,12 +280,12 @@
 /// How often a request in quarantine is let through over all boxes. A request that ran beside
 /// another is answered whole at the first; each that meets a server's end beyond that is one
 /// server more that the request may have ended.
-pub const MOST_TRIES: u32 = 3;
+pub const MAX_TRIALS: u32 = 3;
 /// What a hub lets through of one request on its own account while the store is away.
 const MOST_UNCOUNTED: u32 = 2;
 /// So long a request that was let through is taken to be out, if nothing is heard of it: it
 /// takes a third of a second where nothing waits.
-pub const TRY_LASTS: Duration = Duration::from_millis(1500);
+pub const TRIAL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A server that runs a request which ends it does so within this.
 const ENDS_SERVERS_IN: Duration = Duration::from_millis(300);
 /// What the store holds is known to most boxes within this.
--- a/crates/wingspur-coordination/src/lending_desk.rs
+++ b/crates/wingspur-coordination/src/quota_leases.rs
@@ -16,7 +16,7 @@
 /// One class of allowances: a rate and a depth under a key, of which each box has a part that
 /// it leaves to its hub. They differ by their terms, and by which hub holds the parts.
 #[derive(Debug)]
-pub struct LendingDesk {
+pub struct QuotaLeaseManager {
     /// This box's part of allowances that each hub holds its own part of.
     clock: ShareHistory,
     /// Its parts of allowances that the hub of one data centre holds for all.
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 struct Waiting {
     tell: async_channel::Sender<AcquireOutcome>,
-    reserve: Reserve,
+    reserve: ReserveShare,
     since: Instant,
 }
 
@@ -50,10 +50,10 @@
 }
 
 /// Where somebody who waits is told what came of it.
-pub type Told = async_channel::Receiver<AcquireOutcome>;
+pub type PendingGrant = async_channel::Receiver<AcquireOutcome>;
 
 /// The share of a pool's room beyond one that a less urgent request leaves to others.
-pub type Reserve = f32;
+pub type ReserveShare = f32;
 
 /// What other hubs are asked for, one after the other.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
     asker: Option<(LinkId, u32)>,
     found: u32,
     missing: u32,
-    reserve: Reserve,
+    reserve: ReserveShare,
     hubs: Vec<LinkId>,
     /// When the hubs that were asked should have more.
     told: MoreIn,
@@ -105,11 +105,11 @@
 }
 
 /// What is to be sent once the state is unlocked.
-pub type LendingMessages = Vec<LendingMessage>;
+pub type QuotaMessages = Vec<QuotaMessage>;
 
 /// What is asked of another box, or answered.
 #[derive(Debug)]
-pub struct LendingMessage {
+pub struct QuotaMessage {
     /// Where it goes.
     pub link: LinkId,
     /// What it says.
@@ -120,51 +120,51 @@
 
 /// What this box is among the others.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct QuotaTopology {
     /// The hub that it reports to.
     pub own_hub: Option<LinkId>,
     /// Whom it asks for what it has not enough of: the hubs of other data centres, or its own
     /// hub, for boxes that take this one for a hub.
-    pub lenders: Vec<LinkId>,
+    pub allocators: Vec<LinkId>,
     /// Its part of all allowances, with those that are left to it.
-    pub part: f64,
+    pub share: f64,
     /// How it stands with what the hub of one data centre holds for all.
-    pub places: Vec<PlaceStanding>,
+    pub data_centres: Vec<DataCentreQuota>,
 }
 
 /// How a box stands with the allowances that the hub of one data centre holds for all.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlaceStanding {
+pub struct DataCentreQuota {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// This box's part, with those that are left to it.
-    pub part: f64,
+    pub share: f64,
     /// The hub that holds them; none where this box does, or nobody that it hears.
-    pub holder: Option<LinkId>,
+    pub allocator: Option<LinkId>,
 }
 
 /// Which hubs hold the parts of an allowance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HeldBy {
+pub enum QuotaAllocator {
     /// Each hub those of its members.
     EachHub,
     /// The hub of one data centre all of them.
-    HubOf(DataCentreId),
+    DataCentreHub(DataCentreId),
 }
 
 /// An allowance as it is now: what it grants, and who holds it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Allowance {
+pub struct Quota {
     /// What it grants over all boxes.
     pub terms: QuotaTerms,
     /// Who holds its parts.
-    pub held_by: HeldBy,
+    pub allocator: QuotaAllocator,
 }
 
 /// Finds an allowance; none where there is no such, or no such limit.
-pub type FindAllowance<'a> = &'a dyn Fn(Lendable) -> Option<Allowance>;
+pub type FindQuota<'a> = &'a dyn Fn(Lendable) -> Option<Quota>;
 
-impl LendingDesk {
+impl QuotaLeaseManager {
     /// A box that starts now.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -180,33 +180,33 @@
     }
 
     /// Notes this box's parts from now on.
-    pub fn note_parts(&mut self, standing: &Standing, now: Instant) {
-        self.clock.record_share(standing.part, now);
-        for place in &standing.places {
+    pub fn update_shares(&mut self, standing: &QuotaTopology, now: Instant) {
+        self.clock.record_share(standing.share, now);
+        for place in &standing.data_centres {
             let name = &place.data_centre;
             if !self.place_clocks.contains_key(name) {
                 self.place_clocks
                     .insert(name.clone(), ShareHistory::new(now));
             }
             let clock = self.place_clocks.get_mut(name);
-            clock.expect("it is there").record_share(place.part, now);
+            clock.expect("it is there").record_share(place.share, now);
         }
     }
 
     /// Whether questions to other hubs are out, or requests wait.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.searches.is_empty() || !self.waiting.is_empty()
     }
 
     /// Wants one of an allowance: what came of it, or where that will be told.
-    pub fn want(
+    pub fn acquire(
         &mut self,
         of: Lendable,
-        reserve: Reserve,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        reserve: ReserveShare,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
         match standing.own_hub {
             Some(hub) => self.want_of_hub(of, reserve, hub, now),
             None => self.want_of_pool(of, reserve, standing, find, now),
@@ -217,10 +217,10 @@
     fn want_of_hub(
         &mut self,
         of: Lendable,
-        reserve: Reserve,
+        reserve: ReserveShare,
         hub: LinkId,
         now: Instant,
-    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
         let borrower = self.borrowers.entry(of).or_default();
         let outcome = match borrower.try_acquire(now) {
             AcquireOutcome::Pending | AcquireOutcome::Unknown => {
@@ -238,11 +238,11 @@
     fn want_of_pool(
         &mut self,
         of: Lendable,
-        reserve: Reserve,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        reserve: ReserveShare,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> (Result<AcquireOutcome, Told>, LendingMessages) {
+    ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
         let found = find(of);
         let lenders = found.as_ref().map(|found| standing.lenders_of(found));
         let lenders = lenders.unwrap_or_default();
@@ -250,14 +250,14 @@
         let asked = (of, reserve, ahead);
         let outcome = self.take_of_pool(asked, found.as_ref(), standing, now);
         if outcome == AcquireOutcome::Acquired {
-            return (Ok(outcome), LendingMessages::new());
+            return (Ok(outcome), QuotaMessages::new());
         }
         if lenders.is_empty() || self.is_quiet(of, now) {
             let outcome = match self.with_quiet(of, outcome) {
                 AcquireOutcome::Refused(more_in) if !comes_soon(more_in) => Ok(outcome),
                 _ => Err(self.wait_for(of, reserve, now)),
             };
-            return (outcome, LendingMessages::new());
+            return (outcome, QuotaMessages::new());
         }
         let told = self.wait_for(of, reserve, now);
         let search = Search::new(of, None, (0, 1), reserve, now);
@@ -268,9 +268,9 @@
     /// is empty since the box has had it for a moment only.
     fn take_of_pool(
         &mut self,
-        (of, reserve, ahead): (Lendable, Reserve, usize),
-        found: Option<&Allowance>,
-        standing: &Standing,
+        (of, reserve, ahead): (Lendable, ReserveShare, usize),
+        found: Option<&Quota>,
+        standing: &QuotaTopology,
         now: Instant,
     ) -> AcquireOutcome {
         let (clock, places) = (&self.clock, &self.place_clocks);
@@ -288,14 +288,14 @@
     }
 
     /// Asks the hub for what is short.
-    fn ask_hub(&mut self, of: Lendable, hub: LinkId, now: Instant) -> LendingMessages {
+    fn ask_hub(&mut self, of: Lendable, hub: LinkId, now: Instant) -> QuotaMessages {
         let waiting = self.waiting.get(&of);
         let count = waiting.map_or(0, |waiting| waiting.len() as u32);
         let reserve = waiting.and_then(|waiting| {
             let reserves = waiting.iter().map(|waiting| waiting.reserve);
             reserves.min_by(f32::total_cmp)
         });
-        let mut messages = LendingMessages::new();
+        let mut messages = QuotaMessages::new();
         // What is urgent first, then the stock.
         for count in [count, 0] {
             let number = self.number();
@@ -320,34 +320,34 @@
                     ..request
                 },
             };
-            messages.push(LendingMessage::asking(hub, request));
+            messages.push(QuotaMessage::request(hub, request));
         }
         messages
     }
 
     /// Answers the question of another box, at once or after other hubs were asked.
-    pub fn answer(
+    pub fn handle_request(
         &mut self,
         link: LinkId,
         request: &LoanRequest,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         let found = find(request.of);
         let found = found.as_ref();
         if request.urgent == 0 {
             let answer = self.answer_for_stock(link, request, standing, found, now);
-            return vec![LendingMessage::answering(link, answer, false)];
+            return vec![QuotaMessage::reply(link, answer, false)];
         }
         let answer = self.lend_at_once(request, standing, found, now);
         let missing = request.urgent - answer.urgent;
-        let is_hubs = standing.lenders.contains(&link);
+        let is_hubs = standing.allocators.contains(&link);
         let lenders = found.map(|found| standing.lenders_of(found));
         let lenders = lenders.unwrap_or_default();
         let may_search = !lenders.is_empty() && !self.is_quiet(request.of, now);
         if missing == 0 || is_hubs || !may_search {
-            return vec![LendingMessage::answering(link, answer, true)];
+            return vec![QuotaMessage::reply(link, answer, true)];
         }
         let asker = Some((link, request.number));
         let counts = (answer.urgent, missing);
@@ -360,8 +360,8 @@
         &mut self,
         link: LinkId,
         request: &LoanRequest,
-        standing: &Standing,
-        found: Option<&Allowance>,
+        standing: &QuotaTopology,
+        found: Option<&Quota>,
         now: Instant,
     ) -> LoanAnswer {
         let answer = LoanAnswer::none(request);
@@ -388,8 +388,8 @@
     fn lend_at_once(
         &mut self,
         request: &LoanRequest,
-        standing: &Standing,
-        found: Option<&Allowance>,
+        standing: &QuotaTopology,
+        found: Option<&Quota>,
         now: Instant,
     ) -> LoanAnswer {
         let answer = LoanAnswer::none(request);
@@ -419,8 +419,8 @@
     fn more_in(
         &mut self,
         of: Lendable,
-        standing: &Standing,
-        found: Option<&Allowance>,
+        standing: &QuotaTopology,
+        found: Option<&Quota>,
     ) -> Option<Duration> {
         let (clock, places) = (&self.clock, &self.place_clocks);
         let (found, clock) = held(found, standing, clock, places)?;
@@ -432,13 +432,13 @@
     }
 
     /// Takes in the answer of another box.
-    pub fn take_answer(
+    pub fn handle_answer(
         &mut self,
         answer: &LoanAnswer,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         let of = answer.of;
         let more_in = answer.more_in_ms.map(|ms| Duration::from_millis(ms.into()));
         if let Some(mut search) = self.searches.remove(&answer.number) {
@@ -450,7 +450,7 @@
             return self.search_on_or_end(search, standing, find, now);
         }
         let Some(borrower) = self.borrowers.get_mut(&of) else {
-            return LendingMessages::new();
+            return QuotaMessages::new();
         };
         let stocked = PrefetchGrant {
             amount: answer.stock,
@@ -468,7 +468,7 @@
         }
         match standing.own_hub {
             Some(hub) => self.ask_hub(of, hub, now),
-            None => LendingMessages::new(),
+            None => QuotaMessages::new(),
         }
     }
 
@@ -534,7 +534,7 @@
         mut search: Search,
         mut lenders: Vec<LinkId>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         // Not always the same one first.
         let first = self.last_number as usize % lenders.len().max(1);
         lenders.rotate_left(first);
@@ -543,9 +543,9 @@
     }
 
     /// Asks the next hub.
-    fn search_on(&mut self, mut search: Search, now: Instant) -> LendingMessages {
+    fn search_on(&mut self, mut search: Search, now: Instant) -> QuotaMessages {
         let Some(hub) = search.hubs.pop() else {
-            return LendingMessages::new();
+            return QuotaMessages::new();
         };
         let number = self.number();
         search.until = now + HUB_ANSWER_LOST;
@@ -558,17 +558,17 @@
             wanted: 0.0,
         };
         self.searches.insert(number, search);
-        vec![LendingMessage::asking(hub, request)]
+        vec![QuotaMessage::request(hub, request)]
     }
 
     /// Asks the next hub, or ends a search in vain when there is none.
     fn search_on_or_end(
         &mut self,
         mut search: Search,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         search.hubs.retain(|hub| standing.hears_hub(*hub));
         if search.hubs.is_empty() || search.ends <= now {
             let quiet = Quiet {
@@ -585,10 +585,10 @@
     fn end_search(
         &mut self,
         search: Search,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         let of = search.of;
         let found = find(of);
         let has_part = found
@@ -607,7 +607,7 @@
                 let pool = self.pools.entry(of).or_default();
                 pool.return_unused(search.found - told);
             }
-            return LendingMessages::new();
+            return QuotaMessages::new();
         };
         let answer = LoanAnswer {
             number,
@@ -617,20 +617,20 @@
             renewed: false,
             more_in_ms: more_in.map(millis),
         };
-        vec![LendingMessage::answering(link, answer, true)]
+        vec![QuotaMessage::reply(link, answer, true)]
     }
 
     /// Goes on with what waits: searches whose last question was not answered, and requests
     /// for which nobody could tell.
-    pub fn go_on(
+    pub fn poll(
         &mut self,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         let is_late = |_: &u32, search: &mut Search| search.until <= now;
         let late: Vec<_> = self.searches.extract_if(is_late).collect();
-        let mut messages = LendingMessages::new();
+        let mut messages = QuotaMessages::new();
         for (_, search) in late {
             messages.extend(self.search_on_or_end(search, standing, find, now));
         }
@@ -653,8 +653,8 @@
     fn serve_waiting(
         &mut self,
         of: Lendable,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
     ) {
         let found = find(of);
@@ -680,14 +680,14 @@
     fn search_for_waiting(
         &mut self,
         of: Lendable,
-        standing: &Standing,
-        find: FindAllowance<'_>,
+        standing: &QuotaTopology,
+        find: FindQuota<'_>,
         now: Instant,
-    ) -> LendingMessages {
+    ) -> QuotaMessages {
         let is_own = |search: &Search| search.of == of && search.asker.is_none();
         let is_asked = self.searches.values().any(is_own);
         let Some(waiting) = self.waiting.get(&of).filter(|_| !is_asked) else {
-            return LendingMessages::new();
+            return QuotaMessages::new();
         };
         let missing = waiting.len() as u32;
         let reserves = waiting.iter().map(|waiting| waiting.reserve);
@@ -695,20 +695,20 @@
         let lenders = find(of).map(|found| standing.lenders_of(&found));
         let lenders = lenders.unwrap_or_default();
         if lenders.is_empty() || self.is_quiet(of, now) {
-            return LendingMessages::new();
+            return QuotaMessages::new();
         }
         let search = Search::new(of, None, (0, missing), reserve, now);
         self.begin_search(search, lenders, now)
     }
 
     /// Forgets what says nothing any more.
-    pub fn tidy(&mut self, find: FindAllowance<'_>, now: Instant) {
+    pub fn evict_idle(&mut self, find: FindQuota<'_>, now: Instant) {
         self.borrowers.retain(|_, borrower| !borrower.is_idle(now));
         self.quiet.retain(|_, quiet| quiet.until > now);
         let (clock, place_clocks) = (&self.clock, &self.place_clocks);
         self.pools.retain(|of, pool| {
             find(*of).is_some_and(|found| {
-                let clock = clock_of(clock, place_clocks, &found.held_by);
+                let clock = clock_of(clock, place_clocks, &found.allocator);
                 !pool.is_full(&found.terms, clock, now)
             })
         });
@@ -718,7 +718,12 @@
         });
     }
 
-    fn wait_for(&mut self, of: Lendable, reserve: Reserve, now: Instant) -> Told {
+    fn wait_for(
+        &mut self,
+        of: Lendable,
+        reserve: ReserveShare,
+        now: Instant,
+    ) -> PendingGrant {
         let (tell, told) = async_channel::bounded(1);
         let waiting = self.waiting.entry(of).or_default();
         waiting.retain(|waiting| !waiting.tell.is_closed());
@@ -736,33 +741,41 @@
     }
 }
 
-impl Standing {
+impl QuotaTopology {
     /// This box's part of an allowance.
-    fn part_of(&self, allowance: &Allowance) -> f64 {
-        match &allowance.held_by {
-            HeldBy::EachHub => self.part,
-            HeldBy::HubOf(name) => self.place(name).map_or(self.part, |place| place.part),
+    fn part_of(&self, allowance: &Quota) -> f64 {
+        match &allowance.allocator {
+            QuotaAllocator::EachHub => self.share,
+            QuotaAllocator::DataCentreHub(name) => {
+                self.place(name).map_or(self.share, |place| place.share)
+            }
         }
     }
 
     /// The hubs that may have what this box lacks of an allowance.
-    fn lenders_of(&self, allowance: &Allowance) -> Vec<LinkId> {
-        match &allowance.held_by {
-            HeldBy::EachHub => self.lenders.clone(),
-            HeldBy::HubOf(name) => {
+    fn lenders_of(&self, allowance: &Quota) -> Vec<LinkId> {
+        match &allowance.allocator {
+            QuotaAllocator::EachHub => self.allocators.clone(),
+            QuotaAllocator::DataCentreHub(name) => {
                 let place = self.place(name);
-                place.and_then(|place| place.holder).into_iter().collect()
+                place
+                    .and_then(|place| place.allocator)
+                    .into_iter()
+                    .collect()
             }
         }
     }
 
-    fn place(&self, name: &DataCentreId) -> Option<&PlaceStanding> {
-        self.places.iter().find(|place| place.data_centre == *name)
+    fn place(&self, name: &DataCentreId) -> Option<&DataCentreQuota> {
+        self.data_centres
+            .iter()
+            .find(|place| place.data_centre == *name)
     }
 
     fn hears_hub(&self, link: LinkId) -> bool {
-        let holders = self.places.iter().filter_map(|place| place.holder);
-        self.lenders.contains(&link) || holders.into_iter().any(|holder| holder == link)
+        let holders = self.data_centres.iter().filter_map(|place| place.allocator);
+        self.allocators.contains(&link)
+            || holders.into_iter().any(|holder| holder == link)
     }
 }
 
@@ -771,7 +784,7 @@
         of: Lendable,
         asker: Option<(LinkId, u32)>,
         (found, missing): (u32, u32),
-        reserve: Reserve,
+        reserve: ReserveShare,
         now: Instant,
     ) -> Self {
         Self {
@@ -794,9 +807,9 @@
     }
 }
 
-impl LendingMessage {
+impl QuotaMessage {
     /// A question.
-    pub fn asking(link: LinkId, request: LoanRequest) -> Self {
+    pub fn request(link: LinkId, request: LoanRequest) -> Self {
         let lending = Lending {
             asks: vec![request],
             ..Lending::default()
@@ -809,7 +822,7 @@
     }
 
     /// The answer to a question.
-    pub fn answering(link: LinkId, answer: LoanAnswer, urgent: bool) -> Self {
+    pub fn reply(link: LinkId, answer: LoanAnswer, urgent: bool) -> Self {
         let lending = Lending {
             answers: vec![answer],
             ..Lending::default()
@@ -824,38 +837,38 @@
 
 /// An allowance that this box holds a part of, with the clock by which the part earns.
 fn held<'a>(
-    found: Option<&'a Allowance>,
-    standing: &Standing,
+    found: Option<&'a Quota>,
+    standing: &QuotaTopology,
     clock: &'a ShareHistory,
     place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
-) -> Option<(&'a Allowance, &'a ShareHistory)> {
+) -> Option<(&'a Quota, &'a ShareHistory)> {
     let found = found.filter(|found| standing.part_of(found) > 0.0)?;
-    Some((found, clock_of(clock, place_clocks, &found.held_by)))
+    Some((found, clock_of(clock, place_clocks, &found.allocator)))
 }
 
 /// The clock by which the parts of an allowance earn.
 fn clock_of<'a>(
     clock: &'a ShareHistory,
     place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
-    held_by: &HeldBy,
+    held_by: &QuotaAllocator,
 ) -> &'a ShareHistory {
     match held_by {
-        HeldBy::EachHub => clock,
+        QuotaAllocator::EachHub => clock,
         // Where no hub stands for a data centre, each hub keeps its own part.
-        HeldBy::HubOf(name) => place_clocks.get(name).unwrap_or(clock),
+        QuotaAllocator::DataCentreHub(name) => place_clocks.get(name).unwrap_or(clock),
     }
 }
 
 /// Whether an empty pool tells that the account has used what it may: not while parts are
 /// under way, as after losses of boxes. Who asks then waits for what comes with them.
-fn may_tell(found: &Allowance, clock: &ShareHistory) -> bool {
+fn may_tell(found: &Quota, clock: &ShareHistory) -> bool {
     !clock.has_grown_recently(&found.terms) && !clock.has_shrunk_recently(&found.terms)
 }
 
 /// When there should be one for who comes behind so many others.
 fn comes_in(
     pool: &QuotaPool,
-    found: &Allowance,
+    found: &Quota,
     clock: &ShareHistory,
     ahead: usize,
 ) -> Duration {
@@ -876,7 +889,7 @@
 ///
 /// A part that is only coming, as after losses of boxes, says little of what it will mint:
 /// then those of an account beneath its limit may all wait.
-fn is_behind_too_many(waiting: usize, found: &Allowance, clock: &ShareHistory) -> bool {
+fn is_behind_too_many(waiting: usize, found: &Quota, clock: &ShareHistory) -> bool {
     let part = match may_tell(found, clock) {
         true => clock.share(),
         false => clock.max_recent_share().max(PART_TO_COME),
--- a/crates/wingspur-coordination/src/placement.rs
+++ b/crates/wingspur-coordination/src/rendezvous.rs
@@ -5,11 +5,11 @@
 
 /// Boxes with their hashes, ready for many placements.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Roster {
+pub struct RendezvousSet {
     boxes: Vec<(u64, BoxId)>,
 }
 
-impl Roster {
+impl RendezvousSet {
     /// A roster of these boxes.
     pub fn new(boxes: impl IntoIterator<Item = BoxId>) -> Self {
         Self::from_hashed(boxes.into_iter().map(|id| (hash_of(&id), id)))
@@ -23,7 +23,7 @@
     }
 
     /// The box that holds a role; the role moves only when its holder goes.
-    pub fn holder(&self, role: &str) -> Option<&BoxId> {
+    pub fn owner(&self, role: &str) -> Option<&BoxId> {
         let role = hash_of(role);
         let best = self
             .boxes
@@ -33,7 +33,7 @@
     }
 
     /// Whether a box is among the first `count` for a role.
-    pub fn is_among(&self, role: &str, count: usize, id: &BoxId) -> bool {
+    pub fn is_in_top(&self, role: &str, count: usize, id: &BoxId) -> bool {
         let role = hash_of(role);
         let own = mix(hash_of(id) ^ role);
         let before = self.boxes.iter().filter(|(hash, other)| {
--- a/crates/wingspur-coordination/src/rollup.rs
+++ b/crates/wingspur-coordination/src/rollup.rs
@@ -157,7 +157,7 @@
     }
 
     /// The sources that were lost since the last call.
-    pub fn take_lost(&mut self) -> Vec<SourceId> {
+    pub fn take_lost_sources(&mut self) -> Vec<SourceId> {
         std::mem::take(&mut self.lost)
     }
 
@@ -423,7 +423,7 @@
 
 /// Turns digests into updates: current tallies with the increase since the last ones.
 #[derive(Debug, Default)]
-pub struct UpdateReader {
+pub struct TallyUpdateReader {
     known: HashMap<SourceId, KnownSource>,
 }
 
@@ -435,7 +435,7 @@
     told_whole: bool,
 }
 
-impl UpdateReader {
+impl TallyUpdateReader {
     /// Reads a digest; the first of a source is only the baseline of later ones.
     ///
     /// So is the first tally of a server or a service while the source has never sent a whole
--- a/crates/wingspur-coordination/src/shard_log.rs
+++ b/crates/wingspur-coordination/src/shard_log.rs
@@ -85,7 +85,7 @@
 
 /// The answer to a waiting claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClaimVerdict {
+pub struct ClaimResult {
     /// The claim.
     pub ticket: ClaimTicket,
     /// Its answer.
@@ -209,7 +209,7 @@
     }
 
     /// Takes in how an operation ended; it is recorded with the next write.
-    pub fn outcome(&mut self, note: &OutcomeNote) {
+    pub fn record_outcome(&mut self, note: &OutcomeNote) {
         let claims = self.operations.get_mut(&note.operation);
         let claim = claims.and_then(|c| c.iter_mut().find(|c| c.nonce == note.nonce));
         let waiting = |pending: &PendingClaim| pending.request.nonce == note.nonce;
@@ -238,13 +238,13 @@
     ///
     /// One that is part of a write may yet be recorded; it will not run, and that is
     /// recorded after it.
-    pub fn expire(&mut self, now: Instant) -> Vec<ClaimVerdict> {
+    pub fn expire(&mut self, now: Instant) -> Vec<ClaimResult> {
         let mut verdicts = Vec::new();
         for claim in &mut self.pending_claims {
             if claim.expires <= now
                 && let Some(ticket) = claim.ticket.take()
             {
-                verdicts.push(ClaimVerdict {
+                verdicts.push(ClaimResult {
                     ticket,
                     reply: ClaimReply::Unavailable,
                 });
@@ -294,7 +294,7 @@
     }
 
     /// The owner key is this box's, as of the store's revision.
-    pub fn took(&mut self, owner_revision: i64) {
+    pub fn ownership_acquired(&mut self, owner_revision: i64) {
         self.state = LogState::Loading {
             owner_revision,
             asked: false,
@@ -330,13 +330,13 @@
     }
 
     /// Ownership or the log could not be had: nothing was recorded, nothing will run.
-    pub fn failed(&mut self) -> Vec<ClaimVerdict> {
+    pub fn open_failed(&mut self) -> Vec<ClaimResult> {
         self.state = LogState::Closed;
         self.refuse_pending()
     }
 
     /// The write took effect.
-    pub fn written(&mut self, now: Instant) -> Vec<ClaimVerdict> {
+    pub fn written(&mut self, now: Instant) -> Vec<ClaimResult> {
         let LogState::Writing {
             write, replaces, ..
         } = self.state.clone()
@@ -378,7 +378,7 @@
     }
 
     /// Another box is owner now; what was to be written never will be.
-    pub fn deposed(&mut self) -> Vec<ClaimVerdict> {
+    pub fn ownership_lost(&mut self) -> Vec<ClaimResult> {
         self.state = LogState::Closed;
         self.operations.clear();
         self.recent.clear();
@@ -388,7 +388,7 @@
 
     /// No answer: the write may have taken effect, now or later. It is repeated to
     /// the letter, so that whichever try lands, it is the same one.
-    pub fn unanswered(&mut self) {
+    pub fn write_timed_out(&mut self) {
         if let LogState::Writing { sent, .. } = &mut self.state {
             *sent = false;
         }
@@ -508,7 +508,7 @@
         &mut self,
         claim: PendingClaim,
         segment: &LogSegment,
-        verdicts: &mut Vec<ClaimVerdict>,
+        verdicts: &mut Vec<ClaimResult>,
         now: Instant,
     ) {
         let ClaimRequest {
@@ -532,7 +532,7 @@
                 self.join(entry, Some(runs_until));
             }
         }
-        verdicts.push(ClaimVerdict {
+        verdicts.push(ClaimResult {
             ticket,
             reply: ClaimReply::Granted,
         });
@@ -542,20 +542,20 @@
     fn recheck(
         &mut self,
         claim: PendingClaim,
-        verdicts: &mut Vec<ClaimVerdict>,
+        verdicts: &mut Vec<ClaimResult>,
         now: Instant,
     ) {
         match (self.known(&claim.request, now), claim.ticket) {
-            (Some(reply), Some(ticket)) => verdicts.push(ClaimVerdict { ticket, reply }),
+            (Some(reply), Some(ticket)) => verdicts.push(ClaimResult { ticket, reply }),
             (Some(_), None) => {}
             (None, _) => self.pending_claims.push(claim),
         }
     }
 
-    fn refuse_pending(&mut self) -> Vec<ClaimVerdict> {
+    fn refuse_pending(&mut self) -> Vec<ClaimResult> {
         let pending = std::mem::take(&mut self.pending_claims);
         let tickets = pending.into_iter().filter_map(|claim| claim.ticket);
-        let refuse = |ticket| ClaimVerdict {
+        let refuse = |ticket| ClaimResult {
             ticket,
             reply: ClaimReply::Unavailable,
         };
--- a/crates/wingspur-coordination/src/listing_frames.rs
+++ b/crates/wingspur-coordination/src/snapshot_frames.rs
@@ -12,7 +12,7 @@
 /// A listing grows with the servers, and the links of a hub with the boxes; one copy for each
 /// link would grow with their product.
 #[derive(Debug, Default)]
-pub struct ListingFrames {
+pub struct SnapshotFrameCache {
     kept: Vec<Kept>,
     /// How many were encoded so far.
     encoded: usize,
@@ -20,7 +20,7 @@
 
 /// A listing that one link is owed.
 #[derive(Debug, Clone)]
-pub struct PendingListing {
+pub struct PendingSnapshot {
     /// The listing.
     pub listing: Arc<ListingUpdate>,
     /// The version of the bundle that is in force at the other side; one that it has is left
@@ -35,9 +35,9 @@
     frame: EncodedFrame,
 }
 
-impl ListingFrames {
+impl SnapshotFrameCache {
     /// The frame that tells a listing.
-    pub fn frame(&mut self, pending: &PendingListing) -> EncodedFrame {
+    pub fn frame(&mut self, pending: &PendingSnapshot) -> EncodedFrame {
         let with_bundle = pending.with_bundle();
         let is_same = |kept: &&Kept| {
             let is_listing = std::ptr::eq(kept.listing.as_ptr(), &*pending.listing);
@@ -57,17 +57,17 @@
     }
 
     /// Forgets the listings that no link is owed any more.
-    pub fn tidy(&mut self) {
+    pub fn evict_unused(&mut self) {
         self.kept.retain(|kept| kept.listing.strong_count() > 0);
     }
 
     /// How many listings were encoded so far.
-    pub fn encoded(&self) -> usize {
+    pub fn encoded_count(&self) -> usize {
         self.encoded
     }
 }
 
-impl PendingListing {
+impl PendingSnapshot {
     fn with_bundle(&self) -> bool {
         let bundle = self.listing.listing.bundle.as_ref();
         bundle.is_some_and(|bundle| bundle.version > self.bundle_version)
--- a/crates/wingspur-coordination/src/update_pacer.rs
+++ b/crates/wingspur-coordination/src/update_pacer.rs
@@ -34,18 +34,18 @@
     }
 
     /// How long until the next frame with news may go out.
-    pub fn free_in(&self, now: Instant) -> Duration {
+    pub fn update_delay(&self, now: Instant) -> Duration {
         self.free_at.saturating_duration_since(now + AHEAD)
     }
 
     /// How long until the next listing may go out: they go one after the other, so that the
     /// first boxes that are owed one have it early and frames do not wait behind many.
-    pub fn list_free_in(&self, now: Instant) -> Duration {
+    pub fn snapshot_delay(&self, now: Instant) -> Duration {
         self.list_free_at.saturating_duration_since(now)
     }
 
     /// Counts a listing that goes out now.
-    pub fn count_listing(&mut self, listing: &ListingUpdate, now: Instant) {
+    pub fn record_snapshot(&mut self, listing: &ListingUpdate, now: Instant) {
         let servers = listing.listing.servers.len() + listing.missing.len();
         let routes = listing.listing.bundle.as_ref();
         let routes = routes.map_or(0, |bundle| bundle.host_routes.len());
@@ -55,13 +55,13 @@
     }
 
     /// Servers whose tallies a frame may tell, where so many frames go out in a second.
-    pub fn servers_a_frame(&self, frames_per_s: f64) -> usize {
+    pub fn max_servers_per_frame(&self, frames_per_s: f64) -> usize {
         let bytes = self.bytes_per_s / frames_per_s.max(1.0);
         (bytes as usize / BYTES_OF_SERVER).max(LEAST_SERVERS_A_FRAME)
     }
 
     /// Counts the news of a frame that goes out now.
-    pub fn count(&mut self, digests: &[Digest], now: Instant) {
+    pub fn record_update(&mut self, digests: &[Digest], now: Instant) {
         let sizes = digests.iter().map(|digest| {
             let servers = digest.servers.len() * BYTES_OF_SERVER;
             servers + digest.services.len() * BYTES_OF_SERVICE
--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::{
-    CatalogQueue, LinkClock, LinkKind, LinkWith, PendingListing, PlannedLink, UpdatePacer,
+    CatalogQueue, LinkClock, LinkKind, PeerRole, PendingSnapshot, PlannedLink,
+    UpdatePacer,
 };
 use wingspur_protocol::{BoxRecord, Lending, LinkRole};
 use wingspur_state::{
@@ -82,17 +83,17 @@
     }
 
     /// What the other side is to this box, as far as the fleet's view goes.
-    pub fn with(&self) -> LinkWith {
+    pub fn with(&self) -> PeerRole {
         match (self.opened_as, self.kind) {
-            (Some(LinkRole::Member), _) => LinkWith::OwnHub,
-            (_, LinkKind::Member) => LinkWith::Member,
-            (_, LinkKind::Hub) => LinkWith::Hub,
+            (Some(LinkRole::Member), _) => PeerRole::OwnHub,
+            (_, LinkKind::Member) => PeerRole::Member,
+            (_, LinkKind::Hub) => PeerRole::Hub,
         }
     }
 
     /// Whether a listing is queued that has to wait for its turn.
     pub fn listing_is_delayed(&self, pacer: &UpdatePacer, now: Instant) -> bool {
-        self.catalog.has_listing() && !pacer.list_free_in(now).is_zero()
+        self.catalog.has_listing() && !pacer.snapshot_delay(now).is_zero()
     }
 
     /// Whether what is told of servers means something at the other side: it knows them, or
@@ -105,17 +106,17 @@
     pub fn catalog_due_in(&self, pacer: &UpdatePacer, now: Instant) -> Option<Duration> {
         let due = self.catalog.due_in(now)?;
         Some(match self.catalog.has_listing() {
-            true => due.max(pacer.list_free_in(now)),
+            true => due.max(pacer.snapshot_delay(now)),
             false => due,
         })
     }
 
     /// The listing that the other side is owed. It leaves out a bundle that the other side
     /// has: a hub that has just taken over would owe each member the whole bundle.
-    pub fn take_listing(&mut self) -> Option<PendingListing> {
+    pub fn take_listing(&mut self) -> Option<PendingSnapshot> {
         let listing = self.catalog.take_listing()?;
         self.has_catalog = true;
-        Some(PendingListing {
+        Some(PendingSnapshot {
             listing,
             bundle_version: self.bundle_version,
         })
--- a/crates/wingspur-edge/src/admission.rs
+++ b/crates/wingspur-edge/src/admission.rs
@@ -124,7 +124,7 @@
             return Ok(found);
         }
         let now = wingspur_clock::now();
-        let age = shared.links.lock().feed().vouched_age(now);
+        let age = shared.links.lock().feed().confirmed_age(now);
         let is_vouched = age.is_some_and(|age| age <= VOUCHED_FOR);
         if is_vouched || now >= until {
             let code = if is_vouched {
--- a/crates/wingspur-edge/src/announce.rs
+++ b/crates/wingspur-edge/src/announce.rs
@@ -20,7 +20,7 @@
             (AnnouncementStep::AnnounceWithin(span), _) => {
                 announce_within(&shared, span, &mut told_boxes).await
             }
-            (AnnouncementStep::Stay, Some(held)) => {
+            (AnnouncementStep::Keep, Some(held)) => {
                 renew(&shared, held, &mut told_boxes).await
             }
             (AnnouncementStep::Lapse, Some(held)) => {
@@ -29,7 +29,7 @@
                 *shared.announcement.lock() = None;
                 Ok(IDLE)
             }
-            (AnnouncementStep::Stay | AnnouncementStep::Lapse, None) => Ok(IDLE),
+            (AnnouncementStep::Keep | AnnouncementStep::Lapse, None) => Ok(IDLE),
         };
         let wait = match done {
             Ok(wait) => {
@@ -76,10 +76,10 @@
     let announced = announcement(shared).is_some();
     let mut links = shared.links.lock();
     if links.is_starting() || shared.stopping.has_begun() {
-        return AnnouncementStep::Stay;
+        return AnnouncementStep::Keep;
     }
     announcement_step(&AnnouncementInputs {
-        before: links.planner().rank(),
+        ranked_before: links.planner().rank(),
         capacity: links.own().capacity,
         announced,
     })
--- a/crates/wingspur-edge/src/catalog_state.rs
+++ b/crates/wingspur-edge/src/catalog_state.rs
@@ -295,7 +295,7 @@
     replace_evacuations(shared, listing.evacuated, source);
     let mut links = shared.links.lock();
     links.planner().replace(listing.boxes, now);
-    links.feed().reach(listing.position);
+    links.feed().advance_to(listing.position);
     drop(links);
     shared.share_out();
     shared.replan.notify();
@@ -329,7 +329,7 @@
                 followed.extend(shared.directory.lock().remove(&id, now));
             }
             CatalogChange::Box(record) => {
-                shared.links.lock().planner().put(record);
+                shared.links.lock().planner().upsert(record);
                 boxes_changed = true;
             }
             CatalogChange::BoxGone(id) => {
@@ -347,7 +347,7 @@
         }
     }
     follow(shared, &followed, source);
-    shared.links.lock().feed().reach(changes.position);
+    shared.links.lock().feed().advance_to(changes.position);
     if boxes_changed {
         shared.share_out();
         shared.replan.notify();
--- a/crates/wingspur-edge/src/edge_box.rs
+++ b/crates/wingspur-edge/src/edge_box.rs
@@ -263,7 +263,7 @@
 /// is.
 fn watch_news(shared: &Shared, was_late: bool, now: Instant) -> bool {
     let mut links = shared.links.lock();
-    let (age, is_late) = (links.feed().news_age(now), links.feed().is_late(now));
+    let (age, is_late) = (links.feed().staleness(now), links.feed().is_lagging(now));
     let (position, is_hub) = (links.position(), links.is_hub(now));
     drop(links);
     let age_ms = age.as_millis() as u64;
--- a/crates/wingspur-edge/src/exchange.rs
+++ b/crates/wingspur-edge/src/exchange.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use rand::seq::SliceRandom;
-use wingspur_coordination::{LinkId, ListingFrames, PlannedLink, SourceUpdate};
+use wingspur_coordination::{LinkId, PlannedLink, SnapshotFrameCache, SourceUpdate};
 use wingspur_protocol::{
     CatalogUpdate, Digest, Frame, FrameContent, Hello, LINK_PROTOCOL_VERSION, LinkRole,
 };
@@ -80,7 +80,7 @@
 
 /// Sends news over the links until the box stops.
 pub async fn run_exchange(shared: Arc<Shared>, stop: StopSignal) {
-    let mut listings = ListingFrames::default();
+    let mut listings = SnapshotFrameCache::default();
     while !stop.is_given() {
         let pause = shared.links.lock().next_tick(wingspur_clock::now());
         if shared.updates.wait(pause).await {
@@ -122,8 +122,10 @@
             tracing::info!(peer = %to.id, %error, "peer: cannot be reached.");
             let mut links = shared.links.lock();
             match links.is_starting() {
-                true => links.planner().avoid_briefly(&to.id, wingspur_clock::now()),
-                false => links.planner().avoid(&to.id, wingspur_clock::now()),
+                true => links
+                    .planner()
+                    .back_off_briefly(&to.id, wingspur_clock::now()),
+                false => links.planner().back_off(&to.id, wingspur_clock::now()),
             }
             false
         }
@@ -267,7 +269,7 @@
                         .links
                         .lock()
                         .planner()
-                        .avoid(&peer, wingspur_clock::now());
+                        .back_off(&peer, wingspur_clock::now());
                 }
                 return drop_link(&shared, id, &error.to_string());
             }
@@ -341,7 +343,7 @@
 }
 
 /// Gathers what this box has seen, and sends what is due.
-fn tick(shared: &Arc<Shared>, listings: &mut ListingFrames) {
+fn tick(shared: &Arc<Shared>, listings: &mut SnapshotFrameCache) {
     let now = wingspur_clock::now();
     let digest = own_digest(shared);
     let bundle_version = shared.bundle_version();
@@ -362,14 +364,14 @@
             drop_link(shared, outgoing.link, &error.to_string());
         }
     }
-    listings.tidy();
+    listings.evict_unused();
 }
 
 /// Sends a frame, and the listing that goes before it.
 fn send(
     shared: &Shared,
     outgoing: &Outgoing,
-    listings: &mut ListingFrames,
+    listings: &mut SnapshotFrameCache,
 ) -> Result<(), LinkError> {
     if let Some(pending) = &outgoing.listing {
         let listing = listings.frame(pending);
--- a/crates/wingspur-edge/src/feed.rs
+++ b/crates/wingspur-edge/src/feed.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::FutureExt;
-use wingspur_coordination::{lists_at_start, waits_for_hub_listing};
+use wingspur_coordination::{lists_catalog_at_start, waits_for_hub_snapshot};
 use wingspur_protocol::BoxRecord;
 use wingspur_transport::{CatalogError, StopSignal};
 
@@ -65,7 +65,7 @@
         (links.own().id.clone(), links.planner().rank())
     };
     let was_announced = boxes.iter().any(|record| record.id == own_id);
-    let hold = match lists_at_start(was_announced, before) {
+    let hold = match lists_catalog_at_start(was_announced, before) {
         true => Duration::ZERO,
         false => jittered(HUB_HOLD),
     };
@@ -113,7 +113,7 @@
 fn waits_for_hub(shared: &Shared, started: Instant) -> bool {
     let links = shared.links.lock();
     let since_start = wingspur_clock::since(started);
-    links.is_starting() && waits_for_hub_listing(links.hub_has_catalog(), since_start)
+    links.is_starting() && waits_for_hub_snapshot(links.hub_has_catalog(), since_start)
 }
 
 /// Learns from the store which boxes are announced, unless more is known here already.
@@ -273,7 +273,7 @@
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(now);
     let rank = links.planner().rank();
-    links.feed().should_read(is_hub, rank, now)
+    links.feed().should_watch_store(is_hub, rank, now)
 }
 
 /// Waits before the store is read again.
@@ -299,7 +299,7 @@
 fn may_leave_it(shared: &Shared) -> bool {
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(wingspur_clock::now());
-    links.feed().may_leave_it(is_hub)
+    links.feed().may_defer_read(is_hub)
 }
 
 /// A pause that doubles up to a second.
--- a/crates/wingspur-edge/src/lending.rs
+++ b/crates/wingspur-edge/src/lending.rs
@@ -6,7 +6,8 @@
 use futures_lite::FutureExt;
 use rand::RngExt;
 use wingspur_coordination::{
-    Allowance, HeldBy, LendingMessages, LinkId, Reserve, Standing, Told,
+    LinkId, PendingGrant, Quota, QuotaAllocator, QuotaMessages, QuotaTopology,
+    ReserveShare,
 };
 use wingspur_protocol::{Lendable, Lending, ResultCode};
 use wingspur_state::{
@@ -76,16 +77,16 @@
         Lendable::Resend(_) | Lendable::Hedge(_) | Lendable::Permit(_) => false,
     };
     let mut state = shared.lending.lock();
-    state.note_parts(&standing, now);
-    let mut messages = LendingMessages::new();
+    state.update_shares(&standing, now);
+    let mut messages = QuotaMessages::new();
     for request in lending.asks.iter().filter(|ask| is_lent_here(&ask.of)) {
-        messages.extend(state.answer(link, request, &standing, &find, now));
+        messages.extend(state.handle_request(link, request, &standing, &find, now));
     }
     let answers = lending.answers.iter();
     for answer in answers.filter(|answer| is_lent_here(&answer.of)) {
-        messages.extend(state.take_answer(answer, &standing, &find, now));
+        messages.extend(state.handle_answer(answer, &standing, &find, now));
     }
-    let is_busy = state.is_busy();
+    let is_busy = state.has_pending();
     drop(state);
     take_permits(shared, link, lending);
     messages.extend(take_resend_loans(shared, link, lending));
@@ -99,7 +100,7 @@
 pub async fn run_lending(shared: Arc<Shared>, stop: StopSignal) {
     let (mut tidied, mut told_part) = (wingspur_clock::now(), 0.0);
     while !stop.is_given() {
-        if shared.lending.lock().is_busy() {
+        if shared.lending.lock().has_pending() {
             wingspur_clock::sleep(GO_ON_EVERY).await;
         } else {
             shared.lending_notify.wait(CLOCK_EVERY).await;
@@ -108,8 +109,8 @@
         let standing = standing(&shared, now);
         let allowances = Allowances::now(&shared);
         let find = |of| allowances.find(&shared, of);
-        if (standing.part - told_part).abs() > told_part / TOLD_PART {
-            told_part = standing.part;
+        if (standing.share - told_part).abs() > told_part / TOLD_PART {
+            told_part = standing.share;
             tracing::info!(
                 part = rounded(told_part),
                 is_member = standing.own_hub.is_some(),
@@ -117,11 +118,11 @@
             );
         }
         let mut state = shared.lending.lock();
-        state.note_parts(&standing, now);
-        let messages = state.go_on(&standing, &find, now);
+        state.update_shares(&standing, now);
+        let messages = state.poll(&standing, &find, now);
         if now.saturating_duration_since(tidied) >= TIDY_EVERY {
             tidied = now;
-            state.tidy(&find, now);
+            state.evict_idle(&find, now);
         }
         drop(state);
         send(&shared, messages);
@@ -132,7 +133,7 @@
 pub async fn want(
     shared: &Shared,
     of: Lendable,
-    reserve: Reserve,
+    reserve: ReserveShare,
     patience: Duration,
 ) -> AcquireOutcome {
     match begin_to_want(shared, of, reserve) {
@@ -145,15 +146,15 @@
 fn begin_to_want(
     shared: &Shared,
     of: Lendable,
-    reserve: Reserve,
-) -> Result<AcquireOutcome, Told> {
+    reserve: ReserveShare,
+) -> Result<AcquireOutcome, PendingGrant> {
     let now = wingspur_clock::now();
     let standing = standing(shared, now);
     let allowances = Allowances::now(shared);
     let find = |of| allowances.find(shared, of);
     let mut state = shared.lending.lock();
-    state.note_parts(&standing, now);
-    let (outcome, messages) = state.want(of, reserve, &standing, &find, now);
+    state.update_shares(&standing, now);
+    let (outcome, messages) = state.acquire(of, reserve, &standing, &find, now);
     drop(state);
     send(shared, messages);
     if outcome.is_err() {
@@ -162,7 +163,7 @@
     outcome
 }
 
-async fn wait_until_told(told: Told, patience: Duration) -> AcquireOutcome {
+async fn wait_until_told(told: PendingGrant, patience: Duration) -> AcquireOutcome {
     let told = async { told.recv().await.unwrap_or(AcquireOutcome::Unknown) };
     let expired = async {
         wingspur_clock::sleep(patience).await;
@@ -172,11 +173,7 @@
 }
 
 /// Takes in what is asked and answered of resends.
-fn take_resend_loans(
-    shared: &Shared,
-    link: LinkId,
-    lending: &Lending,
-) -> LendingMessages {
+fn take_resend_loans(shared: &Shared, link: LinkId, lending: &Lending) -> QuotaMessages {
     let of_resends =
         |of: &Lendable| matches!(of, Lendable::Resend(_) | Lendable::Hedge(_));
     let asks = lending.asks.iter().filter(|ask| of_resends(&ask.of));
@@ -199,7 +196,7 @@
     }
 }
 
-fn standing(shared: &Shared, now: Instant) -> Standing {
+fn standing(shared: &Shared, now: Instant) -> QuotaTopology {
     shared.links.lock().lending_standing(now)
 }
 
@@ -217,13 +214,13 @@
         }
     }
 
-    fn find(&self, shared: &Shared, of: Lendable) -> Option<Allowance> {
+    fn find(&self, shared: &Shared, of: Lendable) -> Option<Quota> {
         match of {
             Lendable::Account(key) => {
                 let account = self.accounts.as_ref()?.of_allowance(key)?;
-                Some(Allowance {
+                Some(Quota {
                     terms: QuotaTerms::of_account(account, &self.quota),
-                    held_by: HeldBy::EachHub,
+                    allocator: QuotaAllocator::EachHub,
                 })
             }
             Lendable::Server(server) => of_server(shared, server),
@@ -233,14 +230,14 @@
 }
 
 /// What a server takes, held by the hub of its data centre.
-fn of_server(shared: &Shared, server: ServerKey) -> Option<Allowance> {
+fn of_server(shared: &Shared, server: ServerKey) -> Option<Quota> {
     let service = shared.services.of_server(server)?;
     let balancer = service.balancer.lock();
     let limit_per_s = balancer.limit(server, wingspur_clock::now())?;
     let data_centre = balancer.record(server)?.data_centre.clone();
-    Some(Allowance {
+    Some(Quota {
         terms: QuotaTerms::of_server(limit_per_s),
-        held_by: HeldBy::HubOf(data_centre),
+        allocator: QuotaAllocator::DataCentreHub(data_centre),
     })
 }
 
--- a/crates/wingspur-edge/src/lending_frames.rs
+++ b/crates/wingspur-edge/src/lending_frames.rs
@@ -1,11 +1,11 @@
 //! Sends what boxes ask and answer of loans.
 
-use wingspur_coordination::LendingMessage;
+use wingspur_coordination::QuotaMessage;
 
 use crate::shared::Shared;
 
 /// Sends what there is to ask and to answer.
-pub fn send(shared: &Shared, messages: impl IntoIterator<Item = LendingMessage>) {
+pub fn send(shared: &Shared, messages: impl IntoIterator<Item = QuotaMessage>) {
     for message in messages {
         let outgoing = shared.links.lock().lending_frame(message);
         let Some(outgoing) = outgoing else { continue };
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::{
-    Announced, CatalogQueue, FeedView, FleetView, LendingMessage, LinkClock, LinkId,
-    LinkKind, LinkPeer, LinkPlanner, LinkWith, OWN_LINK, PendingListing, PlaceStanding,
-    PlannedLink, RecentChanges, Rollup, SourceUpdate, Standing, UpdatePacer,
-    UpdateReader, hash_of,
+    AnnouncementView, CatalogFreshnessTracker, CatalogQueue, DataCentreQuota, FleetView,
+    LinkClock, LinkId, LinkKind, LinkPeer, LinkPlanner, OWN_LINK, PeerRole,
+    PendingSnapshot, PlannedLink, QuotaMessage, QuotaTopology, RecentChanges, Rollup,
+    SourceUpdate, TallyUpdateReader, UpdatePacer, hash_of,
 };
 use wingspur_protocol::{
     BoxRecord, CatalogChanges, CatalogUpdate, Digest, Frame, FrameContent, LeavingNote,
@@ -28,14 +28,14 @@
 pub struct Links {
     own: BoxRecord,
     rollup: Rollup,
-    updates: UpdateReader,
+    updates: TallyUpdateReader,
     planner: LinkPlanner,
-    feed: FeedView,
+    feed: CatalogFreshnessTracker,
     recent: RecentChanges,
     active: BTreeMap<LinkId, ActiveLink>,
     fleet: FleetView,
     /// What announcements told of the fleet, and when that was read.
-    announced: Option<(Instant, Arc<Announced>)>,
+    announced: Option<(Instant, Arc<AnnouncementView>)>,
     next_id: LinkId,
     /// The listing that was put together last, and when.
     listing: Option<(Instant, Arc<ListingUpdate>)>,
@@ -55,7 +55,7 @@
     /// Where it goes.
     pub sender: LinkSender,
     /// The listing that goes before the frame, if one is owed.
-    pub listing: Option<PendingListing>,
+    pub listing: Option<PendingSnapshot>,
     /// What it says.
     pub frame: Frame,
 }
@@ -69,9 +69,9 @@
         };
         Self {
             rollup: Rollup::new(own.incarnation),
-            updates: UpdateReader::default(),
+            updates: TallyUpdateReader::default(),
             planner: LinkPlanner::new(own.clone()),
-            feed: FeedView::new(own.id.clone(), now),
+            feed: CatalogFreshnessTracker::new(own.id.clone(), now),
             recent: RecentChanges::default(),
             active: BTreeMap::new(),
             fleet: fleet(hash_of(&own.id), now).in_data_centre(own.data_centre.clone()),
@@ -111,7 +111,7 @@
     }
 
     /// How the box stands with the store.
-    pub fn feed(&mut self) -> &mut FeedView {
+    pub fn feed(&mut self) -> &mut CatalogFreshnessTracker {
         &mut self.feed
     }
 
@@ -139,9 +139,9 @@
         self.rollup.add_link(id, kind);
         if kind == LinkKind::Hub {
             // Members are not announced, and so are no hub for others.
-            self.planner.put(peer.clone());
+            self.planner.upsert(peer.clone());
         }
-        self.planner.reached(&peer.id);
+        self.planner.note_reached(&peer.id);
         self.planner.note_linked(&peer.id);
         let link = ActiveLink {
             peer,
@@ -190,7 +190,7 @@
 
     /// The sources that are not heard any more, forgotten here.
     pub fn take_lost(&mut self) -> Vec<SourceId> {
-        let lost = self.rollup.take_lost();
+        let lost = self.rollup.take_lost_sources();
         for source in &lost {
             self.updates.forget(*source);
         }
@@ -335,7 +335,7 @@
     /// Whether news came from this box or a member of its own.
     fn is_own_update(&self, from: Option<LinkId>) -> bool {
         let teller = from.and_then(|id| self.active.get(&id));
-        teller.is_none_or(|link| link.with() == LinkWith::Member)
+        teller.is_none_or(|link| link.with() == PeerRole::Member)
     }
 
     /// The links that do not hear news otherwise: what another hub tells, that one tells all
@@ -350,7 +350,7 @@
             .iter_mut()
             .filter(move |(id, _)| Some(**id) != from);
         others.filter_map(move |(_, link)| {
-            let hears = is_own || link.with() == LinkWith::Member;
+            let hears = is_own || link.with() == PeerRole::Member;
             hears.then_some(link)
         })
     }
@@ -384,7 +384,8 @@
 
     /// Links on which the other side has not answered for too long.
     pub fn stuck(&self, now: Instant) -> Vec<LinkId> {
-        let waits_long = |link: &ActiveLink| link.clock.waits_for(now) >= MOST_WAIT;
+        let waits_long =
+            |link: &ActiveLink| link.clock.oldest_unanswered_age(now) >= MOST_WAIT;
         let stuck = self.active.iter().filter(|(_, link)| waits_long(link));
         stuck.map(|(id, _)| *id).collect()
     }
@@ -401,7 +402,7 @@
         let hurry = std::mem::take(&mut self.urgent);
         let home_gap = self.home_gap();
         let known = self.announced(now);
-        let fleet = self.fleet.tell(&known, now);
+        let fleet = self.fleet.outgoing_notes(&known, now);
         let frames_per_s = self.active.len() as f64 / home_gap.as_secs_f64();
         let mut frames = Vec::new();
         // Who was told longest ago goes first, where not all can be told at once.
@@ -436,23 +437,23 @@
             let mut frame = Frame {
                 stamps: link.clock.send(now),
                 bundle_version,
-                fleet: self.fleet.tell_on(*id, &fleet, now),
+                fleet: self.fleet.note_for_link(*id, &fleet, now),
                 leaving: self.leaving,
                 ..Frame::default()
             };
             frame.rooms = match link.with() {
-                LinkWith::OwnHub => rooms.own.clone(),
-                LinkWith::Member | LinkWith::Hub => rooms.sums.clone(),
+                PeerRole::OwnHub => rooms.own.clone(),
+                PeerRole::Member | PeerRole::Hub => rooms.sums.clone(),
             };
             frame.lending = std::mem::take(&mut link.lending);
-            frame.left_parts = self.fleet.leave_parts(*id, &known, now);
+            frame.left_parts = self.fleet.delegate_shares(*id, &known, now);
             if due {
-                let most_servers = match self.pacer.free_in(now).is_zero() {
-                    true => self.pacer.servers_a_frame(frames_per_s),
+                let most_servers = match self.pacer.update_delay(now).is_zero() {
+                    true => self.pacer.max_servers_per_frame(frames_per_s),
                     false => 0,
                 };
                 frame.digests = self.rollup.compose_within(*id, most_servers);
-                self.pacer.count(&frame.digests, now);
+                self.pacer.record_update(&frame.digests, now);
                 link.told = now;
             }
             if !full {
@@ -464,7 +465,7 @@
                     frame.catalog = link.catalog.take(now);
                 }
                 if let Some(pending) = &listing {
-                    self.pacer.count_listing(&pending.listing, now);
+                    self.pacer.record_snapshot(&pending.listing, now);
                 }
                 frame.wants_listing = std::mem::take(&mut link.wants_listing);
                 let greeting = link.greeting.take_if(|_| accepts_updates);
@@ -522,17 +523,17 @@
     /// The boxes of the fleet, as far as this one knows.
     pub fn fleet_boxes(&mut self, now: Instant) -> usize {
         let known = self.announced(now);
-        self.fleet.boxes(&known, now)
+        self.fleet.fleet_size(&known, now)
     }
 
     /// How this box stands with the fleet, as far as what is shared over a window goes.
     pub fn standing(&mut self, window: Duration, now: Instant) -> FleetMembership {
         let known = self.announced(now);
-        self.fleet.standing(window, &known, now)
+        self.fleet.membership(window, &known, now)
     }
 
     /// What announcements tell of the fleet, as it was a moment ago.
-    fn announced(&mut self, now: Instant) -> Arc<Announced> {
+    fn announced(&mut self, now: Instant) -> Arc<AnnouncementView> {
         if let Some((at, known)) = &self.announced
             && now.saturating_duration_since(*at) < ANNOUNCED_FOR
         {
@@ -543,26 +544,26 @@
         known
     }
 
-    fn read_announced(&self, now: Instant) -> Announced {
+    fn read_announced(&self, now: Instant) -> AnnouncementView {
         let told = match self.is_unlinked() {
-            true => self.planner.announced_fleet(),
+            true => self.planner.reported_fleet_size(),
             false => 0,
         };
         let is_hub = self.is_hub(now);
         let feed = self.feed.state(now);
         let known = feed.reader.is_some() && !self.is_starting();
-        Announced {
-            boxes: self.planner.size().max(told),
-            told_boxes: self.planner.announced_fleet(),
+        AnnouncementView {
+            announced_boxes: self.planner.size().max(told),
+            reported_fleet_size: self.planner.reported_fleet_size(),
             data_centres: self.planner.other_data_centres(),
             is_hub,
-            stands_in: is_hub && self.planner.rank() > 0,
+            is_acting_hub: is_hub && self.planner.rank() > 0,
             age: known.then(|| Duration::from_millis(feed.age_ms.into())),
         }
     }
 
     /// What this box is among the others, as far as lending goes.
-    pub fn lending_standing(&mut self, now: Instant) -> Standing {
+    pub fn lending_standing(&mut self, now: Instant) -> QuotaTopology {
         let own_hub = self.own_hub();
         let lenders = own_hub.map_or_else(|| self.other_hubs(), |hub| vec![hub]);
         let known = self.announced(now);
@@ -570,17 +571,17 @@
         let names = others.chain(std::iter::once(&self.own.data_centre));
         let names = names.filter(|_| own_hub.is_none());
         let fleet = &mut self.fleet;
-        let places = names.map(|name| PlaceStanding {
+        let places = names.map(|name| DataCentreQuota {
             data_centre: name.clone(),
-            part: fleet.part_for(name, &known, now),
-            holder: fleet.holder_for(name, now),
+            share: fleet.share_for(name, &known, now),
+            allocator: fleet.allocator_for(name, now),
         });
         let places = places.collect();
-        Standing {
+        QuotaTopology {
             own_hub,
-            lenders,
-            part: self.fleet.part(&known, now),
-            places,
+            allocators: lenders,
+            share: self.fleet.share(&known, now),
+            data_centres: places,
         }
     }
 
@@ -592,7 +593,10 @@
         age: Duration,
         now: Instant,
     ) -> (Instant, Instant) {
-        let vouched = self.active.get(&id).and_then(|link| link.clock.vouched());
+        let vouched = self
+            .active
+            .get(&id)
+            .and_then(|link| link.clock.peer_state_as_of());
         let before = |moment: Instant| moment.checked_sub(age).unwrap_or(moment);
         (before(vouched.unwrap_or(now)), before(now))
     }
@@ -600,7 +604,7 @@
     /// Whom this box may ask for a resend.
     pub fn lenders(&self) -> Lenders {
         let members = self.active.iter();
-        let members = members.filter(|(_, link)| link.with() == LinkWith::Member);
+        let members = members.filter(|(_, link)| link.with() == PeerRole::Member);
         Lenders {
             own_hub: self.own_hub(),
             members: members.map(|(id, _)| *id).collect(),
@@ -611,13 +615,13 @@
     /// How old at most the newest is that this box has heard of any other; none if it never
     /// heard one.
     pub fn heard_age(&self, now: Instant) -> Option<Duration> {
-        self.fleet.heard_age(now)
+        self.fleet.peer_state_age(now)
     }
 
     /// The link with the hub that this box reports to.
     pub fn own_hub(&self) -> Option<LinkId> {
         let mut links = self.active.iter();
-        let own_hub = links.find(|(_, link)| link.with() == LinkWith::OwnHub);
+        let own_hub = links.find(|(_, link)| link.with() == PeerRole::OwnHub);
         own_hub.map(|(id, _)| *id)
     }
 
@@ -630,7 +634,7 @@
     /// The links with other hubs.
     pub fn other_hubs(&self) -> Vec<LinkId> {
         let hubs = self.active.iter();
-        let hubs = hubs.filter(|(_, link)| link.with() == LinkWith::Hub);
+        let hubs = hubs.filter(|(_, link)| link.with() == PeerRole::Hub);
         hubs.map(|(id, _)| *id).collect()
     }
 
@@ -639,7 +643,7 @@
     ///
     /// It goes out beside the others and is none of those that the other side must answer:
     /// requests wait for it.
-    pub fn lending_frame(&mut self, message: LendingMessage) -> Option<Outgoing> {
+    pub fn lending_frame(&mut self, message: QuotaMessage) -> Option<Outgoing> {
         let link = self.active.get_mut(&message.link)?;
         if !message.urgent {
             link.lending.asks.extend(message.lending.asks);
@@ -677,20 +681,21 @@
         link.has_catalog |= !known.is_start();
         link.catalog.drop_known_listing(known, frame.bundle_version);
         link.clock.receive(&frame.stamps);
-        let vouched = link.clock.vouched();
+        let vouched = link.clock.peer_state_as_of();
         if let Some(vouched) = vouched {
-            self.feed.note(id, &frame.feed, vouched);
+            self.feed.receive(id, &frame.feed, vouched);
         }
         let known = self.announced(now);
         self.fleet.receive_census(id, &frame.census, &known, now);
         self.fleet.receive(id, frame.fleet, &known, vouched, now);
-        self.fleet.receive_left(id, &frame.left_parts, vouched);
+        self.fleet
+            .receive_delegated_shares(id, &frame.left_parts, vouched);
     }
 
     /// Takes in that the other side of a link has ended it in order: it uses this box's part
     /// no more.
     pub fn note_ended(&mut self, id: LinkId, now: Instant) {
-        self.fleet.release_part(id, now);
+        self.fleet.release_share(id, now);
     }
 
     /// Who is linked, for logs.
@@ -731,7 +736,7 @@
     let due = (link.told + gap).saturating_duration_since(now);
     Some(match rollup.has_failures(id) {
         true => due,
-        false => due.max(pacer.free_in(now)),
+        false => due.max(pacer.update_delay(now)),
     })
 }
 
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use futures_lite::FutureExt;
 use wingspur_coordination::{
-    CountOutcome, DeskStep, LendingMessage, LinkId, QuarantineCount,
+    LinkId, QuotaMessage, RecordOutcome, TrialDecision, TrialRecord,
 };
 use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, QuarantineRecord};
 use wingspur_state::{
@@ -77,7 +77,7 @@
     let mut state = shared.quarantine.lock();
     let due = state
         .desk
-        .open(request, known.as_ref(), wingspur_clock::now());
+        .begin_quarantine(request, known.as_ref(), wingspur_clock::now());
     drop(state);
     let Some(count) = due else { return };
     let shared = shared.clone();
@@ -85,7 +85,9 @@
     spawner.detach(async move {
         let outcome = write(&shared, request, count).await;
         let mut state = shared.quarantine.lock();
-        state.desk.opened(request, outcome, wingspur_clock::now());
+        state
+            .desk
+            .quarantine_recorded(request, outcome, wingspur_clock::now());
     });
 }
 
@@ -155,10 +157,10 @@
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
         for (request, known) in lost {
-            let count = QuarantineCount {
+            let count = TrialRecord {
                 tries: known.tries,
                 counted_by: known.counted_by,
-                position: known.position,
+                expected_position: known.position,
             };
             write(&shared, request, count).await;
         }
@@ -198,9 +200,9 @@
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
         let (urgent, more_in) = match decide_here(&shared, request, true).await {
-            DeskStep::Lend => (1, Duration::ZERO),
-            DeskStep::Later(after) => (0, after),
-            DeskStep::AskHub | DeskStep::Count(_) => (0, ASK_AGAIN),
+            TrialDecision::Lend => (1, Duration::ZERO),
+            TrialDecision::Later(after) => (0, after),
+            TrialDecision::AskHub | TrialDecision::Count(_) => (0, ASK_AGAIN),
         };
         let answer = LoanAnswer {
             number,
@@ -210,7 +212,7 @@
             renewed: false,
             more_in_ms: Some(more_in.as_millis() as u32),
         };
-        send(&shared, vec![LendingMessage::answering(link, answer, true)]);
+        send(&shared, vec![QuotaMessage::reply(link, answer, true)]);
     });
 }
 
@@ -246,7 +248,7 @@
     let outlived = suspects.cleared_quarantines();
     shared.metrics.suspects.set(suspects.len() as i64);
     drop(suspects);
-    shared.quarantine.lock().desk.tidy(now);
+    shared.quarantine.lock().desk.evict_idle(now);
     outlived
 }
 
@@ -261,10 +263,10 @@
 async fn decide(shared: &Arc<Shared>, request: RequestFingerprint) -> Step {
     let hub = shared.links.lock().own_hub();
     match (decide_here(shared, request, hub.is_none()).await, hub) {
-        (DeskStep::Lend, _) => Step::Lend,
-        (DeskStep::Later(after), _) => Step::Later(after),
-        (DeskStep::AskHub, Some(hub)) => ask_hub(shared, request, hub).await,
-        (DeskStep::AskHub | DeskStep::Count(_), _) => Step::Later(ASK_AGAIN),
+        (TrialDecision::Lend, _) => Step::Lend,
+        (TrialDecision::Later(after), _) => Step::Later(after),
+        (TrialDecision::AskHub, Some(hub)) => ask_hub(shared, request, hub).await,
+        (TrialDecision::AskHub | TrialDecision::Count(_), _) => Step::Later(ASK_AGAIN),
     }
 }
 
@@ -285,7 +287,7 @@
         reserve: 0.0,
         wanted: 0.0,
     };
-    send(shared, vec![LendingMessage::asking(hub, question)]);
+    send(shared, vec![QuotaMessage::request(hub, question)]);
     let told = async { told.recv().await.ok() };
     let expired = async {
         wingspur_clock::sleep(ANSWER_LOST).await;
@@ -309,22 +311,26 @@
     shared: &Arc<Shared>,
     request: RequestFingerprint,
     nobody_else: bool,
-) -> DeskStep {
+) -> TrialDecision {
     if !is_quarantined(shared, request) {
-        return DeskStep::Lend;
+        return TrialDecision::Lend;
     }
     let (known, step) = {
         let suspects = shared.suspects.lock();
         let mut state = shared.quarantine.lock();
-        let step = state.desk.ask(request, &suspects, wingspur_clock::now());
+        let step = state
+            .desk
+            .request_trial(request, &suspects, wingspur_clock::now());
         (suspects.quarantine(request), step)
     };
     let step = match step {
-        DeskStep::Count(count) => {
+        TrialDecision::Count(count) => {
             let outcome = write(shared, request, count).await;
             let mut state = shared.quarantine.lock();
             let now = wingspur_clock::now();
-            state.desk.counted(request, outcome, nobody_else, now)
+            state
+                .desk
+                .trial_recorded(request, outcome, nobody_else, now)
         }
         step => step,
     };
@@ -342,13 +348,13 @@
 async fn write(
     shared: &Arc<Shared>,
     request: RequestFingerprint,
-    count: QuarantineCount,
-) -> CountOutcome {
+    count: TrialRecord,
+) -> RecordOutcome {
     let record = QuarantineRecord {
         request,
         tries: count.tries,
         counted_by: count.counted_by,
-        position: count.position,
+        position: count.expected_position,
     };
     let call = (shared.catalog.count_try)(record, SUSPECT_RETENTION);
     let written = call_store(shared, "quarantine", call).await;
@@ -356,15 +362,15 @@
     match written {
         Ok(TryCounted::Stands(position)) => {
             put_quarantine(shared, &QuarantineRecord { position, ..record });
-            CountOutcome::Stands
+            RecordOutcome::Stands
         }
         Ok(TryCounted::Overtaken(Some(found))) => {
             put_quarantine(shared, &found);
-            CountOutcome::Overtaken
+            RecordOutcome::Overtaken
         }
         Ok(TryCounted::Overtaken(None)) => {
             shared.suspects.lock().remove_quarantine(request);
-            CountOutcome::Overtaken
+            RecordOutcome::Overtaken
         }
         Err(_) => look_whether_written(shared, &record).await,
     }
@@ -375,7 +381,7 @@
 async fn look_whether_written(
     shared: &Arc<Shared>,
     record: &QuarantineRecord,
-) -> CountOutcome {
+) -> RecordOutcome {
     let call = (shared.catalog.read_quarantine)(record.request);
     let read = call_store(shared, "read_quarantine", call).await;
     let (fingerprint, tries) = (record.request, record.tries);
@@ -383,17 +389,17 @@
         Ok(Some(found)) => {
             put_quarantine(shared, &found);
             match (found.tries, found.counted_by) == (tries, record.counted_by) {
-                true => CountOutcome::Stands,
-                false => CountOutcome::Overtaken,
+                true => RecordOutcome::Stands,
+                false => RecordOutcome::Overtaken,
             }
         }
         Ok(None) => {
             shared.suspects.lock().remove_quarantine(record.request);
-            CountOutcome::Overtaken
+            RecordOutcome::Overtaken
         }
         Err(error) => {
             tracing::warn!(%fingerprint, tries, %error, "quarantine: not known.");
-            CountOutcome::Unknown
+            RecordOutcome::Unknown
         }
     }
 }
--- a/crates/wingspur-edge/src/quarantine_state.rs
+++ b/crates/wingspur-edge/src/quarantine_state.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use wingspur_coordination::QuarantineDesk;
+use wingspur_coordination::QuarantineRegistry;
 use wingspur_protocol::LoanAnswer;
 use wingspur_state::{SourceId, StoreEra};
 
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct QuarantineState {
     /// Who may send, and when.
-    pub desk: QuarantineDesk,
+    pub desk: QuarantineRegistry,
     /// This box's own questions, with who waits for each answer.
     pub asked: HashMap<u32, async_channel::Sender<LoanAnswer>>,
     /// The number of the last question.
@@ -22,7 +22,7 @@
     /// A box that starts now, and counts under a name of its own.
     pub fn new(own: SourceId) -> Self {
         Self {
-            desk: QuarantineDesk::new(own),
+            desk: QuarantineRegistry::new(own),
             asked: HashMap::new(),
             last_number: 0,
         }
--- a/crates/wingspur-edge/src/resending.rs
+++ b/crates/wingspur-edge/src/resending.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::FutureExt;
-use wingspur_coordination::{LendingMessage, LendingMessages, LinkId};
+use wingspur_coordination::{LinkId, QuotaMessage, QuotaMessages};
 use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, ResendRoom};
 use wingspur_state::{RESEND_LEASE_TTL, ResendKind, server_key};
 
@@ -59,7 +59,7 @@
         reserve: 0.0,
         wanted: 0.0,
     };
-    send(shared, vec![LendingMessage::asking(to, request)]);
+    send(shared, vec![QuotaMessage::request(to, request)]);
     Some((number, answered))
 }
 
@@ -68,7 +68,7 @@
     shared: &Shared,
     link: LinkId,
     request: &LoanRequest,
-) -> LendingMessages {
+) -> QuotaMessages {
     let now = wingspur_clock::now();
     if lends_itself(shared, request.of, now) {
         return vec![answering(link, request.number, request.of, true)];
@@ -92,17 +92,17 @@
         .retain(|_, passed| passed.at + KEPT_FOR > now);
     loans.passed_on.insert(number, passed);
     let request = LoanRequest { number, ..*request };
-    vec![LendingMessage::asking(to, request)]
+    vec![QuotaMessage::request(to, request)]
 }
 
 /// Takes in the answer to a question for a resend: this box's own, or one passed on.
-pub fn take_resend_answer(shared: &Shared, answer: &LoanAnswer) -> LendingMessages {
+pub fn take_resend_answer(shared: &Shared, answer: &LoanAnswer) -> QuotaMessages {
     let lent = answer.urgent > 0;
     let mut loans = shared.resend_loans.lock();
     if let Some(asked) = loans.asked.remove(&answer.number) {
         // One that has given up does not listen any more.
         let _ = asked.try_send(lent);
-        return LendingMessages::new();
+        return QuotaMessages::new();
     }
     let passed = loans.passed_on.remove(&answer.number);
     let message =
@@ -160,7 +160,7 @@
     }
 }
 
-fn answering(link: LinkId, number: u32, of: Lendable, lent: bool) -> LendingMessage {
+fn answering(link: LinkId, number: u32, of: Lendable, lent: bool) -> QuotaMessage {
     let answer = LoanAnswer {
         number,
         of,
@@ -169,7 +169,7 @@
         renewed: false,
         more_in_ms: None,
     };
-    LendingMessage::answering(link, answer, true)
+    QuotaMessage::reply(link, answer, true)
 }
 
 /// How long what is told of the budgets counts as new: each frame asks for it.
--- a/crates/wingspur-edge/src/server_changes.rs
+++ b/crates/wingspur-edge/src/server_changes.rs
@@ -34,7 +34,7 @@
 
 /// Drops servers that have not come back after an outage of the store.
 pub fn settle(shared: &Arc<Shared>, now: Instant) {
-    let age = shared.links.lock().feed().vouched_age(now);
+    let age = shared.links.lock().feed().confirmed_age(now);
     let Some(as_of) = age.and_then(|age| now.checked_sub(age)) else {
         return;
     };
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use wingspur_coordination::{LinkId, Reserve};
+use wingspur_coordination::{LinkId, ReserveShare};
 use wingspur_protocol::{LeavingNote, Lendable, LimitNote, ServerHints};
 use wingspur_state::{
     AcquireOutcome, Priority, RegistryChange, ServerKey, ServerLimitChange, ServerRecord,
@@ -272,7 +272,7 @@
 
 /// The share of the room beyond one place that a request leaves to more urgent ones: places
 /// that come while there are none to spare go to those first, whoever asked before.
-fn reserve_of(rank: Priority) -> Reserve {
+fn reserve_of(rank: Priority) -> ReserveShare {
     f32::from(rank.min(RANKS_APART)) * RESERVE_PER_RANK
 }
 
--- a/crates/wingspur-edge/src/shared.rs
+++ b/crates/wingspur-edge/src/shared.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wingspur_coordination::LendingDesk;
+use wingspur_coordination::QuotaLeaseManager;
 use wingspur_protocol::{BoxRecord, HeaderNames};
 use wingspur_state::{
     AnnouncedStates, Bundle, FleetMembership, ServerRegistry, SuspectRequests,
@@ -38,7 +38,7 @@
     /// The links to other boxes.
     pub links: Ranked<Links>,
     /// What is lent and borrowed of client accounts' allowances.
-    pub lending: Ranked<LendingDesk>,
+    pub lending: Ranked<QuotaLeaseManager>,
     /// Who has room for resends, and what is lent of them.
     pub resend_loans: Ranked<ResendLoans>,
     /// What servers have said of themselves.
@@ -108,7 +108,10 @@
                     wingspur_clock::now(),
                 ),
             ),
-            lending: Ranked::new(Rank::Lending, LendingDesk::new(wingspur_clock::now())),
+            lending: Ranked::new(
+                Rank::Lending,
+                QuotaLeaseManager::new(wingspur_clock::now()),
+            ),
             resend_loans: Ranked::new(Rank::ResendLoans, ResendLoans::default()),
             standings: Ranked::new(Rank::Standings, AnnouncedStates::default()),
             suspects: Ranked::new(Rank::Suspects, SuspectRequests::default()),
--- a/crates/wingspur-entry/src/bundles.rs
+++ b/crates/wingspur-entry/src/bundles.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::seq::IndexedRandom;
-use wingspur_coordination::{PeerView, Roster};
+use wingspur_coordination::{PeerView, RendezvousSet};
 use wingspur_protocol::{
     BundleOffer, Manifest, PeerMessage, PeerReply, SignedBundle, digest_of, verify_bundle,
 };
@@ -182,8 +182,8 @@
         .lock()
         .live_in(home, wingspur_clock::now());
     let ids = others.into_iter().map(|peer| peer.id);
-    let inside = Roster::new(ids.chain([own.clone()]));
-    inside.is_among(&format!("reader/{home}"), READERS, own)
+    let inside = RendezvousSet::new(ids.chain([own.clone()]));
+    inside.is_in_top(&format!("reader/{home}"), READERS, own)
 }
 
 async fn ask_peers(shared: &Arc<Shared>) {
--- a/crates/wingspur-entry/src/claims.rs
+++ b/crates/wingspur-entry/src/claims.rs
@@ -114,7 +114,7 @@
 
 fn owner(shared: &Shared, shard: u32) -> wingspur_state::BoxId {
     let live = shared.live();
-    let owner = live.holder(&format!("once/{shard}"));
+    let owner = live.owner(&format!("once/{shard}"));
     owner.unwrap_or(&shared.settings.box_id).clone()
 }
 
--- a/crates/wingspur-entry/src/detection.rs
+++ b/crates/wingspur-entry/src/detection.rs
@@ -73,7 +73,7 @@
         let Some(report) = report else { continue };
         let live = live.get_or_insert_with(|| shared.live());
         let role = format!("judge/{}", handle.service.name);
-        let holder = live.holder(&role);
+        let holder = live.owner(&role);
         let holder = holder.unwrap_or(&shared.settings.box_id).clone();
         by_judge.entry(holder).or_default().push(report);
     }
--- a/crates/wingspur-entry/src/peers.rs
+++ b/crates/wingspur-entry/src/peers.rs
@@ -168,7 +168,7 @@
         }
     };
     *validator = new_validator;
-    shared.membership.lock().set_list(&list);
+    shared.membership.lock().update_listed(&list);
     let Some(bundle) = shared.in_force() else {
         return;
     };
--- a/crates/wingspur-entry/src/shard_driver.rs
+++ b/crates/wingspur-entry/src/shard_driver.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_lite::FutureExt;
-use wingspur_coordination::{ClaimVerdict, LogCommand, SegmentWrite};
+use wingspur_coordination::{ClaimResult, LogCommand, SegmentWrite};
 use wingspur_protocol::LogSegment;
 use wingspur_transport::{StopSignal, StoreError, WriteOutcome};
 
@@ -62,7 +62,7 @@
     shared: &Shared,
     seat: &ShardSeat,
     shard: u32,
-) -> Vec<ClaimVerdict> {
+) -> Vec<ClaimResult> {
     let key = shared.keys.log_owner(shard);
     // A fresh value for each try, so that one's own late write is told apart.
     let value = format!("{}/{:016x}", shared.settings.box_id, rand::random::<u64>());
@@ -74,7 +74,7 @@
         let revision = present.as_ref().map_or(0, |pair| pair.mod_revision);
         if present.is_some_and(|pair| pair.value == value.as_bytes()) {
             tracing::info!("claims: owner of shard {shard}.");
-            seat.state.lock().log.took(revision);
+            seat.state.lock().log.ownership_acquired(revision);
             return Vec::new();
         }
         shared.count_store_call("owner_write");
@@ -82,7 +82,7 @@
         let _ = shared.store.put_if(&key, value.as_bytes(), revision).await;
     }
     tracing::warn!("claims: shard {shard} cannot be owned now.");
-    let verdicts = seat.state.lock().log.failed();
+    let verdicts = seat.state.lock().log.open_failed();
     wingspur_clock::sleep(OWNERSHIP_PAUSE).await;
     verdicts
 }
@@ -92,14 +92,14 @@
     seat: &ShardSeat,
     shard: u32,
     unix_ms: u64,
-) -> Vec<ClaimVerdict> {
+) -> Vec<ClaimResult> {
     shared.count_store_call("log_read");
     let prefix = shared.keys.log(shard);
     let pairs = match shared.store.get_prefix(&prefix).await {
         Ok(found) => found.pairs,
         Err(error) => {
             tracing::warn!("claims: the log of shard {shard} cannot be read: {error}.");
-            return seat.state.lock().log.failed();
+            return seat.state.lock().log.open_failed();
         }
     };
     let mut segments = Vec::with_capacity(pairs.len());
@@ -114,7 +114,7 @@
                 "claims: `{}` is unreadable; shard {shard} stays shut.",
                 pair.key
             );
-            return seat.state.lock().log.failed();
+            return seat.state.lock().log.open_failed();
         };
         segments.push((number, segment));
     }
@@ -127,7 +127,7 @@
     seat: &ShardSeat,
     shard: u32,
     write: SegmentWrite,
-) -> Vec<ClaimVerdict> {
+) -> Vec<ClaimResult> {
     shared.count_store_call("log_write");
     let owner = shared.keys.log_owner(shard);
     let key = shared.keys.log_segment(shard, write.number);
@@ -141,15 +141,15 @@
         }
         Ok(WriteOutcome::Refused(_)) => {
             tracing::info!("claims: shard {shard} has another owner now.");
-            seat.state.lock().log.deposed()
+            seat.state.lock().log.ownership_lost()
         }
         Err(StoreError::TooLarge(bytes)) => {
             tracing::error!("claims: a segment of {bytes} bytes; shard {shard} is shut.");
-            seat.state.lock().log.deposed()
+            seat.state.lock().log.ownership_lost()
         }
         Err(error) => {
             tracing::debug!("claims: a write to shard {shard} is in doubt: {error}.");
-            seat.state.lock().log.unanswered();
+            seat.state.lock().log.write_timed_out();
             wingspur_clock::sleep(UNANSWERED_PAUSE).await;
             Vec::new()
         }
--- a/crates/wingspur-entry/src/shards.rs
+++ b/crates/wingspur-entry/src/shards.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use wingspur_coordination::{ClaimTicket, ClaimVerdict, ShardLog, ShardLogSettings};
+use wingspur_coordination::{ClaimResult, ClaimTicket, ShardLog, ShardLogSettings};
 use wingspur_protocol::{ClaimReply, ClaimRequest, OutcomeNote};
 
 use wingspur_edge::Settings;
@@ -114,7 +114,7 @@
             if !state.log.is_open() {
                 return false;
             }
-            state.log.outcome(note);
+            state.log.record_outcome(note);
         }
         seat.wake();
         true
@@ -134,7 +134,7 @@
     }
 
     /// Hands verdicts to those who wait for them.
-    pub fn answer(&self, verdicts: Vec<ClaimVerdict>) {
+    pub fn answer(&self, verdicts: Vec<ClaimResult>) {
         let mut state = self.state.lock();
         for verdict in verdicts {
             if let Some(sender) = state.waiting.remove(&verdict.ticket) {
--- a/crates/wingspur-entry/src/shared.rs
+++ b/crates/wingspur-entry/src/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use wingspur_coordination::{Membership, MembershipSettings, PeerView, Roster};
+use wingspur_coordination::{Membership, MembershipSettings, PeerView, RendezvousSet};
 use wingspur_protocol::{
     PEER_PROTOCOL_VERSION, PeerEnvelope, PeerMessage, PeerReply, StoreKeys, encode_peer,
 };
@@ -182,7 +182,7 @@
             Ok(bytes) => {
                 self.membership
                     .lock()
-                    .answered(&peer.id, wingspur_clock::now());
+                    .record_reply(&peer.id, wingspur_clock::now());
                 rmp_serde::from_slice(&bytes).ok()
             }
             Err(error) => {
@@ -193,8 +193,8 @@
     }
 
     /// Boxes that count as living.
-    pub fn live(&self) -> Arc<Roster> {
-        self.membership.lock().live(wingspur_clock::now())
+    pub fn live(&self) -> Arc<RendezvousSet> {
+        self.membership.lock().live_boxes(wingspur_clock::now())
     }
 
     /// A peer by its id; none for this box itself.
--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -15,7 +15,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use wingspur_coordination::{Announced, FleetView, LinkPeer, LinkWith, OWN_LINK};
+use wingspur_coordination::{AnnouncementView, FleetView, LinkPeer, OWN_LINK, PeerRole};
 use wingspur_protocol::{CensusNote, FleetNote};
 use wingspur_state::{
     DataCentreId, FleetMembership, FleetRetryBudget, ResendKind, RetryBudgetSettings,
@@ -326,8 +326,8 @@
         self.next_link += 1;
         self.links.insert(id, link);
         let with = match link.of_member {
-            true => [LinkWith::OwnHub, LinkWith::Member],
-            false => [LinkWith::Hub, LinkWith::Hub],
+            true => [PeerRole::OwnHub, PeerRole::Member],
+            false => [PeerRole::Hub, PeerRole::Hub],
         };
         let now = self.now();
         let ends = [(link.one, link.other), (link.other, link.one)];
@@ -357,9 +357,9 @@
     fn send(&mut self, link: u64, from: usize, to: usize) {
         let (known, now) = (self.announced(from), self.now());
         let with = match (self.links[&link].of_member, known.is_hub) {
-            (true, true) => LinkWith::Member,
-            (true, false) => LinkWith::OwnHub,
-            (false, _) => LinkWith::Hub,
+            (true, true) => PeerRole::Member,
+            (true, false) => PeerRole::OwnHub,
+            (false, _) => PeerRole::Hub,
         };
         let run = self.boxes.get_mut(&from).expect("it runs");
         self.sent.push(Sent {
@@ -367,22 +367,22 @@
             sent: now,
             link,
             to,
-            told: run.fleet.tell(&known, now).on(with),
+            told: run.fleet.outgoing_notes(&known, now).note_for(with),
             census: run.fleet.census_for(link),
         });
     }
 
     /// What the store tells a box: all hear it, also while they do not hear each other.
-    fn announced(&self, place: usize) -> Announced {
+    fn announced(&self, place: usize) -> AnnouncementView {
         let here = place % DATA_CENTRES;
         let elsewhere = (0..DATA_CENTRES).filter(|other| *other != here);
         let elsewhere = elsewhere.filter(|other| self.hubs[*other].is_some());
-        Announced {
-            boxes: 1,
-            told_boxes: 0,
+        AnnouncementView {
+            announced_boxes: 1,
+            reported_fleet_size: 0,
             data_centres: elsewhere.map(name_of).collect(),
             is_hub: self.is_hub(place),
-            stands_in: false,
+            is_acting_hub: false,
             age: Some(Duration::ZERO),
         }
     }
@@ -443,7 +443,7 @@
             }
             let known = self.announced(place);
             let run = self.boxes.get_mut(&place).expect("it runs");
-            let standing = run.fleet.standing(window, &known, now);
+            let standing = run.fleet.membership(window, &known, now);
             let allowed = run
                 .budget
                 .try_spend(ResendKind::AfterFailure, standing, now)
--- a/tests/tests/budgets.rs
+++ b/tests/tests/budgets.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::{
-    Announced, FleetCensus, FleetContact, FleetCount, FleetView, LinkId, LinkPeer,
-    LinkWith, join_after,
+    AnnouncementView, BoxRegistry, FleetConnectivity, FleetSizeTracker, FleetView,
+    LinkId, LinkPeer, PeerRole, required_contact_time,
 };
 use wingspur_protocol::{CensusNote, FleetNote};
 use wingspur_state::{
@@ -49,13 +49,13 @@
 }
 
 /// What a hub knows by announcements where there are so many other data centres.
-fn hub_of(others: &[&str]) -> Announced {
-    Announced {
-        boxes: 1,
-        told_boxes: 0,
+fn hub_of(others: &[&str]) -> AnnouncementView {
+    AnnouncementView {
+        announced_boxes: 1,
+        reported_fleet_size: 0,
         data_centres: others.iter().map(|name| centre(name)).collect(),
         is_hub: true,
-        stands_in: false,
+        is_acting_hub: false,
         age: Some(Duration::ZERO),
     }
 }
@@ -79,12 +79,16 @@
 }
 
 /// A hub's standing after it has heard the hubs of some data centres for a while.
-fn standing_after(known: &Announced, heard: &[&str], span: Duration) -> FleetMembership {
+fn standing_after(
+    known: &AnnouncementView,
+    heard: &[&str],
+    span: Duration,
+) -> FleetMembership {
     let start = Instant::now();
     let mut view = FleetView::new(OWN_KEY, Instant::now());
     for (id, name) in heard.iter().enumerate() {
         let id = id as u64 + 1;
-        view.add_link(id, peer(name, id * 100), LinkWith::Hub, start);
+        view.add_link(id, peer(name, id * 100), PeerRole::Hub, start);
         view.receive_census(id, &census(id, 10), known, start);
     }
     let told = FleetNote::default();
@@ -93,9 +97,9 @@
         for id in 1..=heard.len() as u64 {
             view.receive(id, told, known, Some(now), now);
         }
-        view.standing(WINDOW, known, now);
+        view.membership(WINDOW, known, now);
     }
-    view.standing(WINDOW, known, start + span)
+    view.membership(WINDOW, known, start + span)
 }
 
 #[test]
@@ -125,17 +129,17 @@
 #[test]
 fn a_box_that_comes_has_its_requests_share_at_once_and_no_slack_until_all_count_it() {
     let start = Instant::now() + seconds(100);
-    let mut contact = FleetContact::default();
+    let mut contact = FleetConnectivity::default();
     let mut budget = FleetRetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.count_request(start));
-    let join = join_after(WINDOW);
+    let join = required_contact_time(WINDOW);
     let mut spent = 0;
     for tick in 0..(join.as_millis() / 300) as u32 {
         let now = start + Duration::from_millis(300) * tick;
         contact.note(now);
         let standing = FleetMembership {
             boxes: 1,
-            state: contact.standing(WINDOW, now),
+            state: contact.membership_state(WINDOW, now),
         };
         assert_eq!(standing.state, MembershipState::Joining);
         spent += spend(&mut budget, standing, now);
@@ -143,7 +147,7 @@
     assert!((9..=10).contains(&spent), "{spent} of half a fifth of 100");
     contact.note(start + join);
     assert_eq!(
-        contact.standing(WINDOW, start + join),
+        contact.membership_state(WINDOW, start + join),
         MembershipState::Joined
     );
 }
@@ -151,7 +155,10 @@
 #[test]
 fn a_box_alone_has_the_whole_slack_once_nobody_else_can() {
     let alone = hub_of(&[]);
-    let (early, late) = (join_after(WINDOW) / 2, join_after(WINDOW));
+    let (early, late) = (
+        required_contact_time(WINDOW) / 2,
+        required_contact_time(WINDOW),
+    );
     assert_eq!(
         standing_after(&alone, &[], early).state,
         MembershipState::Joining
@@ -163,7 +170,7 @@
 fn after_a_loss_of_all_boxes_nobody_has_any_slack_for_a_window() {
     for boxes in [1, 40] {
         let mut budget = FleetRetryBudget::new(SETTINGS);
-        let mut contact = FleetContact::default();
+        let mut contact = FleetConnectivity::default();
         let start = Instant::now();
         contact.note(start);
         for second in 0..=10 {
@@ -171,7 +178,7 @@
             contact.note(now);
             let standing = FleetMembership {
                 boxes,
-                state: contact.standing(WINDOW, now),
+                state: contact.membership_state(WINDOW, now),
             };
             assert_eq!(spend(&mut budget, standing, now), 0);
         }
@@ -197,26 +204,32 @@
 #[test]
 fn a_box_cut_off_spends_no_slack_and_joins_anew() {
     let start = Instant::now();
-    let mut contact = FleetContact::default();
+    let mut contact = FleetConnectivity::default();
     let mut now = start;
-    while now <= start + join_after(WINDOW) {
+    while now <= start + required_contact_time(WINDOW) {
         contact.note(now);
         now += Duration::from_millis(500);
     }
-    assert_eq!(contact.standing(WINDOW, now), MembershipState::Joined);
+    assert_eq!(
+        contact.membership_state(WINDOW, now),
+        MembershipState::Joined
+    );
     let later = now + seconds(3);
     assert_eq!(
-        contact.standing(WINDOW, later),
+        contact.membership_state(WINDOW, later),
         MembershipState::Disconnected
     );
     contact.note(later);
-    assert_eq!(contact.standing(WINDOW, later), MembershipState::Joining);
+    assert_eq!(
+        contact.membership_state(WINDOW, later),
+        MembershipState::Joining
+    );
 }
 
 #[test]
 fn a_contact_that_is_told_late_is_as_old_as_it_is() {
     let start = Instant::now();
-    let mut contact = FleetContact::default();
+    let mut contact = FleetConnectivity::default();
     contact.note(start + seconds(5));
     contact.note(start + seconds(4));
     let now = start + seconds(7);
@@ -226,7 +239,7 @@
 #[test]
 fn a_hub_that_does_not_hear_every_data_centre_has_no_slack() {
     let known = hub_of(&["b", "c", "d"]);
-    let join = join_after(WINDOW);
+    let join = required_contact_time(WINDOW);
     let half = standing_after(&known, &["b"], join);
     assert_eq!(half.state, MembershipState::Disconnected);
     let whole = standing_after(&known, &["b", "c", "d"], join);
@@ -235,7 +248,7 @@
 
 #[test]
 fn a_hub_whose_announcements_are_old_or_that_stands_in_alone_has_no_slack() {
-    let join = join_after(WINDOW);
+    let join = required_contact_time(WINDOW);
     let mut stale = hub_of(&[]);
     stale.age = Some(seconds(9));
     assert_eq!(
@@ -248,7 +261,7 @@
         MembershipState::Disconnected
     );
     let mut stand_in = hub_of(&[]);
-    stand_in.stands_in = true;
+    stand_in.is_acting_hub = true;
     assert_eq!(
         standing_after(&stand_in, &[], join).state,
         MembershipState::Disconnected
@@ -257,7 +270,7 @@
 
 #[test]
 fn a_member_is_in_touch_as_far_as_its_hub_is() {
-    let member = Announced {
+    let member = AnnouncementView {
         is_hub: false,
         ..hub_of(&["b"])
     };
@@ -270,13 +283,13 @@
     let after_join = |touch_ms| {
         let start = Instant::now() + seconds(100);
         let mut view = FleetView::new(OWN_KEY, Instant::now());
-        view.add_link(1, peer("here", 100), LinkWith::OwnHub, start);
+        view.add_link(1, peer("here", 100), PeerRole::OwnHub, start);
         let mut now = start;
-        while now <= start + join_after(WINDOW) {
+        while now <= start + required_contact_time(WINDOW) {
             view.receive(1, told(touch_ms), &member, Some(now), now);
             now += Duration::from_millis(300);
         }
-        view.standing(WINDOW, &member, now)
+        view.membership(WINDOW, &member, now)
     };
     assert_eq!(after_join(None).state, MembershipState::Disconnected);
     assert_eq!(after_join(Some(4_000)).state, MembershipState::Disconnected);
@@ -330,14 +343,18 @@
 #[test]
 fn the_largest_fleet_of_the_span_divides_the_slack() {
     let start = Instant::now();
-    let mut fleet = FleetCount::default();
+    let mut fleet = FleetSizeTracker::default();
     for (second, counted) in [(0, 40), (9, 30), (12, 5)] {
-        fleet.follow(counted, start + seconds(second));
+        fleet.record(counted, start + seconds(second));
     }
     let now = start + seconds(20);
-    assert_eq!(fleet.most(seconds(25), now), 40);
-    assert_eq!(fleet.most(seconds(18), now), 30, "what came between counts");
-    assert_eq!(fleet.most(seconds(9), now), 5);
+    assert_eq!(fleet.max_within(seconds(25), now), 40);
+    assert_eq!(
+        fleet.max_within(seconds(18), now),
+        30,
+        "what came between counts"
+    );
+    assert_eq!(fleet.max_within(seconds(9), now), 5);
 }
 
 #[test]
@@ -348,10 +365,10 @@
     let contact_after = |view: &mut FleetView, window, until| {
         let mut now = start;
         while now <= start + until {
-            view.standing(window, &known, now);
+            view.membership(window, &known, now);
             now += Duration::from_secs(1);
         }
-        view.standing(window, &known, start + until).state
+        view.membership(window, &known, start + until).state
     };
     let (long, longer) = (seconds(50), seconds(60));
     assert_eq!(
@@ -367,7 +384,7 @@
 #[test]
 fn members_between_two_hubs_are_still_counted() {
     let start = Instant::now();
-    let mut fleet = FleetCensus::new(OWN_KEY);
+    let mut fleet = BoxRegistry::new(OWN_KEY);
     fleet.add_hub(1);
     fleet.add_hub(2);
     fleet.receive(1, &census(1, 10), start);
@@ -384,7 +401,7 @@
 #[test]
 fn members_that_move_from_one_hub_to_another_are_counted_once() {
     let start = Instant::now();
-    let mut fleet = FleetCensus::new(OWN_KEY);
+    let mut fleet = BoxRegistry::new(OWN_KEY);
     fleet.add_hub(1);
     fleet.receive(1, &census(1, 30), start);
     assert_eq!(fleet.count(start), 31);
@@ -407,7 +424,7 @@
 #[test]
 fn hubs_tell_each_other_whom_they_count_once_and_then_what_has_changed() {
     let now = Instant::now();
-    let mut fleet = FleetCensus::new(OWN_KEY);
+    let mut fleet = BoxRegistry::new(OWN_KEY);
     fleet.add_hub(1);
     fleet.add_member(2, 50);
     let first = fleet.updates_for(1);
@@ -429,7 +446,7 @@
     let now = Instant::now();
     let known = hub_of(&["b"]);
     let mut view = FleetView::new(OWN_KEY, Instant::now());
-    view.add_link(1, peer("b", 100), LinkWith::Hub, now);
+    view.add_link(1, peer("b", 100), PeerRole::Hub, now);
     view.receive_census(1, &census(1, 10), &known, now);
     let told = FleetNote {
         boxes: 0,
@@ -438,8 +455,8 @@
         delegates: false,
     };
     view.receive(1, told, &known, Some(now), now);
-    assert_eq!(view.boxes(&known, now), 35);
-    let told = view.tell(&known, now).on(LinkWith::Hub);
+    assert_eq!(view.fleet_size(&known, now), 35);
+    let told = view.outgoing_notes(&known, now).note_for(PeerRole::Hub);
     assert_eq!(told.counted, 11, "no echo");
 }
 
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -10,8 +10,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{
-    Allowance, Announced, FleetView, HeldBy, LendingDesk, LendingMessages, LinkPeer,
-    LinkWith, PlaceStanding, Standing, Told,
+    AnnouncementView, DataCentreQuota, FleetView, LinkPeer, PeerRole, PendingGrant,
+    Quota, QuotaAllocator, QuotaLeaseManager, QuotaMessages, QuotaTopology,
 };
 use wingspur_protocol::{CensusNote, FleetNote, LeftPart, Lendable, Lending};
 use wingspur_state::{
@@ -295,9 +295,9 @@
     life: u64,
     since_ms: u64,
     view: FleetView,
-    desk: LendingDesk,
+    desk: QuotaLeaseManager,
     /// Requests that wait, by when they came, with where they are told the outcome.
-    waiting: VecDeque<(u64, Told)>,
+    waiting: VecDeque<(u64, PendingGrant)>,
     limits: ServerLimits,
     /// Since when it has known that there is a limit.
     told_ms: Option<u64>,
@@ -305,7 +305,7 @@
 }
 
 struct SimLink {
-    with: LinkWith,
+    with: PeerRole,
     /// When the last message that was heard was sent, by the sender's clock.
     echo: Option<Instant>,
     /// When what was heard last was true at the earliest, by the own clock.
@@ -443,7 +443,7 @@
                     since_ms: self.now_ms,
                     view: FleetView::new(key_of(place), now)
                         .in_data_centre(centre(place)),
-                    desk: LendingDesk::new(now),
+                    desk: QuotaLeaseManager::new(now),
                     waiting: VecDeque::new(),
                     limits: ServerLimits::default(),
                     told_ms: None,
@@ -477,7 +477,7 @@
     }
 
     fn follow_links(&mut self) {
-        let mut wanted: Vec<(Run, Run, LinkWith, LinkWith)> = Vec::new();
+        let mut wanted: Vec<(Run, Run, PeerRole, PeerRole)> = Vec::new();
         let places: Vec<usize> = self.boxes.keys().copied().collect();
         let run = |place: usize| (place, self.boxes[&place].life);
         let hubs: Vec<usize> = places
@@ -491,7 +491,7 @@
             .filter(|place| self.is_linkable(*place))
         {
             if let Some(hub) = self.hub_for(place).filter(|hub| *hub != place) {
-                let ends = (LinkWith::OwnHub, LinkWith::Member);
+                let ends = (PeerRole::OwnHub, PeerRole::Member);
                 wanted.push((run(place), run(hub), ends.0, ends.1));
             }
         }
@@ -500,7 +500,7 @@
                 let apart = one % DATA_CENTRES != other % DATA_CENTRES;
                 let heard = (self.scenario.hears)(one, other, self.now_ms);
                 if apart && heard && self.is_linkable(one) && self.is_linkable(other) {
-                    wanted.push((run(one), run(other), LinkWith::Hub, LinkWith::Hub));
+                    wanted.push((run(one), run(other), PeerRole::Hub, PeerRole::Hub));
                 }
             }
         }
@@ -539,7 +539,7 @@
             for to in gone {
                 let link = end.links.remove(&to).expect("it was there");
                 end.view.drop_link(to.1, now);
-                if link.with == LinkWith::OwnHub {
+                if link.with == PeerRole::OwnHub {
                     left_hubs.push((own, to));
                 }
             }
@@ -553,19 +553,19 @@
         }
     }
 
-    fn announced(&self, place: usize) -> Announced {
+    fn announced(&self, place: usize) -> AnnouncementView {
         let others = (0..DATA_CENTRES).filter(|other| *other != place % DATA_CENTRES);
-        Announced {
-            boxes: 1,
+        AnnouncementView {
+            announced_boxes: 1,
             // Announcements of a fleet that has run for a while tell its size.
-            told_boxes: if self.now_ms > OPEN_MS {
+            reported_fleet_size: if self.now_ms > OPEN_MS {
                 self.boxes_planned
             } else {
                 0
             },
             data_centres: others.map(centre).collect(),
             is_hub: self.is_hub(place),
-            stands_in: false,
+            is_acting_hub: false,
             age: Some(Duration::ZERO),
         }
     }
@@ -586,7 +586,7 @@
         for place in self.awake() {
             let known = self.announced(place);
             let run = self.boxes.get_mut(&place).expect("it runs");
-            let told = run.view.tell(&known, now);
+            let told = run.view.outgoing_notes(&known, now);
             let from = (place, run.life);
             let links: Vec<_> = run
                 .links
@@ -594,9 +594,9 @@
                 .map(|(to, link)| (*to, link.echo))
                 .collect();
             let notes = links.into_iter().map(|(to, echo)| {
-                let told = run.view.tell_on(to.1, &told, now);
+                let told = run.view.note_for_link(to.1, &told, now);
                 let census = run.view.census_for(to.1);
-                let left = run.view.leave_parts(to.1, &known, now);
+                let left = run.view.delegate_shares(to.1, &known, now);
                 (
                     to,
                     What::Note {
@@ -616,28 +616,28 @@
     }
 
     /// What a box is among the others.
-    fn standing(&mut self, place: usize) -> Standing {
+    fn standing(&mut self, place: usize) -> QuotaTopology {
         let (now, known) = (self.now(), self.announced(place));
         let run = self.boxes.get_mut(&place).expect("it runs");
-        let links = |with: LinkWith| {
+        let links = |with: PeerRole| {
             let links = run.links.iter().filter(move |(_, link)| link.with == with);
             links.map(|(to, _)| to.1)
         };
-        let own_hub = links(LinkWith::OwnHub).next();
+        let own_hub = links(PeerRole::OwnHub).next();
         let lenders =
-            own_hub.map_or_else(|| links(LinkWith::Hub).collect(), |hub| vec![hub]);
+            own_hub.map_or_else(|| links(PeerRole::Hub).collect(), |hub| vec![hub]);
         let names = (0..DATA_CENTRES).map(centre).filter(|_| own_hub.is_none());
         let names: Vec<_> = names.collect();
-        let places = names.into_iter().map(|name| PlaceStanding {
-            part: run.view.part_for(&name, &known, now),
-            holder: run.view.holder_for(&name, now),
+        let places = names.into_iter().map(|name| DataCentreQuota {
+            share: run.view.share_for(&name, &known, now),
+            allocator: run.view.allocator_for(&name, now),
             data_centre: name,
         });
-        Standing {
+        QuotaTopology {
             own_hub,
-            lenders,
-            places: places.collect(),
-            part: run.view.part(&known, now),
+            allocators: lenders,
+            data_centres: places.collect(),
+            share: run.view.share(&known, now),
         }
     }
 
@@ -649,20 +649,20 @@
             let subject = self.subject.allowance();
             let run = self.boxes.get_mut(&place).expect("it runs");
             let is_due = self.now_ms.is_multiple_of(NOTED_EVERY_MS);
-            if !run.desk.is_busy() && !is_due {
+            if !run.desk.has_pending() && !is_due {
                 continue;
             }
-            run.desk.note_parts(&standing, now);
+            run.desk.update_shares(&standing, now);
             let find = |_| allowance_of(&subject, &run.limits);
-            let messages = run.desk.go_on(&standing, &find, now);
+            let messages = run.desk.poll(&standing, &find, now);
             if self.now_ms.is_multiple_of(TIDY_EVERY_MS) {
-                run.desk.tidy(&find, now);
+                run.desk.evict_idle(&find, now);
             }
             self.send_all(place, messages);
         }
     }
 
-    fn send_all(&mut self, place: usize, messages: LendingMessages) {
+    fn send_all(&mut self, place: usize, messages: QuotaMessages) {
         let run = &self.boxes[&place];
         let from = (place, run.life);
         let to = |link| run.links.keys().copied().find(|to| to.1 == link);
@@ -706,7 +706,7 @@
         let subject = self.subject.allowance();
         let run = self.boxes.get_mut(&to.0).expect("it runs");
         if matches!(what, What::Ended) {
-            return run.view.release_part(from.1, now);
+            return run.view.release_share(from.1, now);
         }
         let link = run.links.get_mut(&from).expect("it is linked");
         match what {
@@ -722,18 +722,19 @@
                 link.vouched = echo.or(link.vouched);
                 run.view.receive_census(from.1, &census, &known, now);
                 run.view.receive(from.1, told, &known, echo, now);
-                run.view.receive_left(from.1, &left, echo);
+                run.view.receive_delegated_shares(from.1, &left, echo);
             }
             What::Lending(lending) => {
-                run.desk.note_parts(&standing, now);
+                run.desk.update_shares(&standing, now);
                 let find = |_| allowance_of(&subject, &run.limits);
                 let desk = &mut run.desk;
-                let mut messages = LendingMessages::new();
+                let mut messages = QuotaMessages::new();
                 for ask in &lending.asks {
-                    messages.extend(desk.answer(from.1, ask, &standing, &find, now));
+                    messages
+                        .extend(desk.handle_request(from.1, ask, &standing, &find, now));
                 }
                 for answer in &lending.answers {
-                    messages.extend(desk.take_answer(answer, &standing, &find, now));
+                    messages.extend(desk.handle_answer(answer, &standing, &find, now));
                 }
                 self.send_all(to.0, messages);
             }
@@ -796,9 +797,9 @@
         let standing = self.standing(place);
         let subject = self.subject.allowance();
         let run = self.boxes.get_mut(&place).expect("it runs");
-        run.desk.note_parts(&standing, now);
+        run.desk.update_shares(&standing, now);
         let find = |_| allowance_of(&subject, &run.limits);
-        let (outcome, messages) = run.desk.want(of, reserve, &standing, &find, now);
+        let (outcome, messages) = run.desk.acquire(of, reserve, &standing, &find, now);
         match outcome {
             Ok(AcquireOutcome::Acquired) => self.grant(place),
             Ok(_) => self.refused += 1,
@@ -861,9 +862,9 @@
     fn spread(&mut self, place: usize, change: &ServerLimitChange, from: Option<Run>) {
         let run = self.boxes.get_mut(&place).expect("it runs");
         let teller = from.and_then(|from| run.links.get(&from));
-        let is_own = teller.is_none_or(|link| link.with == LinkWith::Member);
+        let is_own = teller.is_none_or(|link| link.with == PeerRole::Member);
         for (to, link) in &mut run.links {
-            let hears = is_own || link.with == LinkWith::Member;
+            let hears = is_own || link.with == PeerRole::Member;
             if hears && Some(*to) != from {
                 link.limit = Some(*change);
             }
@@ -895,7 +896,7 @@
         for place in self.awake() {
             let known = self.announced(place);
             let run = self.boxes.get_mut(&place).expect("it runs");
-            sum += run.view.part_for(&place_name, &known, now);
+            sum += run.view.share_for(&place_name, &known, now);
         }
         self.most_parts = self.most_parts.max(sum);
     }
@@ -968,22 +969,22 @@
     }
 
     /// An account's allowance; none for a server's, which each box knows by what it has heard.
-    fn allowance(&self) -> Option<Allowance> {
+    fn allowance(&self) -> Option<Quota> {
         let Self::Account(account) = self else {
             return None;
         };
-        Some(Allowance {
+        Some(Quota {
             terms: QuotaTerms::of_account(account, &QUOTA),
-            held_by: HeldBy::EachHub,
+            allocator: QuotaAllocator::EachHub,
         })
     }
 }
 
-fn allowance_of(account: &Option<Allowance>, limits: &ServerLimits) -> Option<Allowance> {
+fn allowance_of(account: &Option<Quota>, limits: &ServerLimits) -> Option<Quota> {
     account.clone().or_else(|| {
-        Some(Allowance {
+        Some(Quota {
             terms: QuotaTerms::of_server(limits.limit(SERVER)?),
-            held_by: HeldBy::HubOf(centre(SERVER_PLACE)),
+            allocator: QuotaAllocator::DataCentreHub(centre(SERVER_PLACE)),
         })
     })
 }
--- a/tests/tests/lending.rs
+++ b/tests/tests/lending.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wingspur_coordination::{DELEGATED_FOR, Delegation};
+use wingspur_coordination::{DELEGATION_TTL, ShareDelegation};
 use wingspur_state::{
     AcquireOutcome, ClientAccount, FleetMembership, FleetRetryBudget, LeaseClient,
     LeaseDemand, MembershipState, PrefetchGrant, PrefetchRequest, QuotaPool, QuotaTerms,
@@ -75,15 +75,15 @@
 #[test]
 fn a_part_is_used_by_one_hub_at_a_time_and_by_nobody_right_after_a_start() {
     let start = start();
-    let mut delegation = Delegation::new(start);
-    assert!(!delegation.leave_to(1, start + DELEGATED_FOR - ms(1)));
-    assert!(delegation.leave_to(1, start + DELEGATED_FOR));
-    let last = start + DELEGATED_FOR + ms(200);
-    assert!(delegation.leave_to(1, last));
-    assert!(!delegation.leave_to(2, last + DELEGATED_FOR - ms(1)));
-    assert!(!delegation.is_free(last + DELEGATED_FOR - ms(1)));
-    assert!(delegation.leave_to(2, last + DELEGATED_FOR));
-    assert!(!delegation.leave_to(1, last + DELEGATED_FOR + ms(1)));
+    let mut delegation = ShareDelegation::new(start);
+    assert!(!delegation.delegate_to(1, start + DELEGATION_TTL - ms(1)));
+    assert!(delegation.delegate_to(1, start + DELEGATION_TTL));
+    let last = start + DELEGATION_TTL + ms(200);
+    assert!(delegation.delegate_to(1, last));
+    assert!(!delegation.delegate_to(2, last + DELEGATION_TTL - ms(1)));
+    assert!(!delegation.is_free(last + DELEGATION_TTL - ms(1)));
+    assert!(delegation.delegate_to(2, last + DELEGATION_TTL));
+    assert!(!delegation.delegate_to(1, last + DELEGATION_TTL + ms(1)));
 }
 
 /// Notes a part from one moment to another, as often as a box does.
--- a/tests/tests/lending_desk.rs
+++ b/tests/tests/lending_desk.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use wingspur_coordination::{Allowance, HeldBy, LendingDesk, Standing};
+use wingspur_coordination::{Quota, QuotaAllocator, QuotaLeaseManager, QuotaTopology};
 use wingspur_protocol::{Lendable, LoanRequest};
 use wingspur_state::{AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance};
 
@@ -10,7 +10,7 @@
 const SERVER: Lendable = Lendable::Server(2);
 
 /// An account that may ask for ten a second, or a server that takes as much.
-fn allowance(of: Lendable) -> Option<Allowance> {
+fn allowance(of: Lendable) -> Option<Quota> {
     let account = ClientAccount {
         name: "school".into(),
         keys_sha256: Vec::new(),
@@ -21,27 +21,36 @@
     let (terms, held_by) = match of {
         Lendable::Account(_) => {
             let quota = QuotaTolerance::default();
-            (QuotaTerms::of_account(&account, &quota), HeldBy::EachHub)
+            (
+                QuotaTerms::of_account(&account, &quota),
+                QuotaAllocator::EachHub,
+            )
         }
-        _ => (QuotaTerms::of_server(10.0), HeldBy::HubOf("dc-1".into())),
+        _ => (
+            QuotaTerms::of_server(10.0),
+            QuotaAllocator::DataCentreHub("dc-1".into()),
+        ),
     };
-    Some(Allowance { terms, held_by })
+    Some(Quota {
+        terms,
+        allocator: held_by,
+    })
 }
 
 /// A hub that holds all parts.
-fn hub() -> Standing {
-    Standing {
-        part: 1.0,
-        ..Standing::default()
+fn hub() -> QuotaTopology {
+    QuotaTopology {
+        share: 1.0,
+        ..QuotaTopology::default()
     }
 }
 
 /// A desk whose box has held all parts from a moment on.
-fn desk_since(start: Instant, until: Instant) -> LendingDesk {
-    let mut desk = LendingDesk::new(start);
+fn desk_since(start: Instant, until: Instant) -> QuotaLeaseManager {
+    let mut desk = QuotaLeaseManager::new(start);
     let mut now = start;
     while now <= until {
-        desk.note_parts(&hub(), now);
+        desk.update_shares(&hub(), now);
         now += Duration::from_millis(100);
     }
     desk
@@ -57,7 +66,7 @@
     let mut told = Vec::new();
     let mut refused = 0;
     for _ in 0..100 {
-        match desk.want(OF, 0.0, &hub(), &allowance, now).0 {
+        match desk.acquire(OF, 0.0, &hub(), &allowance, now).0 {
             Ok(AcquireOutcome::Refused(_)) => refused += 1,
             Ok(_) => {}
             Err(waits) => told.push(waits),
@@ -69,8 +78,8 @@
     let mut later = now;
     for _ in 0..12 {
         later += Duration::from_millis(100);
-        desk.note_parts(&hub(), later);
-        desk.go_on(&hub(), &allowance, later);
+        desk.update_shares(&hub(), later);
+        desk.poll(&hub(), &allowance, later);
     }
     let taken = told
         .iter()
@@ -92,7 +101,7 @@
         wanted: 0.0,
     };
     for (urgent, is_told) in [(9, false), (50, true)] {
-        let messages = desk.answer(7, &ask(urgent), &hub(), &allowance, now);
+        let messages = desk.handle_request(7, &ask(urgent), &hub(), &allowance, now);
         let answer = messages[0].lending.answers[0];
         assert_eq!(answer.more_in_ms.is_some(), is_told, "{urgent}");
     }
@@ -105,7 +114,7 @@
     let now = start + Duration::from_secs(10);
     let mut desk = desk_since(start, now);
     let mut takes = |reserve| {
-        let (outcome, _) = desk.want(SERVER, reserve, &hub(), &allowance, now);
+        let (outcome, _) = desk.acquire(SERVER, reserve, &hub(), &allowance, now);
         matches!(outcome, Ok(AcquireOutcome::Acquired))
     };
     // A server that takes ten a second may be sent five at once.
--- a/tests/tests/listings.rs
+++ b/tests/tests/listings.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wingspur_coordination::{CatalogQueue, ListingFrames, PendingListing, UpdatePacer};
+use wingspur_coordination::{
+    CatalogQueue, PendingSnapshot, SnapshotFrameCache, UpdatePacer,
+};
 use wingspur_protocol::{
     CatalogChange, CatalogChanges, CatalogListing, CatalogUpdate, Frame, FrameContent,
     ListingUpdate, encode_frame, take_frame,
@@ -49,8 +51,8 @@
     Arc::new(serde_json::from_str(&text).unwrap())
 }
 
-fn owed(listing: &Arc<ListingUpdate>, bundle_version: u64) -> PendingListing {
-    PendingListing {
+fn owed(listing: &Arc<ListingUpdate>, bundle_version: u64) -> PendingSnapshot {
+    PendingSnapshot {
         listing: listing.clone(),
         bundle_version,
     }
@@ -59,25 +61,25 @@
 #[test]
 fn listing_that_many_links_are_owed_is_held_once() {
     let listing = listing(Some(bundle(3)));
-    let mut frames = ListingFrames::default();
+    let mut frames = SnapshotFrameCache::default();
     let sent: Vec<_> = (0..BOXES)
         .map(|n| frames.frame(&owed(&listing, n as u64 % 2 * 3)))
         .collect();
-    assert_eq!(frames.encoded(), 2, "with the bundle and without it");
+    assert_eq!(frames.encoded_count(), 2, "with the bundle and without it");
     let copies: std::collections::BTreeSet<_> =
         sent.iter().map(|frame| frame.bytes().as_ptr()).collect();
     assert_eq!(copies.len(), 2);
     drop(listing);
-    frames.tidy();
+    frames.evict_unused();
     let again = self::listing(None);
     frames.frame(&owed(&again, 0));
-    assert_eq!(frames.encoded(), 3);
+    assert_eq!(frames.encoded_count(), 3);
 }
 
 #[test]
 fn listing_leaves_out_a_bundle_that_the_other_side_has() {
     let listing = listing(Some(bundle(3)));
-    let mut frames = ListingFrames::default();
+    let mut frames = SnapshotFrameCache::default();
     for (known, expected) in [(2, Some(3)), (3, None), (4, None)] {
         let frame = frames.frame(&owed(&listing, known));
         let mut bytes = frame.bytes().to_vec();
@@ -98,12 +100,12 @@
     let listing = listing(None);
     for (capacity, least_ms, most_ms) in [(1, 88, 100), (10, 9, 10)] {
         let mut pacer = UpdatePacer::new(capacity, start);
-        assert_eq!(pacer.list_free_in(start), Duration::ZERO);
-        pacer.count_listing(&listing, start);
-        let gap_ms = pacer.list_free_in(start).as_millis();
+        assert_eq!(pacer.snapshot_delay(start), Duration::ZERO);
+        pacer.record_snapshot(&listing, start);
+        let gap_ms = pacer.snapshot_delay(start).as_millis();
         assert!((least_ms..most_ms).contains(&gap_ms), "{gap_ms} ms");
         // News of servers does not wait for listings.
-        assert_eq!(pacer.free_in(start), Duration::ZERO);
+        assert_eq!(pacer.update_delay(start), Duration::ZERO);
     }
 }
 
--- a/tests/tests/many_servers.rs
+++ b/tests/tests/many_servers.rs
@@ -6,7 +6,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use wingspur_coordination::{LinkKind, Rollup, UpdateReader};
+use wingspur_coordination::{LinkKind, Rollup, TallyUpdateReader};
 use wingspur_protocol::Digest;
 use wingspur_state::{
     AttemptId, Balancer, ExpectedLatency, FleetRetryBudget, HealthOutcome, PickRequest,
@@ -57,7 +57,7 @@
     start: Instant,
     random: StdRng,
     boxes: Vec<Balancer>,
-    readers: Vec<UpdateReader>,
+    readers: Vec<TallyUpdateReader>,
     hub: Rollup,
     numbers: HashMap<ServerKey, usize>,
     /// Whether each server is sick, and until when it stays as it is.
@@ -126,7 +126,9 @@
             sick: sick.collect(),
             plan,
             start,
-            readers: (0..plan.boxes).map(|_| UpdateReader::default()).collect(),
+            readers: (0..plan.boxes)
+                .map(|_| TallyUpdateReader::default())
+                .collect(),
             boxes,
             hub,
             numbers: records.iter().map(ServerRecord::key).zip(0..).collect(),
--- a/tests/tests/membership.rs
+++ b/tests/tests/membership.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use wingspur_coordination::{HeardRefusal, Membership, MembershipSettings, Roster};
+use wingspur_coordination::{
+    Membership, MembershipSettings, MessageRejection, RendezvousSet,
+};
 use wingspur_protocol::{
     BoxList, BoxState, ListedBox, PEER_PROTOCOL_VERSION, PeerEnvelope, PeerMessage,
     Suspicion, decode_peer, encode_peer,
@@ -25,7 +27,7 @@
 fn member(index: usize, count: usize) -> Membership {
     let mut member =
         Membership::new(format!("box-{index}"), MembershipSettings::default());
-    member.set_list(&list(count));
+    member.update_listed(&list(count));
     member
 }
 
@@ -35,11 +37,11 @@
     let now = Instant::now();
     let known = "box-1".to_owned();
     let unlisted = member.receive(&"box-9".to_owned(), 1, 1, now);
-    assert_eq!(unlisted, Err(HeardRefusal::Unlisted));
+    assert_eq!(unlisted, Err(MessageRejection::Unlisted));
     assert_eq!(member.receive(&known, 7, 3, now), Ok(()));
     assert_eq!(
         member.receive(&known, 7, 3, now),
-        Err(HeardRefusal::Replayed)
+        Err(MessageRejection::Replayed)
     );
     assert_eq!(
         member.receive(&known, 7, 2, now),
@@ -48,16 +50,16 @@
     );
     assert_eq!(
         member.receive(&known, 7, 2, now),
-        Err(HeardRefusal::Replayed)
+        Err(MessageRejection::Replayed)
     );
     assert_eq!(member.receive(&known, 7, 100, now), Ok(()));
     assert_eq!(
         member.receive(&known, 7, 30, now),
-        Err(HeardRefusal::Replayed)
+        Err(MessageRejection::Replayed)
     );
     assert_eq!(
         member.receive(&known, 6, 200, now),
-        Err(HeardRefusal::Replaced)
+        Err(MessageRejection::Replaced)
     );
     assert_eq!(
         member.receive(&known, 8, 1, now),
@@ -80,7 +82,7 @@
     assert!(member.is_live(&suspected, now));
     member.receive_suspicions(&[by("box-4")], now);
     assert!(!member.is_live(&suspected, now));
-    let roster = member.live(now);
+    let roster = member.live_boxes(now);
     assert!(!roster.ids().any(|id| *id == suspected));
     let later = now + MembershipSettings::default().suspicion_ttl;
     assert!(
@@ -105,7 +107,7 @@
         .collect();
     assert_eq!(suspected.len(), 3, "the three that it watches");
     assert!(watched.iter().all(|peer| suspected.contains(&peer.id)));
-    member.answered(&watched[0].id, now);
+    member.record_reply(&watched[0].id, now);
     assert_eq!(member.suspicions(now).len(), 2);
 }
 
@@ -129,11 +131,11 @@
         let ids = |skip: Option<usize>| {
             (0..40).filter(move |index| Some(*index) != skip).map(|index| format!("box-{index}"))
         };
-        let all = Roster::new(ids(None));
-        let fewer = Roster::new(ids(Some(gone)));
-        let holder = all.holder(&role).unwrap();
+        let all = RendezvousSet::new(ids(None));
+        let fewer = RendezvousSet::new(ids(Some(gone)));
+        let holder = all.owner(&role).unwrap();
         if *holder != format!("box-{gone}") {
-            prop_assert_eq!(fewer.holder(&role).unwrap(), holder);
+            prop_assert_eq!(fewer.owner(&role).unwrap(), holder);
         }
     }
 
--- a/tests/tests/news_age.rs
+++ b/tests/tests/news_age.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wingspur_coordination::{FeedView, LinkClock};
+use wingspur_coordination::{CatalogFreshnessTracker, LinkClock};
 use wingspur_protocol::{CatalogChange, FeedState, Stamps, encode_frame, take_frame};
 use wingspur_state::{BoxId, Bundle, BundlePatch, HostRoute, RouteClass, RouteTarget};
 
@@ -30,7 +30,7 @@
 /// longest time for which the member's news was older than the bound while it did not read.
 fn longest_blindness(way: Way) -> Duration {
     let start = Instant::now();
-    let mut member = FeedView::new(BoxId::from("member"), start);
+    let mut member = CatalogFreshnessTracker::new(BoxId::from("member"), start);
     let fresh = FeedState {
         reader: Some(BoxId::from("hub")),
         age_ms: 0,
@@ -54,11 +54,11 @@
         for (written, _, stamps) in arrived {
             newest = newest.max(*written);
             own_clock.receive(stamps);
-            if let Some(vouched) = own_clock.vouched() {
-                member.note(1, &fresh, vouched);
+            if let Some(vouched) = own_clock.peer_state_as_of() {
+                member.receive(1, &fresh, vouched);
             }
         }
-        let reads = member.should_read(false, 3, start + now);
+        let reads = member.should_watch_store(false, 3, start + now);
         blind = if now > newest + BOUND && !reads {
             blind + ms(10)
         } else {
@@ -89,37 +89,41 @@
 fn news_is_no_older_than_the_newest_frame_that_the_other_side_had() {
     let start = Instant::now();
     let (mut ours, mut theirs) = (LinkClock::new(start), LinkClock::new(start));
-    assert_eq!(ours.vouched(), None, "nothing was answered yet");
+    assert_eq!(ours.peer_state_as_of(), None, "nothing was answered yet");
     let first = ours.send(start + ms(100));
     theirs.receive(&first);
     let answer = theirs.send(start + ms(150));
     assert_eq!(ours.unanswered(), 1);
     ours.receive(&answer);
-    assert_eq!(ours.vouched(), Some(start + ms(100)));
+    assert_eq!(ours.peer_state_as_of(), Some(start + ms(100)));
     assert_eq!(ours.unanswered(), 0);
     ours.send(start + ms(400));
     ours.send(start + ms(500));
     ours.receive(&theirs.send(start + ms(4_000)));
-    assert_eq!(ours.vouched(), Some(start + ms(100)), "neither has arrived");
-    assert_eq!(ours.waits_for(start + ms(4_000)), ms(3_600));
+    assert_eq!(
+        ours.peer_state_as_of(),
+        Some(start + ms(100)),
+        "neither has arrived"
+    );
+    assert_eq!(ours.oldest_unanswered_age(start + ms(4_000)), ms(3_600));
 }
 
 #[test]
 fn the_age_of_the_newest_news_shows_whoever_read_it() {
     let start = Instant::now();
-    let mut feed = FeedView::new(BoxId::from("own"), start);
+    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), start);
     let told = FeedState {
         reader: Some(BoxId::from("hub")),
         age_ms: 300,
         tries: false,
         ..FeedState::default()
     };
-    feed.note(1, &told, start + ms(1_000));
-    assert_eq!(feed.news_age(start + ms(1_500)), ms(800));
-    assert!(!feed.is_late(start + ms(1_900)));
-    assert!(feed.is_late(start + ms(2_000)));
+    feed.receive(1, &told, start + ms(1_000));
+    assert_eq!(feed.staleness(start + ms(1_500)), ms(800));
+    assert!(!feed.is_lagging(start + ms(1_900)));
+    assert!(feed.is_lagging(start + ms(2_000)));
     feed.note_answer(start + ms(2_000));
-    assert_eq!(feed.news_age(start + ms(2_050)), ms(50));
+    assert_eq!(feed.staleness(start + ms(2_050)), ms(50));
 }
 
 fn route(number: usize, timeout_ms: u64) -> HostRoute {
--- a/tests/tests/news_pacer.rs
+++ b/tests/tests/news_pacer.rs
@@ -24,8 +24,8 @@
     let mut frames = 0;
     for ms in 0..10_000 {
         let now = start + Duration::from_millis(ms);
-        if pacer.free_in(now).is_zero() {
-            pacer.count(&updates, now);
+        if pacer.update_delay(now).is_zero() {
+            pacer.record_update(&updates, now);
             frames += 1;
         }
     }
@@ -50,8 +50,8 @@
     let now = Instant::now();
     let mut pacer = UpdatePacer::new(1, now);
     for _ in 0..1_000 {
-        pacer.count(&digests(0), now);
-        assert_eq!(pacer.free_in(now), Duration::ZERO);
+        pacer.record_update(&digests(0), now);
+        assert_eq!(pacer.update_delay(now), Duration::ZERO);
     }
 }
 
@@ -62,7 +62,7 @@
     let now = Instant::now();
     let mut pacer = UpdatePacer::new(2, now);
     for _ in 0..14 {
-        assert_eq!(pacer.free_in(now), Duration::ZERO);
-        pacer.count(&digests(36), now);
+        assert_eq!(pacer.update_delay(now), Duration::ZERO);
+        pacer.record_update(&digests(36), now);
     }
 }
--- a/tests/tests/once_only_explorer.rs
+++ b/tests/tests/once_only_explorer.rs
@@ -168,7 +168,7 @@
                         nonce,
                         outcome,
                     };
-                    world.logs[owner].outcome(&note);
+                    world.logs[owner].record_outcome(&note);
                     next.push(world);
                 }
             }
@@ -225,7 +225,7 @@
         let log = &mut self.logs[index];
         let verdicts = match reply {
             Reply::Took(revision) => {
-                log.took(revision);
+                log.ownership_acquired(revision);
                 Vec::new()
             }
             Reply::Loaded(segments) => {
@@ -233,7 +233,7 @@
                 Vec::new()
             }
             Reply::Written => log.written(now),
-            Reply::Refused => log.deposed(),
+            Reply::Refused => log.ownership_lost(),
             Reply::Deleted => Vec::new(),
         };
         for verdict in verdicts {
@@ -243,9 +243,11 @@
 
     fn lose(&mut self, index: usize, command: &LogCommand) {
         let verdicts = match command {
-            LogCommand::TakeOwnership | LogCommand::Load => self.logs[index].failed(),
+            LogCommand::TakeOwnership | LogCommand::Load => {
+                self.logs[index].open_failed()
+            }
             LogCommand::Write(_) => {
-                self.logs[index].unanswered();
+                self.logs[index].write_timed_out();
                 Vec::new()
             }
             LogCommand::Delete(..) => Vec::new(),
--- a/tests/tests/quarantine/mod.rs
+++ b/tests/tests/quarantine/mod.rs
@@ -10,7 +10,7 @@
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use wingspur_coordination::{CountOutcome, DeskStep, QuarantineDesk};
+use wingspur_coordination::{QuarantineRegistry, RecordOutcome, TrialDecision};
 use wingspur_state::{
     RequestFingerprint, RequestParts, StorePosition, StoredQuarantine, SuspectEvent,
     SuspectMessage, SuspectRequests, SuspectUpdate,
@@ -178,7 +178,7 @@
     /// The newest era of the store that it has read a listing of.
     era: u64,
     suspects: SuspectRequests,
-    desk: QuarantineDesk,
+    desk: QuarantineRegistry,
 }
 
 struct PlayedServer {
@@ -328,13 +328,13 @@
         hub: usize,
         life: u32,
         print: RequestFingerprint,
-        outcome: CountOutcome,
+        outcome: RecordOutcome,
     },
 }
 
 #[derive(Clone, Copy)]
 struct DeskStepPlayed {
-    outcome: CountOutcome,
+    outcome: RecordOutcome,
 }
 
 impl Play {
@@ -626,7 +626,9 @@
             } => {
                 if self.boxes[hub].life == life {
                     let now = self.instant();
-                    self.boxes[hub].desk.opened(print, outcome, now);
+                    self.boxes[hub]
+                        .desk
+                        .quarantine_recorded(print, outcome, now);
                 }
             }
         }
@@ -810,10 +812,13 @@
         let now = self.instant();
         let played = &mut self.boxes[hub];
         if !played.suspects.is_quarantined(request.print, now) {
-            return self.tell(hub, number, question, DeskStep::Lend);
+            return self.tell(hub, number, question, TrialDecision::Lend);
         }
-        match played.desk.ask(request.print, &played.suspects, now) {
-            DeskStep::Count(count) => {
+        match played
+            .desk
+            .request_trial(request.print, &played.suspects, now)
+        {
+            TrialDecision::Count(count) => {
                 let (outcome, took) = self.write(hub, request.print, count);
                 let step = DeskStepPlayed { outcome };
                 self.after(
@@ -849,14 +854,14 @@
         let is_hub = self.hub_of(hub) == hub;
         let step = self.boxes[hub]
             .desk
-            .counted(print, step.outcome, is_hub, now);
-        if step == DeskStep::AskHub {
+            .trial_recorded(print, step.outcome, is_hub, now);
+        if step == TrialDecision::AskHub {
             return self.ask_hub(number, question);
         }
         self.tell(hub, number, question, step);
     }
 
-    fn tell(&mut self, hub: usize, number: u64, question: u32, step: DeskStep) {
+    fn tell(&mut self, hub: usize, number: u64, question: u32, step: TrialDecision) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -864,9 +869,11 @@
             return;
         };
         let (permitted, after) = match step {
-            DeskStep::Lend => (true, 0),
-            DeskStep::Later(after) => (false, after.as_millis() as Ms),
-            DeskStep::Count(_) | DeskStep::AskHub => unreachable!("it was counted"),
+            TrialDecision::Lend => (true, 0),
+            TrialDecision::Later(after) => (false, after.as_millis() as Ms),
+            TrialDecision::Count(_) | TrialDecision::AskHub => {
+                unreachable!("it was counted")
+            }
         };
         self.after(
             way,
@@ -1277,7 +1284,7 @@
         }
         let known = played.suspects.quarantine(print);
         let life = played.life;
-        let Some(count) = played.desk.open(print, known.as_ref(), now) else {
+        let Some(count) = played.desk.begin_quarantine(print, known.as_ref(), now) else {
             return;
         };
         let (outcome, took) = self.write(place, print, count);
@@ -1296,22 +1303,22 @@
         &mut self,
         hub: usize,
         print: RequestFingerprint,
-        count: wingspur_coordination::QuarantineCount,
-    ) -> (CountOutcome, Ms) {
+        count: wingspur_coordination::TrialRecord,
+    ) -> (RecordOutcome, Ms) {
         self.outcome.writes += 1;
         if self.has_now(Fault::StoreAway) {
-            return (CountOutcome::Unknown, 300);
+            return (RecordOutcome::Unknown, 300);
         }
-        if count.position.era() != self.store.era {
+        if count.expected_position.era() != self.store.era {
             // The answer to the call before it names the new era.
             self.receive_restored_now(hub);
-            return (CountOutcome::Overtaken, 5);
+            return (RecordOutcome::Overtaken, 5);
         }
         let stands = self.store.records.get(&print).copied();
-        let expected = count.position.wire_revision();
+        let expected = count.expected_position.wire_revision();
         if stands.map_or(0, |record| record.revision) != expected {
             self.learn(hub, print, stands);
-            return (CountOutcome::Overtaken, 5);
+            return (RecordOutcome::Overtaken, 5);
         }
         self.store.revision += 1;
         let record = Record {
@@ -1324,10 +1331,10 @@
         if self.has_now(Fault::StoreLosesAnswers) && self.rng.random_bool(0.5) {
             // It looks what stands there.
             self.learn(hub, print, Some(record));
-            return (CountOutcome::Stands, 400);
+            return (RecordOutcome::Stands, 400);
         }
         self.learn(hub, print, Some(record));
-        (CountOutcome::Stands, 5)
+        (RecordOutcome::Stands, 5)
     }
 
     fn tell_all(&mut self, print: RequestFingerprint, record: Option<Record>) {
@@ -1442,10 +1449,10 @@
             return;
         }
         for (print, known) in lost {
-            let count = wingspur_coordination::QuarantineCount {
+            let count = wingspur_coordination::TrialRecord {
                 tries: known.tries,
                 counted_by: known.counted_by,
-                position: known.position,
+                expected_position: known.position,
             };
             self.write(to, print, count);
         }
@@ -1459,7 +1466,7 @@
         let now = self.instant();
         let played = &mut self.boxes[place];
         played.suspects.evict_expired(now);
-        played.desk.tidy(now);
+        played.desk.evict_idle(now);
         let len = played.suspects.len();
         self.outcome.most_suspects = self.outcome.most_suspects.max(len);
         let outlived = self.boxes[place].suspects.cleared_quarantines();
@@ -1629,7 +1636,7 @@
             disturbed: 0,
             era: 0,
             suspects: SuspectRequests::default(),
-            desk: QuarantineDesk::new(name),
+            desk: QuarantineRegistry::new(name),
         }
     }
 }
--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{
-    CatalogQueue, EraChange, FeedView, LinkClock, RecentChanges,
+    CatalogFreshnessTracker, CatalogQueue, EraChange, LinkClock, RecentChanges,
 };
 use wingspur_protocol::{
     CatalogChange, CatalogChanges, CatalogListing, CatalogUpdate, FeedState,
@@ -48,7 +48,7 @@
     alive: bool,
     frozen_until: Ms,
     disturbed_ms: Ms,
-    feed: FeedView,
+    feed: CatalogFreshnessTracker,
     recent: RecentChanges,
     directory: ServerRegistry,
     standings: AnnouncedStates,
@@ -785,7 +785,7 @@
         let now = self.instant();
         let is_hub = self.hubs[place % DATA_CENTRES] == Some(place);
         let rank = place / DATA_CENTRES;
-        let reads = self.boxes[place].feed.should_read(is_hub, rank, now);
+        let reads = self.boxes[place].feed.should_watch_store(is_hub, rank, now);
         let played = &mut self.boxes[place];
         if !reads {
             played.feed.stop_reading();
@@ -793,7 +793,7 @@
             return;
         }
         let reading = &played.reading;
-        let pause_until = match played.feed.may_leave_it(is_hub) {
+        let pause_until = match played.feed.may_defer_read(is_hub) {
             true => reading.pause_until,
             false => reading.pause_until.min(reading.own_pause_until),
         };
@@ -880,7 +880,7 @@
                 let is_hub = self.hubs[place % DATA_CENTRES] == Some(place);
                 let mut pause = self.pause(self.boxes[place].reading.failures);
                 self.boxes[place].reading.own_pause_until = self.now + pause;
-                if self.boxes[place].feed.may_leave_it(is_hub) {
+                if self.boxes[place].feed.may_defer_read(is_hub) {
                     pause = pause.max(
                         self.random
                             .random_range(HELPER_PAUSE_MS / 2..HELPER_PAUSE_MS),
@@ -971,7 +971,7 @@
         let missing = told.missing.into_iter();
         changes.extend(missing.filter_map(|record| directory.put_missing(record, now)));
         played.follow(&changes, now);
-        played.feed.reach(told.listing.position);
+        played.feed.advance_to(told.listing.position);
     }
 
     fn apply_changes(&mut self, place: Place, changes: CatalogChanges) {
@@ -993,7 +993,7 @@
             }
         }
         played.follow(&followed, now);
-        played.feed.reach(changes.position);
+        played.feed.advance_to(changes.position);
     }
 
     fn apply_update(&mut self, place: Place, update: CatalogUpdate, from: Place) {
@@ -1081,7 +1081,7 @@
         if self.now - self.boxes[place].settled_ms >= SETTLE_EVERY_MS {
             let played = &mut self.boxes[place];
             played.settled_ms = self.now;
-            let age = played.feed.vouched_age(now);
+            let age = played.feed.confirmed_age(now);
             if let Some(as_of) = age.and_then(|age| now.checked_sub(age)) {
                 let changes = played.directory.settle(as_of);
                 played.follow(&changes, now);
@@ -1187,8 +1187,8 @@
         };
         link.bundle_version = frame.bundle_version;
         link.clock.receive(&frame.stamps);
-        if let Some(vouched) = link.clock.vouched() {
-            played.feed.note(from as u64, &frame.feed, vouched);
+        if let Some(vouched) = link.clock.peer_state_as_of() {
+            played.feed.receive(from as u64, &frame.feed, vouched);
         }
         for key in frame.leaving {
             if played.standings.record_draining(key, now) {
@@ -1433,7 +1433,10 @@
             alive: true,
             frozen_until: 0,
             disturbed_ms: 0,
-            feed: FeedView::new(format!("box-{place}").as_str().into(), now),
+            feed: CatalogFreshnessTracker::new(
+                format!("box-{place}").as_str().into(),
+                now,
+            ),
             recent: RecentChanges::default(),
             directory: ServerRegistry::default(),
             standings: AnnouncedStates::default(),
