--- a/tests/tests/sharing.rs
+++ b/tests/tests/sharing.rs
@@ -5,9 +5,10 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{
-    AnnouncementInputs, AnnouncementStep, CatalogQueue, FeedView, FleetCount, LinkKind,
-    LinkPlanner, OWN_LINK, RecentChanges, Rollup, UpdatePacer, UpdateReader,
-    announcement_step, lists_at_start, waits_for_hub_listing,
+    AnnouncementInputs, AnnouncementStep, CatalogFreshnessTracker, CatalogQueue,
+    FleetSizeTracker, LinkKind, LinkPlanner, OWN_LINK, RecentChanges, Rollup,
+    TallyUpdateReader, UpdatePacer, announcement_step, lists_catalog_at_start,
+    waits_for_hub_snapshot,
 };
 use wingspur_protocol::{
     BoxRecord, CatalogChange, CatalogChanges, CatalogUpdate, Digest, FeedState, LinkRole,
@@ -122,12 +123,16 @@
     };
     assert!(sources(&member.compose(OWN_LINK)).contains(&200));
     hub.drop_link(2);
-    assert_eq!(hub.take_lost(), [200]);
+    assert_eq!(hub.take_lost_sources(), [200]);
     assert!(hub.has_updates(1));
     for told in hub.compose(1) {
         member.receive(5, &told);
     }
-    assert_eq!(member.take_lost(), [200], "what it had out is out no more");
+    assert_eq!(
+        member.take_lost_sources(),
+        [200],
+        "what it had out is out no more"
+    );
     assert!(!hub.has_updates(1) || !sources(&hub.compose(1)).contains(&200));
 }
 
@@ -139,14 +144,14 @@
     member.receive(5, &digest(200, true, 4, 2));
     member.receive(6, &digest(200, true, 4, 2));
     member.drop_link(5);
-    assert_eq!(member.take_lost(), Vec::<u64>::new());
+    assert_eq!(member.take_lost_sources(), Vec::<u64>::new());
     member.drop_link(6);
-    assert_eq!(member.take_lost(), [200]);
+    assert_eq!(member.take_lost_sources(), [200]);
 }
 
 #[test]
 fn a_reader_of_news_takes_the_first_digest_as_the_baseline() {
-    let mut reader = UpdateReader::default();
+    let mut reader = TallyUpdateReader::default();
     let first = reader.read(&digest(5, true, 40, 1));
     assert_eq!(first.servers[0].1.good, 0);
     let next = reader.read(&digest(5, false, 43, 1));
@@ -194,7 +199,7 @@
         // This box is the hub: nothing to pass over.
         return assert_eq!(planner.rank(), 0);
     };
-    planner.avoid(&link.to.id.clone(), now);
+    planner.back_off(&link.to.id.clone(), now);
     assert_ne!(planner.plan(now), first);
     assert_eq!(planner.plan(now + Duration::from_secs(60)), first);
 }
@@ -251,7 +256,7 @@
 #[test]
 fn two_hubs_that_both_try_in_vain_do_not_wait_for_each_other() {
     let now = Instant::now();
-    let mut feed = FeedView::new(BoxId::from("own"), now);
+    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     feed.note_no_answer();
     let other_tries = FeedState {
         reader: None,
@@ -259,37 +264,39 @@
         tries: true,
         ..FeedState::default()
     };
-    feed.note(1, &other_tries, now);
-    assert!(!feed.may_leave_it(true), "a hub tries all the time");
-    assert!(feed.may_leave_it(false), "a member leaves it to its hub");
+    feed.receive(1, &other_tries, now);
+    assert!(!feed.may_defer_read(true), "a hub tries all the time");
+    assert!(feed.may_defer_read(false), "a member leaves it to its hub");
     feed.forget(1);
-    assert!(!feed.may_leave_it(false), "nobody tries for it");
+    assert!(!feed.may_defer_read(false), "nobody tries for it");
 }
 
 #[test]
 fn a_member_reads_the_store_itself_once_its_feed_is_stale() {
     let now = Instant::now();
-    let mut feed = FeedView::new(BoxId::from("own"), now);
+    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     let fresh = FeedState {
         reader: Some(BoxId::from("hub")),
         age_ms: 100,
         tries: false,
         ..FeedState::default()
     };
-    feed.note(1, &fresh, now);
-    assert!(!feed.should_read(false, 0, now + Duration::from_millis(500)));
-    assert!(feed.should_read(false, 0, now + Duration::from_millis(2000)));
-    assert!(feed.should_read(true, 0, now), "a hub always reads");
+    feed.receive(1, &fresh, now);
+    assert!(!feed.should_watch_store(false, 0, now + Duration::from_millis(500)));
+    assert!(feed.should_watch_store(false, 0, now + Duration::from_millis(2000)));
+    assert!(feed.should_watch_store(true, 0, now), "a hub always reads");
 }
 
 #[test]
 fn members_of_one_hub_read_one_after_the_other() {
     let now = Instant::now();
     let begins = |name: usize| {
-        let mut feed = FeedView::new(BoxId::from(format!("box-{name}")), now);
+        let mut feed =
+            CatalogFreshnessTracker::new(BoxId::from(format!("box-{name}")), now);
         // Most boxes are not announced, and all of them have the same rank.
-        let reads =
-            |ms: &u64| feed.should_read(false, 4, now + Duration::from_millis(*ms));
+        let reads = |ms: &u64| {
+            feed.should_watch_store(false, 4, now + Duration::from_millis(*ms))
+        };
         (0..3000).step_by(10).find(reads).expect("it reads")
     };
     let mut begun: Vec<u64> = (0..40).map(begins).collect();
@@ -303,15 +310,15 @@
 #[test]
 fn what_a_box_has_read_itself_does_not_come_back_as_another_reader() {
     let now = Instant::now();
-    let mut feed = FeedView::new(BoxId::from("own"), now);
+    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     let echo = FeedState {
         reader: Some(BoxId::from("own")),
         age_ms: 0,
         tries: false,
         ..FeedState::default()
     };
-    feed.note(1, &echo, now + Duration::from_secs(2));
-    assert!(feed.should_read(false, 0, now + Duration::from_secs(2)));
+    feed.receive(1, &echo, now + Duration::from_secs(2));
+    assert!(feed.should_watch_store(false, 0, now + Duration::from_secs(2)));
 }
 
 #[test]
@@ -325,7 +332,7 @@
     let linked_with =
         |planner: &LinkPlanner| planner.plan(now).first().map(|link| link.to.incarnation);
     let mut planner = LinkPlanner::new(record("own", "dc-1"));
-    planner.put(hub(1));
+    planner.upsert(hub(1));
     assert_eq!(linked_with(&planner), Some(1));
     planner.note_stopping(&hub(1));
     assert_eq!(linked_with(&planner), None);
@@ -335,7 +342,7 @@
         None,
         "told by one who has not heard of it"
     );
-    planner.put(hub(2));
+    planner.upsert(hub(2));
     assert_eq!(linked_with(&planner), Some(2));
     planner.note_stopping(&hub(1));
     assert_eq!(
@@ -420,7 +427,7 @@
 
 #[test]
 fn counts_that_go_back_are_no_news() {
-    let mut reader = UpdateReader::default();
+    let mut reader = TallyUpdateReader::default();
     reader.read(&digest(3, false, 7, 0));
     let updates = reader.read(&digest(3, false, 5, 2));
     let (_, told) = updates.servers[0];
@@ -442,7 +449,7 @@
         )],
         ..Digest::default()
     };
-    let mut reader = UpdateReader::default();
+    let mut reader = TallyUpdateReader::default();
     reader.read(&counted(70));
     assert_eq!(
         reader.read(&counted(50)).services[0].1,
@@ -465,7 +472,7 @@
         )],
         ..Digest::default()
     };
-    let mut reader = UpdateReader::default();
+    let mut reader = TallyUpdateReader::default();
     // One way leaves out 110 requests and 10 resends; both sums begin near nothing.
     reader.read(&told(2u32.wrapping_sub(110), 2u32.wrapping_sub(10)));
     let (mut requests, mut resends) = (0, 0);
@@ -499,7 +506,7 @@
             .collect(),
         ..Digest::default()
     };
-    let mut reader = UpdateReader::default();
+    let mut reader = TallyUpdateReader::default();
     reader.read(&told(true, &[8, 9], 400));
     reader.forget(3);
     // It goes on with what has changed: first one service, then the other.
@@ -532,7 +539,7 @@
 #[test]
 fn box_that_starts_does_not_wait_for_a_hub_that_has_nothing_to_send() {
     let wait = |has_catalog, seconds| {
-        waits_for_hub_listing(has_catalog, Duration::from_secs(seconds))
+        waits_for_hub_snapshot(has_catalog, Duration::from_secs(seconds))
     };
     assert!(
         wait(true, 0) && wait(true, 7),
@@ -652,19 +659,19 @@
         let mut links: Vec<u64> = (1..=members).collect();
         links.sort_by_key(|id| told_ms[*id as usize - 1]);
         for id in links {
-            let is_free = pacer.free_in(now).is_zero();
+            let is_free = pacer.update_delay(now).is_zero();
             let is_due = ms >= told_ms[id as usize - 1] + gap_ms;
             if !is_due || !(is_free || hub.has_failures(id)) {
                 continue;
             }
             let frames_per_s = members as f64 * 1_000.0 / gap_ms as f64;
             let most = if is_free {
-                pacer.servers_a_frame(frames_per_s)
+                pacer.max_servers_per_frame(frames_per_s)
             } else {
                 0
             };
             let digests = hub.compose_within(id, most);
-            pacer.count(&digests, now);
+            pacer.record_update(&digests, now);
             told_ms[id as usize - 1] = ms;
             let told = digests.iter().flat_map(|digest| &digest.servers);
             if told.filter(|(_, tally)| tally.failed > 0).count() > 0 {
@@ -734,7 +741,7 @@
     let mut wishes: Vec<(u64, u32)> = capacities
         .map(|capacity| {
             let inputs = AnnouncementInputs {
-                before: 0,
+                ranked_before: 0,
                 capacity,
                 announced: false,
             };
@@ -751,11 +758,11 @@
     for (at, capacity) in wishes {
         let heard = announced.iter().filter(|(told, _)| told + NEWS_MS <= at);
         let inputs = AnnouncementInputs {
-            before: heard.filter(|(_, other)| *other >= capacity).count(),
+            ranked_before: heard.filter(|(_, other)| *other >= capacity).count(),
             capacity,
             announced: false,
         };
-        if announcement_step(&inputs) != AnnouncementStep::Stay {
+        if announcement_step(&inputs) != AnnouncementStep::Keep {
             announced.push((at, capacity));
         }
     }
@@ -781,13 +788,13 @@
 fn a_box_with_enough_announced_before_it_is_not_and_lets_its_lease_lapse() {
     let step = |before, announced| {
         announcement_step(&AnnouncementInputs {
-            before,
+            ranked_before: before,
             capacity: 1,
             announced,
         })
     };
-    assert_eq!(step(3, false), AnnouncementStep::Stay);
-    assert_eq!(step(5, true), AnnouncementStep::Stay);
+    assert_eq!(step(3, false), AnnouncementStep::Keep);
+    assert_eq!(step(5, true), AnnouncementStep::Keep);
     assert_eq!(step(6, true), AnnouncementStep::Lapse);
     let AnnouncementStep::AnnounceWithin(alone) = step(0, false) else {
         panic!("a box alone is announced");
@@ -800,22 +807,25 @@
 
 #[test]
 fn only_boxes_that_may_be_the_hub_list_at_their_start() {
-    assert!(lists_at_start(false, 2), "nobody may stand before it");
-    assert!(lists_at_start(true, 5), "others wait for it");
-    assert!(!lists_at_start(false, 3), "its hub tells it");
+    assert!(
+        lists_catalog_at_start(false, 2),
+        "nobody may stand before it"
+    );
+    assert!(lists_catalog_at_start(true, 5), "others wait for it");
+    assert!(!lists_catalog_at_start(false, 3), "its hub tells it");
 }
 
 #[test]
 fn the_size_of_the_fleet_falls_only_after_a_while() {
     let start = Instant::now();
-    let mut fleet = FleetCount::default();
-    assert_eq!(fleet.follow(443, start), 443);
+    let mut fleet = FleetSizeTracker::default();
+    assert_eq!(fleet.record(443, start), 443);
     let moved = start + Duration::from_secs(2);
     assert_eq!(
-        fleet.follow(20, moved),
+        fleet.record(20, moved),
         443,
         "its members are about to link"
     );
-    assert_eq!(fleet.follow(450, moved), 450);
-    assert_eq!(fleet.follow(20, moved + Duration::from_secs(11)), 20);
+    assert_eq!(fleet.record(450, moved), 450);
+    assert_eq!(fleet.record(20, moved + Duration::from_secs(11)), 20);
 }
--- a/tests/tests/suspects.rs
+++ b/tests/tests/suspects.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use wingspur_coordination::{CountOutcome, DeskStep, MOST_TRIES, QuarantineDesk};
+use wingspur_coordination::{
+    MAX_TRIALS, QuarantineRegistry, RecordOutcome, TrialDecision,
+};
 use wingspur_state::{
     RequestFingerprint, RequestParts, SUSPECT_RETENTION, StorePosition, StoredQuarantine,
     SuspectEvent, SuspectRequests, SuspectUpdate,
@@ -197,14 +199,14 @@
         ..known(5, 1, now - 10 * SECOND)
     };
     suspects.apply_quarantine(request("a"), of_era(1));
-    let mut desk = QuarantineDesk::new(7);
+    let mut desk = QuarantineRegistry::new(7);
     desk.note_era(2);
-    let step = desk.ask(request("a"), &suspects, now);
-    assert!(matches!(step, DeskStep::Later(_)), "{step:?}");
+    let step = desk.request_trial(request("a"), &suspects, now);
+    assert!(matches!(step, TrialDecision::Later(_)), "{step:?}");
     suspects.reconcile_restored(2, &[(request("a"), of_era(2))]);
-    let step = desk.ask(request("a"), &suspects, now);
+    let step = desk.request_trial(request("a"), &suspects, now);
     assert!(
-        matches!(step, DeskStep::Count(count) if count.tries == 2),
+        matches!(step, TrialDecision::Count(count) if count.tries == 2),
         "{step:?}"
     );
 }
@@ -252,7 +254,7 @@
     let a = request("a");
     let mut stands: Option<StoredQuarantine> = None;
     let mut lent = 0;
-    let mut desks: Vec<_> = (0..5).map(QuarantineDesk::new).collect();
+    let mut desks: Vec<_> = (0..5).map(QuarantineRegistry::new).collect();
     for round in 0..20 {
         let at = now + round * 2 * SECOND;
         for (n, desk) in desks.iter_mut().enumerate() {
@@ -261,23 +263,23 @@
             if let Some(known) = stands.filter(|_| n % 2 == 0) {
                 suspects.apply_quarantine(a, known);
             }
-            let DeskStep::Count(count) = desk.ask(a, &suspects, at) else {
+            let TrialDecision::Count(count) = desk.request_trial(a, &suspects, at) else {
                 continue;
             };
             let revision = stands.map_or(0, |known| known.position.wire_revision());
-            let outcome = match count.position.wire_revision() == revision {
-                true => CountOutcome::Stands,
-                false => CountOutcome::Overtaken,
+            let outcome = match count.expected_position.wire_revision() == revision {
+                true => RecordOutcome::Stands,
+                false => RecordOutcome::Overtaken,
             };
-            if outcome == CountOutcome::Stands {
+            if outcome == RecordOutcome::Stands {
                 stands = Some(known(revision + 1, count.tries, at));
             }
-            if desk.counted(a, outcome, true, at) == DeskStep::Lend {
+            if desk.trial_recorded(a, outcome, true, at) == TrialDecision::Lend {
                 lent += 1;
             }
         }
     }
-    assert_eq!(lent, MOST_TRIES);
+    assert_eq!(lent, MAX_TRIALS);
 }
 
 #[test]
@@ -285,18 +287,18 @@
     let now = Instant::now();
     let a = request("a");
     let suspects = quarantined("a", now);
-    let mut member = QuarantineDesk::new(1);
-    let mut hub = QuarantineDesk::new(2);
+    let mut member = QuarantineRegistry::new(1);
+    let mut hub = QuarantineRegistry::new(2);
     let mut lent = 0;
     for round in 0..20 {
         let at = now + round * 10 * SECOND;
-        if let DeskStep::Count(_) = member.ask(a, &suspects, at) {
-            let step = member.counted(a, CountOutcome::Unknown, false, at);
-            assert_eq!(step, DeskStep::AskHub);
+        if let TrialDecision::Count(_) = member.request_trial(a, &suspects, at) {
+            let step = member.trial_recorded(a, RecordOutcome::Unknown, false, at);
+            assert_eq!(step, TrialDecision::AskHub);
         }
-        if let DeskStep::Count(_) = hub.ask(a, &suspects, at) {
-            let step = hub.counted(a, CountOutcome::Unknown, true, at);
-            lent += u32::from(step == DeskStep::Lend);
+        if let TrialDecision::Count(_) = hub.request_trial(a, &suspects, at) {
+            let step = hub.trial_recorded(a, RecordOutcome::Unknown, true, at);
+            lent += u32::from(step == TrialDecision::Lend);
         }
     }
     assert_eq!(lent, 2);
@@ -307,13 +309,17 @@
     let now = Instant::now();
     let a = request("a");
     let mut suspects = quarantined("a", now);
-    let mut desk = QuarantineDesk::new(7);
-    assert!(matches!(desk.ask(a, &suspects, now), DeskStep::Count(_)));
-    let step = desk.counted(a, CountOutcome::Unknown, true, now);
-    assert_eq!(step, DeskStep::Lend, "on its own account");
+    let mut desk = QuarantineRegistry::new(7);
+    assert!(matches!(
+        desk.request_trial(a, &suspects, now),
+        TrialDecision::Count(_)
+    ));
+    let step = desk.trial_recorded(a, RecordOutcome::Unknown, true, now);
+    assert_eq!(step, TrialDecision::Lend, "on its own account");
     // The store held it after all, and tells so.
     suspects.apply_quarantine(a, known(1, 1, now));
-    let DeskStep::Count(count) = desk.ask(a, &suspects, now + 5 * SECOND) else {
+    let TrialDecision::Count(count) = desk.request_trial(a, &suspects, now + 5 * SECOND)
+    else {
         panic!("there are two more");
     };
     assert_eq!(count.tries, 2);
@@ -328,19 +334,19 @@
     }
     let tried = now + SECOND;
     suspects.apply_quarantine(request("fatal"), known(3, 1, tried));
-    let mut desk = QuarantineDesk::new(7);
-    let step = desk.ask(request("beside"), &suspects, tried);
+    let mut desk = QuarantineRegistry::new(7);
+    let step = desk.request_trial(request("beside"), &suspects, tried);
     assert!(
-        matches!(step, DeskStep::Later(_)),
+        matches!(step, TrialDecision::Later(_)),
         "the other is out: {step:?}"
     );
     // News of another try may be on its way.
     let quiet = tried + SECOND;
-    let step = desk.ask(request("beside"), &suspects, quiet);
-    assert!(matches!(step, DeskStep::Later(_)), "{step:?}");
-    let step = desk.ask(request("beside"), &suspects, quiet + SECOND);
-    assert!(matches!(step, DeskStep::Count(_)), "{step:?}");
+    let step = desk.request_trial(request("beside"), &suspects, quiet);
+    assert!(matches!(step, TrialDecision::Later(_)), "{step:?}");
+    let step = desk.request_trial(request("beside"), &suspects, quiet + SECOND);
+    assert!(matches!(step, TrialDecision::Count(_)), "{step:?}");
     // The likelier one waits for nobody.
-    let step = desk.ask(request("fatal"), &suspects, quiet + SECOND);
-    assert!(matches!(step, DeskStep::Count(_)), "{step:?}");
+    let step = desk.request_trial(request("fatal"), &suspects, quiet + SECOND);
+    assert!(matches!(step, TrialDecision::Count(_)), "{step:?}");
 }
