--- a/crates/wingspur-bench/src/box_list.rs
+++ b/crates/wingspur-bench/src/box_list.rs
@@ -9,7 +9,7 @@
 use hyper::header::{ETAG, HeaderValue, IF_NONE_MATCH};
 use hyper::{Request, Response, StatusCode};
 use smol::net::TcpListener;
-use wingspur_protocol::{BoxList, digest_of};
+use wingspur_protocol::{BoxList, sha256_hex};
 use wingspur_transport::{HttpListener, ListenerOptions, Spawner};
 
 /// The stand-in: what is set shows only after the lag.
@@ -71,7 +71,7 @@
 /// The list with a validator, or word that the caller has it already.
 fn answer(request: &Request<Incoming>, list: &BoxList) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(list).expect("a list serialises");
-    let validator = format!("\"{}\"", &digest_of(&body)[..16]);
+    let validator = format!("\"{}\"", &sha256_hex(&body)[..16]);
     let known = request.headers().get(IF_NONE_MATCH);
     if known.is_some_and(|known| known.as_bytes() == validator.as_bytes()) {
         let mut response = Response::new(Full::new(Bytes::new()));
--- a/crates/wingspur-coordination/src/box_registry.rs
+++ b/crates/wingspur-coordination/src/box_registry.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::CensusNote;
+use wingspur_protocol::MembershipUpdate;
 use wingspur_state::BoxKey;
 
 use crate::LinkId;
@@ -79,19 +79,19 @@
     }
 
     /// Takes in whom another hub counts.
-    pub fn receive(&mut self, link: LinkId, note: &CensusNote, now: Instant) {
+    pub fn receive(&mut self, link: LinkId, note: &MembershipUpdate, now: Instant) {
         let Some(census) = self.links.get(&link) else {
             return;
         };
         let mut gone = note.left.clone();
-        if note.whole {
+        if note.is_full {
             gone.extend(census.counts.iter().copied());
         }
         for key in &note.joined {
             self.add(link, *key);
         }
         for key in gone {
-            let stays = note.whole && note.joined.contains(&key);
+            let stays = note.is_full && note.joined.contains(&key);
             let census = self.links.get_mut(&link);
             if !stays && census.is_some_and(|census| census.counts.remove(&key)) {
                 self.release(key, now);
@@ -100,17 +100,17 @@
     }
 
     /// What another hub has not been told yet of this box and its members.
-    pub fn updates_for(&mut self, link: LinkId) -> CensusNote {
+    pub fn updates_for(&mut self, link: LinkId) -> MembershipUpdate {
         let Some(census) = self.links.get_mut(&link) else {
-            return CensusNote::default();
+            return MembershipUpdate::default();
         };
         if census.told.as_ref() == Some(&self.here) {
-            return CensusNote::default();
+            return MembershipUpdate::default();
         }
         let whole = census.told.is_none();
         let told = census.told.take().unwrap_or_default();
-        let note = CensusNote {
-            whole,
+        let note = MembershipUpdate {
+            is_full: whole,
             joined: self.here.difference(&told).copied().collect(),
             left: told.difference(&self.here).copied().collect(),
         };
--- a/crates/wingspur-coordination/src/catalog_freshness.rs
+++ b/crates/wingspur-coordination/src/catalog_freshness.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::FeedState;
+use wingspur_protocol::CatalogFreshness;
 use wingspur_state::{BoxId, StoreEra, StorePosition};
 
 use crate::{LinkId, hash_of};
@@ -124,8 +124,8 @@
     }
 
     /// Notes what the other side of a link says.
-    pub fn receive(&mut self, link: LinkId, state: &FeedState, now: Instant) {
-        match state.tries {
+    pub fn receive(&mut self, link: LinkId, state: &CatalogFreshness, now: Instant) {
+        match state.is_read_failing {
             true => self.trying.insert(link),
             false => self.trying.remove(&link),
         };
@@ -159,23 +159,23 @@
     }
 
     /// What this box says of itself.
-    pub fn state(&self, now: Instant) -> FeedState {
+    pub fn state(&self, now: Instant) -> CatalogFreshness {
         let own = self.own_fresh.map(|at| (&self.own, at));
         let theirs = self.links.values().map(|(reader, at)| (reader, *at));
         let best = own.into_iter().chain(theirs).max_by_key(|(_, at)| *at);
         let Some((reader, at)) = best else {
-            return FeedState {
-                tries: self.own_tries,
+            return CatalogFreshness {
+                is_read_failing: self.own_tries,
                 position: self.position,
                 era: self.era,
-                ..FeedState::default()
+                ..CatalogFreshness::default()
             };
         };
         let age = now.saturating_duration_since(at).as_millis();
-        FeedState {
+        CatalogFreshness {
             reader: Some(reader.clone()),
             age_ms: age.min(u128::from(u32::MAX)) as u32,
-            tries: self.own_tries,
+            is_read_failing: self.own_tries,
             position: self.position,
             era: self.era,
         }
--- a/crates/wingspur-coordination/src/catalog_queue.rs
+++ b/crates/wingspur-coordination/src/catalog_queue.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::{CatalogUpdate, ListingUpdate};
+use wingspur_protocol::{CatalogSnapshotUpdate, CatalogUpdate};
 use wingspur_state::StorePosition;
 
 /// What one link has not been told yet of the catalog.
@@ -35,7 +35,7 @@
     /// another reason to speak.
     pub fn push(&mut self, update: &CatalogUpdate, urgent: bool) {
         self.urgent |= urgent;
-        if matches!(update, CatalogUpdate::Listing(_)) {
+        if matches!(update, CatalogUpdate::Snapshot(_)) {
             // It tells all that the ones before it do.
             self.updates.clear();
         }
@@ -61,9 +61,9 @@
     }
 
     /// The queued listing: it is the first update, since it replaces all before it.
-    fn listing(&self) -> Option<&Arc<ListingUpdate>> {
+    fn listing(&self) -> Option<&Arc<CatalogSnapshotUpdate>> {
         match self.updates.first() {
-            Some(CatalogUpdate::Listing(listing)) => Some(listing),
+            Some(CatalogUpdate::Snapshot(listing)) => Some(listing),
             _ => None,
         }
     }
@@ -71,9 +71,9 @@
     /// Drops a queued listing that tells the other side nothing: it knows the store's history
     /// up to a position by now, and a version of the bundle.
     pub fn drop_known_listing(&mut self, position: StorePosition, bundle_version: u64) {
-        let is_known = |update: &Arc<ListingUpdate>| {
-            let bundle = update.listing.bundle.as_ref();
-            update.listing.position <= position
+        let is_known = |update: &Arc<CatalogSnapshotUpdate>| {
+            let bundle = update.snapshot.bundle.as_ref();
+            update.snapshot.position <= position
                 && bundle.is_none_or(|bundle| bundle.version <= bundle_version)
                 && update.returned.is_empty()
         };
@@ -84,7 +84,7 @@
     }
 
     /// Takes the listing that is queued, which goes before all else.
-    pub fn take_listing(&mut self) -> Option<Arc<ListingUpdate>> {
+    pub fn take_listing(&mut self) -> Option<Arc<CatalogSnapshotUpdate>> {
         let listing = self.listing()?.clone();
         self.updates.remove(0);
         Some(listing)
--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::{CensusNote, FleetNote, LeftPart};
+use wingspur_protocol::{DelegatedShare, FleetStatus, MembershipUpdate};
 use wingspur_state::{BoxKey, DataCentreId, FleetMembership, MembershipState};
 
 use crate::fleet_size::LONGEST_HOLD;
@@ -68,15 +68,15 @@
 /// What a box tells of the fleet, by what the other side is to it.
 #[derive(Debug, Clone, Copy)]
 pub struct OutgoingFleetNotes {
-    to_member: FleetNote,
-    to_hub: FleetNote,
+    to_member: FleetStatus,
+    to_hub: FleetStatus,
 }
 
 #[derive(Debug)]
 struct HeardLink {
     data_centre: DataCentreId,
     with: PeerRole,
-    told: FleetNote,
+    told: FleetStatus,
     heard: Instant,
     /// When it surely ran, and heard this box.
     vouched: Option<Instant>,
@@ -88,11 +88,11 @@
 
 impl OutgoingFleetNotes {
     /// What one link is told.
-    pub fn note_for(&self, with: PeerRole) -> FleetNote {
+    pub fn note_for(&self, with: PeerRole) -> FleetStatus {
         match with {
             PeerRole::Member => self.to_member,
             PeerRole::Hub => self.to_hub,
-            PeerRole::OwnHub => FleetNote::default(),
+            PeerRole::OwnHub => FleetStatus::default(),
         }
     }
 }
@@ -136,7 +136,7 @@
         let link = HeardLink {
             data_centre: peer.data_centre,
             with,
-            told: FleetNote::default(),
+            told: FleetStatus::default(),
             heard: now,
             vouched: None,
             delegated: None,
@@ -164,21 +164,23 @@
     pub fn receive_census(
         &mut self,
         id: LinkId,
-        note: &CensusNote,
+        note: &MembershipUpdate,
         known: &AnnouncementView,
         now: Instant,
     ) {
-        if *note != CensusNote::default() {
+        if *note != MembershipUpdate::default() {
             self.census.receive(id, note, now);
             self.fleet_size(known, now);
         }
     }
 
     /// What another hub has not been told yet of whom this one counts.
-    pub fn census_for(&mut self, id: LinkId) -> CensusNote {
+    pub fn census_for(&mut self, id: LinkId) -> MembershipUpdate {
         match self.links.get(&id).map(|link| link.with) {
             Some(PeerRole::Hub) => self.census.updates_for(id),
-            Some(PeerRole::Member | PeerRole::OwnHub) | None => CensusNote::default(),
+            Some(PeerRole::Member | PeerRole::OwnHub) | None => {
+                MembershipUpdate::default()
+            }
         }
     }
 
@@ -187,7 +189,7 @@
     pub fn receive(
         &mut self,
         id: LinkId,
-        told: FleetNote,
+        told: FleetStatus,
         known: &AnnouncementView,
         vouched: Option<Instant>,
         now: Instant,
@@ -195,18 +197,18 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let counts = |note: &FleetNote| (note.boxes, note.counted);
+        let counts = |note: &FleetStatus| (note.boxes, note.counted);
         // A hub of a hundred members hears thousands of frames a second.
         let changed = counts(&link.told) != counts(&told);
         link.told = told;
         link.heard = vouched.unwrap_or(link.heard);
         link.vouched = vouched.or(link.vouched);
-        if told.delegates && link.with == PeerRole::Member {
+        if told.delegates_shares && link.with == PeerRole::Member {
             link.delegated = vouched.or(link.delegated);
         }
         if link.with == PeerRole::OwnHub
             && let Some(vouched) = vouched
-            && let Some(touch_ms) = told.touch_ms
+            && let Some(touch_ms) = told.hub_contact_age_ms
             && let Some(at) = vouched.checked_sub(Duration::from_millis(touch_ms.into()))
         {
             self.contact.note(at);
@@ -226,16 +228,16 @@
         let age = self.contact.age(now).filter(|_| known.is_hub);
         let touch_ms = age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32);
         OutgoingFleetNotes {
-            to_member: FleetNote {
+            to_member: FleetStatus {
                 boxes: self.fleet_size(known, now) as u32,
-                touch_ms,
-                ..FleetNote::default()
+                hub_contact_age_ms: touch_ms,
+                ..FleetStatus::default()
             },
-            to_hub: FleetNote {
+            to_hub: FleetStatus {
                 boxes: 0,
                 counted: self.census.count(now) as u32,
-                touch_ms,
-                delegates: false,
+                hub_contact_age_ms: touch_ms,
+                delegates_shares: false,
             },
         }
     }
@@ -279,10 +281,11 @@
         id: LinkId,
         told: &OutgoingFleetNotes,
         now: Instant,
-    ) -> FleetNote {
+    ) -> FleetStatus {
         let with = self.links.get(&id).map_or(PeerRole::Hub, |link| link.with);
         let mut note = told.note_for(with);
-        note.delegates = with == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
+        note.delegates_shares =
+            with == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
         note
     }
 
@@ -361,7 +364,7 @@
         id: LinkId,
         known: &AnnouncementView,
         now: Instant,
-    ) -> Vec<LeftPart> {
+    ) -> Vec<DelegatedShare> {
         let is_hub = self
             .links
             .get(&id)
@@ -374,9 +377,9 @@
         for name in known.data_centres.iter().filter(|_| part > 0.0) {
             let is_holder = self.allocator_for(name, now) == Some(id);
             if is_holder && self.place(name).delegate_to(id, now) {
-                left.push(LeftPart {
+                left.push(DelegatedShare {
                     data_centre: name.clone(),
-                    part,
+                    share: part,
                 });
             }
         }
@@ -387,13 +390,17 @@
     pub fn receive_delegated_shares(
         &mut self,
         id: LinkId,
-        left: &[LeftPart],
+        left: &[DelegatedShare],
         vouched: Option<Instant>,
     ) {
         let (Some(link), Some(vouched)) = (self.links.get_mut(&id), vouched) else {
             return;
         };
-        for LeftPart { data_centre, part } in left {
+        for DelegatedShare {
+            data_centre,
+            share: part,
+        } in left
+        {
             link.left.insert(data_centre.clone(), (*part, vouched));
         }
     }
--- a/crates/wingspur-coordination/src/link_clock.rs
+++ b/crates/wingspur-coordination/src/link_clock.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::Stamps;
+use wingspur_protocol::LinkTimestamps;
 
 /// The clock of one link: what was sent on it when, and what the other side had of that.
 ///
@@ -34,17 +34,17 @@
     }
 
     /// The stamps of a frame that is sent now.
-    pub fn send(&mut self, now: Instant) -> Stamps {
+    pub fn send(&mut self, now: Instant) -> LinkTimestamps {
         let sent_ms = now.saturating_duration_since(self.began).as_millis() as u32;
         self.unanswered.push_back(sent_ms);
-        Stamps {
+        LinkTimestamps {
             sent_ms,
             heard_ms: self.heard_ms,
         }
     }
 
     /// Takes in the stamps of a frame that came.
-    pub fn receive(&mut self, stamps: &Stamps) {
+    pub fn receive(&mut self, stamps: &LinkTimestamps) {
         self.heard_ms = Some(stamps.sent_ms);
         let Some(answered_ms) = stamps.heard_ms else {
             return;
--- a/crates/wingspur-coordination/src/membership.rs
+++ b/crates/wingspur-coordination/src/membership.rs
@@ -162,12 +162,14 @@
     /// Takes in suspicions that came with a heartbeat.
     pub fn receive_suspicions(&mut self, suspicions: &[Suspicion], now: Instant) {
         for suspicion in suspicions.iter().take(MOST_SUSPICIONS) {
-            if suspicion.by == self.own || !self.peers.contains_key(&suspicion.of) {
+            if suspicion.observer == self.own
+                || !self.peers.contains_key(&suspicion.suspect)
+            {
                 continue;
             }
             let ttl = Duration::from_millis(u64::from(suspicion.ttl_ms));
             let until = now + ttl.min(self.settings.suspicion_ttl);
-            let key = (suspicion.of.clone(), suspicion.by.clone());
+            let key = (suspicion.suspect.clone(), suspicion.observer.clone());
             let held = self.suspicions.entry(key).or_insert(until);
             *held = (*held).max(until);
         }
@@ -178,8 +180,8 @@
         let running = self.suspicions.iter().filter(|(_, until)| **until > now);
         let mut running: Vec<Suspicion> = running
             .map(|((of, by), until)| Suspicion {
-                of: of.clone(),
-                by: by.clone(),
+                suspect: of.clone(),
+                observer: by.clone(),
                 ttl_ms: (*until - now).as_millis() as u32,
             })
             .collect();
--- a/crates/wingspur-coordination/src/quota_leases.rs
+++ b/crates/wingspur-coordination/src/quota_leases.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::{Lendable, Lending, LoanAnswer, LoanRequest};
+use wingspur_protocol::{
+    LeaseMessages, LeasedResource, QuotaLeaseReply, QuotaLeaseRequest,
+};
 use wingspur_state::{
     AcquireOutcome, DataCentreId, LeaseClient, LeaseDemand, PrefetchGrant,
     PrefetchRequest, QuotaPool, QuotaTerms, ShareHistory,
@@ -21,14 +23,14 @@
     clock: ShareHistory,
     /// Its parts of allowances that the hub of one data centre holds for all.
     place_clocks: BTreeMap<DataCentreId, ShareHistory>,
-    pools: HashMap<Lendable, QuotaPool>,
-    borrowers: HashMap<Lendable, LeaseClient>,
+    pools: HashMap<LeasedResource, QuotaPool>,
+    borrowers: HashMap<LeasedResource, LeaseClient>,
     /// Requests of callers that wait, the first first.
-    waiting: HashMap<Lendable, VecDeque<Waiting>>,
+    waiting: HashMap<LeasedResource, VecDeque<Waiting>>,
     /// What this box has not enough of, and asks other hubs for; by the last question.
     searches: HashMap<u32, Search>,
     /// What other hubs had none of a moment ago.
-    quiet: HashMap<Lendable, Quiet>,
+    quiet: HashMap<LeasedResource, Quiet>,
     last_number: u32,
 }
 
@@ -58,7 +60,7 @@
 /// What other hubs are asked for, one after the other.
 #[derive(Debug)]
 struct Search {
-    of: Lendable,
+    of: LeasedResource,
     /// The member that asked, with its question's number; none for this box's own requests.
     asker: Option<(LinkId, u32)>,
     found: u32,
@@ -113,7 +115,7 @@
     /// Where it goes.
     pub link: LinkId,
     /// What it says.
-    pub lending: Lending,
+    pub lending: LeaseMessages,
     /// Whether somebody waits for it; else it goes with the next frame.
     pub urgent: bool,
 }
@@ -162,7 +164,7 @@
 }
 
 /// Finds an allowance; none where there is no such, or no such limit.
-pub type FindQuota<'a> = &'a dyn Fn(Lendable) -> Option<Quota>;
+pub type FindQuota<'a> = &'a dyn Fn(LeasedResource) -> Option<Quota>;
 
 impl QuotaLeaseManager {
     /// A box that starts now.
@@ -201,7 +203,7 @@
     /// Wants one of an allowance: what came of it, or where that will be told.
     pub fn acquire(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         reserve: ReserveShare,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
@@ -216,7 +218,7 @@
     /// Wants one of an allowance, of the hub.
     fn want_of_hub(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         reserve: ReserveShare,
         hub: LinkId,
         now: Instant,
@@ -237,7 +239,7 @@
     /// Wants one of an allowance, of this box's own part or else of other hubs.
     fn want_of_pool(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         reserve: ReserveShare,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
@@ -268,7 +270,7 @@
     /// is empty since the box has had it for a moment only.
     fn take_of_pool(
         &mut self,
-        (of, reserve, ahead): (Lendable, ReserveShare, usize),
+        (of, reserve, ahead): (LeasedResource, ReserveShare, usize),
         found: Option<&Quota>,
         standing: &QuotaTopology,
         now: Instant,
@@ -288,7 +290,12 @@
     }
 
     /// Asks the hub for what is short.
-    fn ask_hub(&mut self, of: Lendable, hub: LinkId, now: Instant) -> QuotaMessages {
+    fn ask_hub(
+        &mut self,
+        of: LeasedResource,
+        hub: LinkId,
+        now: Instant,
+    ) -> QuotaMessages {
         let waiting = self.waiting.get(&of);
         let count = waiting.map_or(0, |waiting| waiting.len() as u32);
         let reserve = waiting.and_then(|waiting| {
@@ -304,17 +311,20 @@
             else {
                 continue;
             };
-            let request = LoanRequest {
-                number,
-                of,
+            let request = QuotaLeaseRequest {
+                request_id: number,
+                resource: of,
                 held: 0.0,
-                urgent: 0,
+                on_demand_count: 0,
                 reserve: reserve.unwrap_or_default(),
                 wanted: 0.0,
             };
             let request = match ask {
-                LeaseDemand::OnDemand(urgent) => LoanRequest { urgent, ..request },
-                LeaseDemand::Prefetch { held, wanted } => LoanRequest {
+                LeaseDemand::OnDemand(urgent) => QuotaLeaseRequest {
+                    on_demand_count: urgent,
+                    ..request
+                },
+                LeaseDemand::Prefetch { held, wanted } => QuotaLeaseRequest {
                     held,
                     wanted,
                     ..request
@@ -329,29 +339,29 @@
     pub fn handle_request(
         &mut self,
         link: LinkId,
-        request: &LoanRequest,
+        request: &QuotaLeaseRequest,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let found = find(request.of);
+        let found = find(request.resource);
         let found = found.as_ref();
-        if request.urgent == 0 {
+        if request.on_demand_count == 0 {
             let answer = self.answer_for_stock(link, request, standing, found, now);
             return vec![QuotaMessage::reply(link, answer, false)];
         }
         let answer = self.lend_at_once(request, standing, found, now);
-        let missing = request.urgent - answer.urgent;
+        let missing = request.on_demand_count - answer.on_demand_granted;
         let is_hubs = standing.allocators.contains(&link);
         let lenders = found.map(|found| standing.lenders_of(found));
         let lenders = lenders.unwrap_or_default();
-        let may_search = !lenders.is_empty() && !self.is_quiet(request.of, now);
+        let may_search = !lenders.is_empty() && !self.is_quiet(request.resource, now);
         if missing == 0 || is_hubs || !may_search {
             return vec![QuotaMessage::reply(link, answer, true)];
         }
-        let asker = Some((link, request.number));
-        let counts = (answer.urgent, missing);
-        let search = Search::new(request.of, asker, counts, request.reserve, now);
+        let asker = Some((link, request.request_id));
+        let counts = (answer.on_demand_granted, missing);
+        let search = Search::new(request.resource, asker, counts, request.reserve, now);
         self.begin_search(search, lenders, now)
     }
 
@@ -359,13 +369,13 @@
     fn answer_for_stock(
         &mut self,
         link: LinkId,
-        request: &LoanRequest,
+        request: &QuotaLeaseRequest,
         standing: &QuotaTopology,
         found: Option<&Quota>,
         now: Instant,
-    ) -> LoanAnswer {
-        let answer = LoanAnswer::none(request);
-        let found = found.filter(|_| may_be_stocked(request.of));
+    ) -> QuotaLeaseReply {
+        let answer = QuotaLeaseReply::denied(request);
+        let found = found.filter(|_| may_be_stocked(request.resource));
         let (clock, places) = (&self.clock, &self.place_clocks);
         let Some((found, clock)) = held(found, standing, clock, places) else {
             return answer;
@@ -375,10 +385,10 @@
             held: request.held,
             wanted: request.wanted,
         };
-        let pool = self.pools.entry(request.of).or_default();
+        let pool = self.pools.entry(request.resource).or_default();
         let stocked = pool.lease_prefetch(&ask, &found.terms, clock, now);
-        LoanAnswer {
-            stock: stocked.amount,
+        QuotaLeaseReply {
+            prefetch_granted: stocked.amount,
             renewed: stocked.renewed,
             ..answer
         }
@@ -387,18 +397,18 @@
     /// Lends what a box spends at once, as far as this one's own part has it.
     fn lend_at_once(
         &mut self,
-        request: &LoanRequest,
+        request: &QuotaLeaseRequest,
         standing: &QuotaTopology,
         found: Option<&Quota>,
         now: Instant,
-    ) -> LoanAnswer {
-        let answer = LoanAnswer::none(request);
+    ) -> QuotaLeaseReply {
+        let answer = QuotaLeaseReply::denied(request);
         let (clock, places) = (&self.clock, &self.place_clocks);
         let Some((found, clock)) = held(found, standing, clock, places) else {
             return answer;
         };
-        let (urgent, reserve) = (request.urgent, request.reserve.into());
-        let pool = self.pools.entry(request.of).or_default();
+        let (urgent, reserve) = (request.on_demand_count, request.reserve.into());
+        let pool = self.pools.entry(request.resource).or_default();
         let lent = pool.lease_on_demand(urgent, reserve, &found.terms, clock, now);
         let missing = (urgent - lent) as usize;
         let more_in = match is_behind_too_many(missing, found, clock) {
@@ -408,9 +418,9 @@
             }
             false => None,
         };
-        LoanAnswer {
-            urgent: lent,
-            more_in_ms: more_in,
+        QuotaLeaseReply {
+            on_demand_granted: lent,
+            retry_after_ms: more_in,
             ..answer
         }
     }
@@ -418,7 +428,7 @@
     /// How long until this box's part has one more; none where nobody can tell.
     fn more_in(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         standing: &QuotaTopology,
         found: Option<&Quota>,
     ) -> Option<Duration> {
@@ -434,15 +444,17 @@
     /// Takes in the answer of another box.
     pub fn handle_answer(
         &mut self,
-        answer: &LoanAnswer,
+        answer: &QuotaLeaseReply,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let of = answer.of;
-        let more_in = answer.more_in_ms.map(|ms| Duration::from_millis(ms.into()));
-        if let Some(mut search) = self.searches.remove(&answer.number) {
-            search.take(answer.urgent);
+        let of = answer.resource;
+        let more_in = answer
+            .retry_after_ms
+            .map(|ms| Duration::from_millis(ms.into()));
+        if let Some(mut search) = self.searches.remove(&answer.request_id) {
+            search.take(answer.on_demand_granted);
             search.told.add(more_in);
             if search.missing == 0 {
                 return self.end_search(search, standing, find, now);
@@ -453,11 +465,11 @@
             return QuotaMessages::new();
         };
         let stocked = PrefetchGrant {
-            amount: answer.stock,
+            amount: answer.prefetch_granted,
             renewed: answer.renewed,
         };
-        borrower.apply_prefetch_grant(answer.number, &stocked, now);
-        let (number, urgent) = (answer.number, answer.urgent);
+        borrower.apply_prefetch_grant(answer.request_id, &stocked, now);
+        let (number, urgent) = (answer.request_id, answer.on_demand_granted);
         let granted = borrower.apply_on_demand_grant(number, urgent, more_in, now);
         let refusal = borrower.refusal(now);
         let (granted, ends) = granted.unwrap_or((0, now));
@@ -476,7 +488,7 @@
     /// not, if that is known; returns how many may go.
     fn tell_waiting(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         granted: u32,
         rest: Option<AcquireOutcome>,
         now: Instant,
@@ -511,7 +523,7 @@
     }
 
     /// A refusal with what other hubs said a moment ago of when they have more.
-    fn with_quiet(&self, of: Lendable, outcome: AcquireOutcome) -> AcquireOutcome {
+    fn with_quiet(&self, of: LeasedResource, outcome: AcquireOutcome) -> AcquireOutcome {
         let (AcquireOutcome::Refused(more_in), Some(quiet)) =
             (outcome, self.quiet.get(&of))
         else {
@@ -524,7 +536,7 @@
     }
 
     /// Whether other hubs were asked a moment ago, and had none.
-    fn is_quiet(&self, of: Lendable, now: Instant) -> bool {
+    fn is_quiet(&self, of: LeasedResource, now: Instant) -> bool {
         self.quiet.get(&of).is_some_and(|quiet| quiet.until > now)
     }
 
@@ -549,11 +561,11 @@
         };
         let number = self.number();
         search.until = now + HUB_ANSWER_LOST;
-        let request = LoanRequest {
-            number,
-            of: search.of,
+        let request = QuotaLeaseRequest {
+            request_id: number,
+            resource: search.of,
             held: 0.0,
-            urgent: search.missing,
+            on_demand_count: search.missing,
             reserve: search.reserve,
             wanted: 0.0,
         };
@@ -609,13 +621,13 @@
             }
             return QuotaMessages::new();
         };
-        let answer = LoanAnswer {
-            number,
-            of,
-            urgent: search.found,
-            stock: 0.0,
+        let answer = QuotaLeaseReply {
+            request_id: number,
+            resource: of,
+            on_demand_granted: search.found,
+            prefetch_granted: 0.0,
             renewed: false,
-            more_in_ms: more_in.map(millis),
+            retry_after_ms: more_in.map(millis),
         };
         vec![QuotaMessage::reply(link, answer, true)]
     }
@@ -652,7 +664,7 @@
     /// Lets those go on that wait for this box's own part, as far as that has any by now.
     fn serve_waiting(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
@@ -679,7 +691,7 @@
     /// Asks other hubs anew for those that wait for this box's own part.
     fn search_for_waiting(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         standing: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
@@ -720,7 +732,7 @@
 
     fn wait_for(
         &mut self,
-        of: Lendable,
+        of: LeasedResource,
         reserve: ReserveShare,
         now: Instant,
     ) -> PendingGrant {
@@ -781,7 +793,7 @@
 
 impl Search {
     fn new(
-        of: Lendable,
+        of: LeasedResource,
         asker: Option<(LinkId, u32)>,
         (found, missing): (u32, u32),
         reserve: ReserveShare,
@@ -809,23 +821,23 @@
 
 impl QuotaMessage {
     /// A question.
-    pub fn request(link: LinkId, request: LoanRequest) -> Self {
-        let lending = Lending {
-            asks: vec![request],
-            ..Lending::default()
+    pub fn request(link: LinkId, request: QuotaLeaseRequest) -> Self {
+        let lending = LeaseMessages {
+            requests: vec![request],
+            ..LeaseMessages::default()
         };
         Self {
             link,
             lending,
-            urgent: request.urgent > 0,
+            urgent: request.on_demand_count > 0,
         }
     }
 
     /// The answer to a question.
-    pub fn reply(link: LinkId, answer: LoanAnswer, urgent: bool) -> Self {
-        let lending = Lending {
-            answers: vec![answer],
-            ..Lending::default()
+    pub fn reply(link: LinkId, answer: QuotaLeaseReply, urgent: bool) -> Self {
+        let lending = LeaseMessages {
+            replies: vec![answer],
+            ..LeaseMessages::default()
         };
         Self {
             link,
@@ -900,8 +912,8 @@
 
 /// Whether boxes hold some of it in advance. What servers take is a few requests a second, so
 /// that one which a box holds for none of its own is one that no other box can use.
-fn may_be_stocked(of: Lendable) -> bool {
-    matches!(of, Lendable::Account(_))
+fn may_be_stocked(of: LeasedResource) -> bool {
+    matches!(of, LeasedResource::Account(_))
 }
 
 fn millis(span: Duration) -> u32 {
--- a/crates/wingspur-coordination/src/rollup.rs
+++ b/crates/wingspur-coordination/src/rollup.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use wingspur_protocol::Digest;
+use wingspur_protocol::TallyUpdate;
 use wingspur_state::{KeyedTally, ServerKey, ServerTally, ServiceTally, SourceId};
 
 use crate::key_set::{KeyIndex, KeySet};
@@ -162,7 +162,7 @@
     }
 
     /// Applies a digest that a link sent.
-    pub fn receive(&mut self, id: LinkId, digest: &Digest) {
+    pub fn receive(&mut self, id: LinkId, digest: &TallyUpdate) {
         match self.links.get(&id).map(|link| link.kind) {
             Some(LinkKind::Member) => self.receive_from_member(id, digest),
             Some(LinkKind::Hub) => self.receive_from_hub(id, digest),
@@ -171,7 +171,7 @@
     }
 
     /// The update of a link; empty when it has been sent everything.
-    pub fn compose(&mut self, id: LinkId) -> Vec<Digest> {
+    pub fn compose(&mut self, id: LinkId) -> Vec<TallyUpdate> {
         self.compose_within(id, usize::MAX)
     }
 
@@ -180,18 +180,22 @@
     ///
     /// Changes grow with the servers, and the bandwidth of a link does not: sent all of them,
     /// each link would receive failures as late as everything else.
-    pub fn compose_within(&mut self, id: LinkId, most_servers: usize) -> Vec<Digest> {
+    pub fn compose_within(
+        &mut self,
+        id: LinkId,
+        most_servers: usize,
+    ) -> Vec<TallyUpdate> {
         let Some(link) = self.links.get_mut(&id) else {
             return Vec::new();
         };
         let gone = std::mem::take(&mut link.gone).into_iter();
-        let mut digests: Vec<Digest> = gone.map(nothing_left).collect();
+        let mut digests: Vec<TallyUpdate> = gone.map(nothing_left).collect();
         let mut room = most_servers;
         let index = &mut self.index;
         let taken = link.unsent.take_within(&mut room, &self.total, index);
         if !taken.is_empty() {
             let digest = self.total.without(&link.told, &taken);
-            digests.push(Digest {
+            digests.push(TallyUpdate {
                 source: self.source,
                 ..digest
             });
@@ -204,7 +208,7 @@
             let taken = unsent.take_within(&mut room, tallies, index);
             if !taken.is_empty() {
                 let digest = tallies.without(&Tallies::default(), &taken);
-                digests.push(Digest {
+                digests.push(TallyUpdate {
                     source: *source,
                     ..digest
                 });
@@ -233,14 +237,14 @@
             || foreign.any(|unsent| !unsent.failing.is_empty())
     }
 
-    fn receive_from_member(&mut self, id: LinkId, digest: &Digest) {
+    fn receive_from_member(&mut self, id: LinkId, digest: &TallyUpdate) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         let mut servers = Vec::new();
         for (key, tally) in &digest.servers {
             let told = link.told.servers.entry(*key).or_default();
-            if digest.whole {
+            if digest.is_full {
                 // Another hub has reported what a member counted before it linked here.
                 *told = tally.without_gauges();
             }
@@ -255,7 +259,7 @@
         let mut services = Vec::new();
         for (key, tally) in &digest.services {
             let told = link.told.services.entry(*key).or_default();
-            if digest.whole {
+            if digest.is_full {
                 *told = *tally;
             }
             let total = self.total.services.entry(*key).or_default();
@@ -266,7 +270,7 @@
         self.mark(Some(id), &servers, &services);
     }
 
-    fn receive_from_hub(&mut self, id: LinkId, digest: &Digest) {
+    fn receive_from_hub(&mut self, id: LinkId, digest: &TallyUpdate) {
         if digest.source == self.source {
             return;
         }
@@ -279,7 +283,7 @@
         }
         let fresh = || (id, Tallies::default());
         let entry = self.foreign.entry(digest.source).or_insert_with(fresh);
-        if digest.whole {
+        if digest.is_full {
             entry.1 = Tallies::default();
         }
         entry.0 = id;
@@ -288,14 +292,14 @@
             let before = entry.1.servers.insert(*key, *tally).unwrap_or_default();
             changed.push(Changed {
                 position: self.index.position(*key),
-                is_failing: !digest.whole && tally.has_failed_since(&before),
+                is_failing: !digest.is_full && tally.has_failed_since(&before),
             });
         }
         entry.1.services.extend(digest.services.iter().copied());
         let members = self.links.iter_mut();
         for (_, link) in members.filter(|(_, link)| link.kind == LinkKind::Member) {
             let unsent = link.unsent_foreign.entry(digest.source).or_default();
-            unsent.whole |= digest.whole;
+            unsent.whole |= digest.is_full;
             unsent.mark(&changed);
             unsent
                 .services
@@ -330,7 +334,7 @@
 
 impl Tallies {
     /// The tallies of an update, without what its link has reported of them.
-    fn without(&self, told: &Self, taken: &Taken) -> Digest {
+    fn without(&self, told: &Self, taken: &Taken) -> TallyUpdate {
         let of_server = |key: &ServerKey| {
             let own = told.servers.get(key).copied().unwrap_or_default();
             let total = self.servers.get(key).copied().unwrap_or_default();
@@ -341,9 +345,9 @@
             let total = self.services.get(key).copied().unwrap_or_default();
             (*key, total.since(&own))
         };
-        Digest {
+        TallyUpdate {
             source: 0,
-            whole: taken.whole,
+            is_full: taken.whole,
             servers: taken.servers.iter().map(of_server).collect(),
             services: taken.services.iter().map(of_service).collect(),
         }
@@ -351,16 +355,16 @@
 }
 
 /// The digest that ends a source: all of its tallies, and there are none.
-fn nothing_left(source: SourceId) -> Digest {
-    Digest {
+fn nothing_left(source: SourceId) -> TallyUpdate {
+    TallyUpdate {
         source,
-        whole: true,
-        ..Digest::default()
+        is_full: true,
+        ..TallyUpdate::default()
     }
 }
 
-fn is_nothing_left(digest: &Digest) -> bool {
-    digest.whole && digest.servers.is_empty() && digest.services.is_empty()
+fn is_nothing_left(digest: &TallyUpdate) -> bool {
+    digest.is_full && digest.servers.is_empty() && digest.services.is_empty()
 }
 
 impl Unsent {
@@ -441,10 +445,10 @@
     /// So is the first tally of a server or a service while the source has never sent a whole
     /// digest: it was forgotten, and goes on where it was. Its lifetime counts would be an
     /// increase otherwise, and the requests of a service earn a retry budget.
-    pub fn read(&mut self, digest: &Digest) -> SourceUpdate {
+    pub fn read(&mut self, digest: &TallyUpdate) -> SourceUpdate {
         let known = self.known.entry(digest.source).or_default();
         let begins_at_nothing = known.told_whole;
-        known.told_whole |= digest.whole;
+        known.told_whole |= digest.is_full;
         let mut servers = Vec::with_capacity(digest.servers.len());
         for (key, tally) in &digest.servers {
             let before = known.tallies.servers.insert(*key, *tally);
--- a/crates/wingspur-coordination/src/shard_log.rs
+++ b/crates/wingspur-coordination/src/shard_log.rs
@@ -13,7 +13,7 @@
 
 use wingspur_protocol::{
     ClaimReply, ClaimRequest, LogEntry, LogSegment, OperationId, OperationOutcome,
-    OutcomeNote,
+    OutcomeReport,
 };
 use wingspur_state::BoxId;
 
@@ -209,7 +209,7 @@
     }
 
     /// Takes in how an operation ended; it is recorded with the next write.
-    pub fn record_outcome(&mut self, note: &OutcomeNote) {
+    pub fn record_outcome(&mut self, note: &OutcomeReport) {
         let claims = self.operations.get_mut(&note.operation);
         let claim = claims.and_then(|c| c.iter_mut().find(|c| c.nonce == note.nonce));
         let waiting = |pending: &PendingClaim| pending.request.nonce == note.nonce;
--- a/crates/wingspur-coordination/src/snapshot_frames.rs
+++ b/crates/wingspur-coordination/src/snapshot_frames.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Weak};
 
 use wingspur_protocol::{
-    CatalogUpdate, EncodedFrame, Frame, FrameContent, ListingUpdate,
+    CatalogSnapshotUpdate, CatalogUpdate, EncodedFrame, Frame, FrameContent,
 };
 use wingspur_state::BundleVersion;
 
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone)]
 pub struct PendingSnapshot {
     /// The listing.
-    pub listing: Arc<ListingUpdate>,
+    pub listing: Arc<CatalogSnapshotUpdate>,
     /// The version of the bundle that is in force at the other side; one that it has is left
     /// out.
     pub bundle_version: BundleVersion,
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct Kept {
-    listing: Weak<ListingUpdate>,
+    listing: Weak<CatalogSnapshotUpdate>,
     with_bundle: bool,
     frame: EncodedFrame,
 }
@@ -69,7 +69,7 @@
 
 impl PendingSnapshot {
     fn with_bundle(&self) -> bool {
-        let bundle = self.listing.listing.bundle.as_ref();
+        let bundle = self.listing.snapshot.bundle.as_ref();
         bundle.is_some_and(|bundle| bundle.version > self.bundle_version)
     }
 
@@ -78,13 +78,13 @@
             true => self.listing.clone(),
             false => {
                 let mut listing = (*self.listing).clone();
-                listing.listing.bundle = None;
+                listing.snapshot.bundle = None;
                 Arc::new(listing)
             }
         };
         EncodedFrame::new(&Frame {
-            catalog: vec![CatalogUpdate::Listing(listing)],
-            content: FrameContent::Listing,
+            catalog: vec![CatalogUpdate::Snapshot(listing)],
+            content: FrameContent::Snapshot,
             ..Frame::default()
         })
     }
--- a/crates/wingspur-coordination/src/update_pacer.rs
+++ b/crates/wingspur-coordination/src/update_pacer.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::{Digest, ListingUpdate};
+use wingspur_protocol::{CatalogSnapshotUpdate, TallyUpdate};
 
 /// Spaces frames with updates by their size.
 ///
@@ -45,9 +45,9 @@
     }
 
     /// Counts a listing that goes out now.
-    pub fn record_snapshot(&mut self, listing: &ListingUpdate, now: Instant) {
-        let servers = listing.listing.servers.len() + listing.missing.len();
-        let routes = listing.listing.bundle.as_ref();
+    pub fn record_snapshot(&mut self, listing: &CatalogSnapshotUpdate, now: Instant) {
+        let servers = listing.snapshot.servers.len() + listing.missing.len();
+        let routes = listing.snapshot.bundle.as_ref();
         let routes = routes.map_or(0, |bundle| bundle.host_routes.len());
         let bytes = servers * BYTES_OF_ENTRY + routes * BYTES_OF_ROUTE;
         let takes = Duration::from_secs_f64(bytes as f64 / self.list_bytes_per_s);
@@ -61,7 +61,7 @@
     }
 
     /// Counts the news of a frame that goes out now.
-    pub fn record_update(&mut self, digests: &[Digest], now: Instant) {
+    pub fn record_update(&mut self, digests: &[TallyUpdate], now: Instant) {
         let sizes = digests.iter().map(|digest| {
             let servers = digest.servers.len() * BYTES_OF_SERVER;
             servers + digest.services.len() * BYTES_OF_SERVICE
--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -7,7 +7,7 @@
     CatalogQueue, LinkClock, LinkKind, PeerRole, PendingSnapshot, PlannedLink,
     UpdatePacer,
 };
-use wingspur_protocol::{BoxRecord, Lending, LinkRole};
+use wingspur_protocol::{BoxRecord, LeaseMessages, LinkRole};
 use wingspur_state::{
     BundleVersion, HealthSnapshot, ServerKey, ServerLimitChange, StoreEra, SuspectUpdate,
 };
@@ -33,7 +33,7 @@
     /// The version that is in force at the other side, as far as it has told.
     pub bundle_version: BundleVersion,
     /// What it is asked and answered of loans that nobody waits for.
-    pub lending: Lending,
+    pub lending: LeaseMessages,
     /// What it has not been told yet of requests under which servers ended.
     pub suspects: Vec<SuspectUpdate>,
     /// What it has not been told yet of servers' limits.
--- a/crates/wingspur-edge/src/admission.rs
+++ b/crates/wingspur-edge/src/admission.rs
@@ -130,7 +130,7 @@
             let code = if is_vouched {
                 code
             } else {
-                ResultCode::NewsLate
+                ResultCode::CatalogStale
             };
             tracing::info!(
                 id = asking.id,
--- a/crates/wingspur-edge/src/attempt.rs
+++ b/crates/wingspur-edge/src/attempt.rs
@@ -160,7 +160,7 @@
         let answered = match answering.or(expired).await {
             None => {
                 guard.end(HealthOutcome::Abandoned);
-                let code = ResultCode::DeadlineInDoubt;
+                let code = ResultCode::DeadlineAfterSend;
                 return self.failed(AttemptEnd::InDoubt, code, &"no answer in time");
             }
             Some(Err(error)) => {
@@ -247,7 +247,11 @@
             // status for a promise that it has not.
             guard.end(HealthOutcome::Failed);
             guard.backend.keep(connection);
-            return self.failed(AttemptEnd::InDoubt, ResultCode::InDoubt, &status);
+            return self.failed(
+                AttemptEnd::InDoubt,
+                ResultCode::ConnectionLostAfterSend,
+                &status,
+            );
         }
         if status.is_server_error() {
             // A server stops working at the time that it was given: that tells of the time,
@@ -262,7 +266,7 @@
             guard.backend.keep(connection);
             return AttemptResult::Failed(Box::new(FailedAttempt {
                 end: AttemptEnd::ServerError,
-                code: ResultCode::InDoubt,
+                code: ResultCode::ConnectionLostAfterSend,
                 answer: Some(answer),
                 reason: status.to_string(),
                 broken_off: None,
@@ -353,7 +357,7 @@
         });
         AttemptResult::Failed(Box::new(FailedAttempt {
             end: AttemptEnd::InDoubt,
-            code: ResultCode::InDoubt,
+            code: ResultCode::ConnectionLostAfterSend,
             answer: None,
             reason: error.to_string(),
             broken_off,
--- a/crates/wingspur-edge/src/attempts.rs
+++ b/crates/wingspur-edge/src/attempts.rs
@@ -210,7 +210,7 @@
                 .pick()
                 .or_else(|| self.limited_servers().into_iter().next());
             let pick = pick.ok_or_else(|| match self.soonest_back() {
-                Some(_) => ResultCode::ServersRest,
+                Some(_) => ResultCode::ServersBackingOff,
                 None => ResultCode::NoServer,
             })?;
             if pick.wait_ms < 1.0 {
@@ -364,7 +364,7 @@
             };
             if wingspur_clock::now() + pause > until {
                 return Err(match limited.is_empty() {
-                    true => ResultCode::ServersRest,
+                    true => ResultCode::ServersBackingOff,
                     false => ResultCode::ServersAtLimit,
                 });
             }
@@ -682,11 +682,11 @@
                 .count_failed_request(wingspur_clock::now());
         }
         let code = match code {
-            ResultCode::DeadlineInDoubt | ResultCode::InDoubt => code,
+            ResultCode::DeadlineAfterSend | ResultCode::ConnectionLostAfterSend => code,
             ResultCode::DeadlineBeforeSend if self.in_doubt => {
-                ResultCode::DeadlineInDoubt
+                ResultCode::DeadlineAfterSend
             }
-            _ if self.in_doubt => ResultCode::InDoubt,
+            _ if self.in_doubt => ResultCode::ConnectionLostAfterSend,
             // There were servers: all that may be asked have refused.
             ResultCode::NoServer if self.last.is_some() => ResultCode::NotSent,
             code => code,
--- a/crates/wingspur-edge/src/catalog_state.rs
+++ b/crates/wingspur-edge/src/catalog_state.rs
@@ -5,7 +5,7 @@
 
 use wingspur_coordination::LinkId;
 use wingspur_protocol::{
-    CatalogChange, CatalogChanges, CatalogListing, CatalogUpdate, ListingUpdate,
+    CatalogChange, CatalogChanges, CatalogSnapshot, CatalogSnapshotUpdate, CatalogUpdate,
 };
 use wingspur_state::{BundlePatch, BundleVersion, ServerId, StorePosition};
 
@@ -24,7 +24,7 @@
     now: Instant,
 ) {
     match update {
-        CatalogUpdate::Listing(told) => apply_peer_listing(shared, told, from, now),
+        CatalogUpdate::Snapshot(told) => apply_peer_listing(shared, told, from, now),
         CatalogUpdate::Changes {
             changes,
             doubtful_ms,
@@ -34,14 +34,14 @@
 
 fn apply_peer_listing(
     shared: &Arc<Shared>,
-    told: Arc<ListingUpdate>,
+    told: Arc<CatalogSnapshotUpdate>,
     from: Option<LinkId>,
     now: Instant,
 ) {
-    let bundle = told.listing.bundle.as_ref();
+    let bundle = told.snapshot.bundle.as_ref();
     let bundle_version = bundle.map(|bundle| bundle.version);
     let returned = told.returned.clone();
-    if told.listing.position > shared.links.lock().position() {
+    if told.snapshot.position > shared.links.lock().position() {
         read_by_another(shared, told.doubtful_ms, now);
         apply_listing(shared, Arc::unwrap_or_clone(told), "peer", now);
         spread_listing(shared, from, now);
@@ -58,14 +58,18 @@
 
 /// Takes in what counts of a listing whatever its position: what a restored store has lost.
 /// Whether any of it was news.
-fn merge_listing(shared: &Arc<Shared>, told: &ListingUpdate, now: Instant) -> bool {
-    let bundle = told.listing.bundle.clone();
+fn merge_listing(
+    shared: &Arc<Shared>,
+    told: &CatalogSnapshotUpdate,
+    now: Instant,
+) -> bool {
+    let bundle = told.snapshot.bundle.clone();
     let is_newer = bundle.is_some_and(|bundle| shared.put_in_force(bundle, "peer"));
     if is_newer {
         shared.share_out();
     }
     let is_of_this_era =
-        told.listing.position.era() == shared.links.lock().position().era();
+        told.snapshot.position.era() == shared.links.lock().position().era();
     let gone = match is_of_this_era {
         true => shared.directory.lock().suppress_stale(&told.returned, now),
         false => Vec::new(),
@@ -124,7 +128,11 @@
 
 /// Applies a listing that this box read itself, and spreads it; false where links have told
 /// more while it was on its way.
-pub fn take_listing(shared: &Arc<Shared>, listing: CatalogListing, now: Instant) -> bool {
+pub fn take_listing(
+    shared: &Arc<Shared>,
+    listing: CatalogSnapshot,
+    now: Instant,
+) -> bool {
     let known = shared.links.lock().position();
     let position = listing.position;
     let is_older = position < known;
@@ -139,8 +147,8 @@
     if is_older {
         return false;
     }
-    let read = ListingUpdate {
-        listing,
+    let read = CatalogSnapshotUpdate {
+        snapshot: listing,
         doubtful_ms: 0,
         missing: Vec::new(),
         returned: Vec::new(),
@@ -210,7 +218,7 @@
 
 fn brings_bundle(update: &CatalogUpdate, version: BundleVersion) -> bool {
     match update {
-        CatalogUpdate::Listing(_) => true,
+        CatalogUpdate::Snapshot(_) => true,
         CatalogUpdate::Changes { changes, .. } => {
             changes.changes.iter().any(|change| match change {
                 CatalogChange::Bundle(bundle) => bundle.version == version,
@@ -260,7 +268,7 @@
     let evacuated = shared.services.evacuated().iter().cloned().collect();
     let directory = shared.directory.lock();
     let doubtful = directory.removal_grace_left(now);
-    let listing = CatalogListing {
+    let listing = CatalogSnapshot {
         position,
         bundle: in_force.map(|in_force| in_force.bundle.clone()),
         servers: directory.listed().cloned().collect(),
@@ -269,19 +277,24 @@
         evacuated,
     };
     let returned = directory.suppressed().map(|record| record.id.clone());
-    let listing = Arc::new(ListingUpdate {
-        listing,
+    let listing = Arc::new(CatalogSnapshotUpdate {
+        snapshot: listing,
         doubtful_ms: as_ms(doubtful),
         missing: directory.missing().cloned().collect(),
         returned: returned.collect(),
     });
     drop(directory);
     shared.links.lock().keep_listing(listing.clone(), now);
-    CatalogUpdate::Listing(listing)
+    CatalogUpdate::Snapshot(listing)
 }
 
-fn apply_listing(shared: &Arc<Shared>, told: ListingUpdate, source: &str, now: Instant) {
-    let listing = told.listing;
+fn apply_listing(
+    shared: &Arc<Shared>,
+    told: CatalogSnapshotUpdate,
+    source: &str,
+    now: Instant,
+) {
+    let listing = told.snapshot;
     if let Some(bundle) = listing.bundle {
         shared.put_in_force(bundle, source);
     }
--- a/crates/wingspur-edge/src/exchange.rs
+++ b/crates/wingspur-edge/src/exchange.rs
@@ -9,7 +9,8 @@
 use rand::seq::SliceRandom;
 use wingspur_coordination::{LinkId, PlannedLink, SnapshotFrameCache, SourceUpdate};
 use wingspur_protocol::{
-    CatalogUpdate, Digest, Frame, FrameContent, Hello, LINK_PROTOCOL_VERSION, LinkRole,
+    CatalogUpdate, Frame, FrameContent, Hello, LINK_PROTOCOL_VERSION, LinkRole,
+    TallyUpdate,
 };
 use wingspur_state::{SourceId, server_key};
 use wingspur_transport::{
@@ -281,18 +282,23 @@
     let now = wingspur_clock::now();
     let updates = std::mem::take(&mut frame.catalog);
     match frame.content {
-        FrameContent::Listing => return apply_updates(shared, id, updates, now),
-        FrameContent::Lending => return take_lending(shared, id, &frame.lending),
-        FrameContent::All => take_lending(shared, id, &frame.lending),
+        FrameContent::Snapshot => return apply_updates(shared, id, updates, now),
+        FrameContent::LeaseMessages => {
+            return take_lending(shared, id, &frame.lease_messages);
+        }
+        FrameContent::All => take_lending(shared, id, &frame.lease_messages),
     }
-    if frame.feed.era > 0 {
-        observe_era(shared, frame.feed.era, "peer");
+    if frame.catalog_freshness.era > 0 {
+        observe_era(shared, frame.catalog_freshness.era, "peer");
     }
     apply_updates(shared, id, updates, now);
-    shared.resend_loans.lock().receive(id, &frame.rooms);
+    shared
+        .resend_loans
+        .lock()
+        .receive(id, &frame.resend_budgets);
     let mut links = shared.links.lock();
     links.note_frame(id, &frame, now);
-    let updates = links.receive(id, &frame.digests);
+    let updates = links.receive(id, &frame.tally_updates);
     let lost = links.take_lost();
     let passes_on = links.counts().0 > 1;
     drop(links);
@@ -301,16 +307,16 @@
     adopt_greeting(shared, &frame, now);
     take_notes(shared, id, &frame.suspects);
     take_limits(shared, id, &frame.limits);
-    take_leaving(shared, id, &frame.leaving_servers);
+    take_leaving(shared, id, &frame.draining_servers);
     if frame.leaving {
         shared.links.lock().note_peer_stop(id);
         shared.replan.notify();
     }
-    if frame.wants_listing {
+    if frame.wants_snapshot {
         let listing = listing_of(shared, now);
         shared.links.lock().tell(id, listing);
     }
-    if passes_on || frame.wants_listing {
+    if passes_on || frame.wants_snapshot {
         shared.updates.notify();
     }
 }
@@ -383,8 +389,8 @@
     Ok(())
 }
 
-fn own_digest(shared: &Shared) -> Digest {
-    let mut digest = Digest::default();
+fn own_digest(shared: &Shared) -> TallyUpdate {
+    let mut digest = TallyUpdate::default();
     for service in shared.services.all() {
         digest
             .servers
--- a/crates/wingspur-edge/src/lending.rs
+++ b/crates/wingspur-edge/src/lending.rs
@@ -9,7 +9,7 @@
     LinkId, PendingGrant, Quota, QuotaAllocator, QuotaMessages, QuotaTopology,
     ReserveShare,
 };
-use wingspur_protocol::{Lendable, Lending, ResultCode};
+use wingspur_protocol::{LeaseMessages, LeasedResource, ResultCode};
 use wingspur_state::{
     AccountTable, AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance, ServerKey,
 };
@@ -38,13 +38,13 @@
         return Ok(());
     }
     let began = wingspur_clock::now();
-    let of = Lendable::Account(account.allowance());
+    let of = LeasedResource::Account(account.allowance());
     let outcome = want(shared, of, 0.0, LONGEST_WAIT.min(patience / 2)).await;
     let (code, more_in) = match outcome {
         AcquireOutcome::Acquired => return Ok(()),
         AcquireOutcome::Refused(more_in) => (ResultCode::AccountLimit, more_in),
         AcquireOutcome::Unknown | AcquireOutcome::Pending => {
-            (ResultCode::AllowanceUnknown, Duration::ZERO)
+            (ResultCode::QuotaUnavailable, Duration::ZERO)
         }
     };
     let retry_after = come_back(more_in);
@@ -64,26 +64,32 @@
 }
 
 /// Takes in what another box asks for and answers.
-pub fn take_lending(shared: &Arc<Shared>, link: LinkId, lending: &Lending) {
-    if *lending == Lending::default() {
+pub fn take_lending(shared: &Arc<Shared>, link: LinkId, lending: &LeaseMessages) {
+    if *lending == LeaseMessages::default() {
         return;
     }
     let now = wingspur_clock::now();
     let standing = standing(shared, now);
     let allowances = Allowances::now(shared);
     let find = |of| allowances.find(shared, of);
-    let is_lent_here = |of: &Lendable| match of {
-        Lendable::Account(_) | Lendable::Server(_) => true,
-        Lendable::Resend(_) | Lendable::Hedge(_) | Lendable::Permit(_) => false,
+    let is_lent_here = |of: &LeasedResource| match of {
+        LeasedResource::Account(_) | LeasedResource::Server(_) => true,
+        LeasedResource::Resend(_)
+        | LeasedResource::Hedge(_)
+        | LeasedResource::Permit(_) => false,
     };
     let mut state = shared.lending.lock();
     state.update_shares(&standing, now);
     let mut messages = QuotaMessages::new();
-    for request in lending.asks.iter().filter(|ask| is_lent_here(&ask.of)) {
+    for request in lending
+        .requests
+        .iter()
+        .filter(|ask| is_lent_here(&ask.resource))
+    {
         messages.extend(state.handle_request(link, request, &standing, &find, now));
     }
-    let answers = lending.answers.iter();
-    for answer in answers.filter(|answer| is_lent_here(&answer.of)) {
+    let answers = lending.replies.iter();
+    for answer in answers.filter(|answer| is_lent_here(&answer.resource)) {
         messages.extend(state.handle_answer(answer, &standing, &find, now));
     }
     let is_busy = state.has_pending();
@@ -132,7 +138,7 @@
 /// Wants one of an allowance; what came of it within a time.
 pub async fn want(
     shared: &Shared,
-    of: Lendable,
+    of: LeasedResource,
     reserve: ReserveShare,
     patience: Duration,
 ) -> AcquireOutcome {
@@ -145,7 +151,7 @@
 /// Wants one of an allowance: what came of it, or where that will be told.
 fn begin_to_want(
     shared: &Shared,
-    of: Lendable,
+    of: LeasedResource,
     reserve: ReserveShare,
 ) -> Result<AcquireOutcome, PendingGrant> {
     let now = wingspur_clock::now();
@@ -173,25 +179,37 @@
 }
 
 /// Takes in what is asked and answered of resends.
-fn take_resend_loans(shared: &Shared, link: LinkId, lending: &Lending) -> QuotaMessages {
-    let of_resends =
-        |of: &Lendable| matches!(of, Lendable::Resend(_) | Lendable::Hedge(_));
-    let asks = lending.asks.iter().filter(|ask| of_resends(&ask.of));
-    let answers = lending.answers.iter();
-    let answers = answers.filter(|answer| of_resends(&answer.of));
+fn take_resend_loans(
+    shared: &Shared,
+    link: LinkId,
+    lending: &LeaseMessages,
+) -> QuotaMessages {
+    let of_resends = |of: &LeasedResource| {
+        matches!(of, LeasedResource::Resend(_) | LeasedResource::Hedge(_))
+    };
+    let asks = lending
+        .requests
+        .iter()
+        .filter(|ask| of_resends(&ask.resource));
+    let answers = lending.replies.iter();
+    let answers = answers.filter(|answer| of_resends(&answer.resource));
     let answered = asks.flat_map(|ask| answer_resend(shared, link, ask));
     let passed = answers.flat_map(|answer| take_resend_answer(shared, answer));
     answered.chain(passed).collect()
 }
 
 /// Takes in what is asked and answered of requests in quarantine.
-fn take_permits(shared: &Arc<Shared>, link: LinkId, lending: &Lending) {
-    let of_permits = |of: &Lendable| matches!(of, Lendable::Permit(_));
-    for ask in lending.asks.iter().filter(|ask| of_permits(&ask.of)) {
+fn take_permits(shared: &Arc<Shared>, link: LinkId, lending: &LeaseMessages) {
+    let of_permits = |of: &LeasedResource| matches!(of, LeasedResource::Permit(_));
+    for ask in lending
+        .requests
+        .iter()
+        .filter(|ask| of_permits(&ask.resource))
+    {
         answer_permit(shared, link, ask);
     }
-    let answers = lending.answers.iter();
-    for answer in answers.filter(|answer| of_permits(&answer.of)) {
+    let answers = lending.replies.iter();
+    for answer in answers.filter(|answer| of_permits(&answer.resource)) {
         take_permit_answer(shared, answer);
     }
 }
@@ -214,17 +232,19 @@
         }
     }
 
-    fn find(&self, shared: &Shared, of: Lendable) -> Option<Quota> {
+    fn find(&self, shared: &Shared, of: LeasedResource) -> Option<Quota> {
         match of {
-            Lendable::Account(key) => {
+            LeasedResource::Account(key) => {
                 let account = self.accounts.as_ref()?.of_allowance(key)?;
                 Some(Quota {
                     terms: QuotaTerms::of_account(account, &self.quota),
                     allocator: QuotaAllocator::EachHub,
                 })
             }
-            Lendable::Server(server) => of_server(shared, server),
-            Lendable::Resend(_) | Lendable::Hedge(_) | Lendable::Permit(_) => None,
+            LeasedResource::Server(server) => of_server(shared, server),
+            LeasedResource::Resend(_)
+            | LeasedResource::Hedge(_)
+            | LeasedResource::Permit(_) => None,
         }
     }
 }
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -11,8 +11,8 @@
     SourceUpdate, TallyUpdateReader, UpdatePacer, hash_of,
 };
 use wingspur_protocol::{
-    BoxRecord, CatalogChanges, CatalogUpdate, Digest, Frame, FrameContent, LeavingNote,
-    Lending, LimitNote, LinkRole, ListingUpdate,
+    BoxRecord, CatalogChanges, CatalogSnapshotUpdate, CatalogUpdate, Frame, FrameContent,
+    LeaseMessages, LinkRole, ServerDrainingUpdate, ServerLimitUpdate, TallyUpdate,
 };
 use wingspur_state::{
     BoxId, BundleVersion, FleetMembership, FleetSize, ServerKey, ServerLimitChange,
@@ -38,7 +38,7 @@
     announced: Option<(Instant, Arc<AnnouncementView>)>,
     next_id: LinkId,
     /// The listing that was put together last, and when.
-    listing: Option<(Instant, Arc<ListingUpdate>)>,
+    listing: Option<(Instant, Arc<CatalogSnapshotUpdate>)>,
     /// Spaces what is told.
     pacer: UpdatePacer,
     /// Whether this box is stopping.
@@ -157,7 +157,7 @@
             leaving_servers: BTreeMap::new(),
             greeting: None,
             has_catalog: true,
-            lending: Lending::default(),
+            lending: LeaseMessages::default(),
             told_leaving: false,
             told_era: 0,
             sent: now,
@@ -219,12 +219,12 @@
     }
 
     /// Takes in what this box itself has seen.
-    pub fn receive_own(&mut self, digest: &Digest) {
+    pub fn receive_own(&mut self, digest: &TallyUpdate) {
         self.rollup.receive(OWN_LINK, digest);
     }
 
     /// Takes in digests that came by a link; returns the news for this box's own tables.
-    pub fn receive(&mut self, id: LinkId, digests: &[Digest]) -> Vec<SourceUpdate> {
+    pub fn receive(&mut self, id: LinkId, digests: &[TallyUpdate]) -> Vec<SourceUpdate> {
         for digest in digests {
             self.rollup.receive(id, digest);
         }
@@ -241,16 +241,16 @@
     /// that link at once are owed the same.
     pub fn listing(&self, version: BundleVersion, now: Instant) -> Option<CatalogUpdate> {
         let (at, listing) = self.listing.as_ref()?;
-        let listed = &listing.listing;
+        let listed = &listing.snapshot;
         let listed_version = listed.bundle.as_ref().map_or(0, |bundle| bundle.version);
         let is_present = listed.position == self.position()
             && listed_version == version
             && now.saturating_duration_since(*at) < LISTING_FOR;
-        is_present.then(|| CatalogUpdate::Listing(listing.clone()))
+        is_present.then(|| CatalogUpdate::Snapshot(listing.clone()))
     }
 
     /// Keeps a listing that was just put together.
-    pub fn keep_listing(&mut self, listing: Arc<ListingUpdate>, now: Instant) {
+    pub fn keep_listing(&mut self, listing: Arc<CatalogSnapshotUpdate>, now: Instant) {
         self.listing = Some((now, listing));
     }
 
@@ -435,30 +435,30 @@
             // A full link still says what it has had: else two full sides wait for each other.
             let mut listing = None;
             let mut frame = Frame {
-                stamps: link.clock.send(now),
+                timestamps: link.clock.send(now),
                 bundle_version,
                 fleet: self.fleet.note_for_link(*id, &fleet, now),
                 leaving: self.leaving,
                 ..Frame::default()
             };
-            frame.rooms = match link.with() {
+            frame.resend_budgets = match link.with() {
                 PeerRole::OwnHub => rooms.own.clone(),
                 PeerRole::Member | PeerRole::Hub => rooms.sums.clone(),
             };
-            frame.lending = std::mem::take(&mut link.lending);
-            frame.left_parts = self.fleet.delegate_shares(*id, &known, now);
+            frame.lease_messages = std::mem::take(&mut link.lending);
+            frame.delegated_shares = self.fleet.delegate_shares(*id, &known, now);
             if due {
                 let most_servers = match self.pacer.update_delay(now).is_zero() {
                     true => self.pacer.max_servers_per_frame(frames_per_s),
                     false => 0,
                 };
-                frame.digests = self.rollup.compose_within(*id, most_servers);
-                self.pacer.record_update(&frame.digests, now);
+                frame.tally_updates = self.rollup.compose_within(*id, most_servers);
+                self.pacer.record_update(&frame.tally_updates, now);
                 link.told = now;
             }
             if !full {
                 // What is held back does not count as told.
-                frame.feed = feed.clone();
+                frame.catalog_freshness = feed.clone();
                 link.told_era = feed.era;
                 if !listing_is_delayed {
                     listing = link.take_listing();
@@ -467,10 +467,10 @@
                 if let Some(pending) = &listing {
                     self.pacer.record_snapshot(&pending.listing, now);
                 }
-                frame.wants_listing = std::mem::take(&mut link.wants_listing);
+                frame.wants_snapshot = std::mem::take(&mut link.wants_listing);
                 let greeting = link.greeting.take_if(|_| accepts_updates);
                 frame.health = greeting.unwrap_or_default().health;
-                frame.census = self.fleet.census_for(*id);
+                frame.membership = self.fleet.census_for(*id);
                 let suspects = link.suspects.drain(..);
                 frame.suspects =
                     suspects.map(|updates| updates.to_message(now)).collect();
@@ -478,7 +478,7 @@
                 frame.limits = limits.map(|limit| note_of(&limit, now)).collect();
                 let leaving = std::mem::take(&mut link.leaving_servers).into_iter();
                 let note = |(server, since)| leaving_note(server, since, now);
-                frame.leaving_servers = leaving.map(note).collect();
+                frame.draining_servers = leaving.map(note).collect();
             }
             frames.push(Outgoing {
                 link: *id,
@@ -646,13 +646,13 @@
     pub fn lending_frame(&mut self, message: QuotaMessage) -> Option<Outgoing> {
         let link = self.active.get_mut(&message.link)?;
         if !message.urgent {
-            link.lending.asks.extend(message.lending.asks);
-            link.lending.answers.extend(message.lending.answers);
+            link.lending.requests.extend(message.lending.requests);
+            link.lending.replies.extend(message.lending.replies);
             return None;
         }
         let frame = Frame {
-            lending: message.lending,
-            content: FrameContent::Lending,
+            lease_messages: message.lending,
+            content: FrameContent::LeaseMessages,
             ..Frame::default()
         };
         Some(Outgoing {
@@ -677,19 +677,20 @@
             return;
         };
         link.bundle_version = frame.bundle_version;
-        let known = frame.feed.position;
+        let known = frame.catalog_freshness.position;
         link.has_catalog |= !known.is_start();
         link.catalog.drop_known_listing(known, frame.bundle_version);
-        link.clock.receive(&frame.stamps);
+        link.clock.receive(&frame.timestamps);
         let vouched = link.clock.peer_state_as_of();
         if let Some(vouched) = vouched {
-            self.feed.receive(id, &frame.feed, vouched);
+            self.feed.receive(id, &frame.catalog_freshness, vouched);
         }
         let known = self.announced(now);
-        self.fleet.receive_census(id, &frame.census, &known, now);
+        self.fleet
+            .receive_census(id, &frame.membership, &known, now);
         self.fleet.receive(id, frame.fleet, &known, vouched, now);
         self.fleet
-            .receive_delegated_shares(id, &frame.left_parts, vouched);
+            .receive_delegated_shares(id, &frame.delegated_shares, vouched);
     }
 
     /// Takes in that the other side of a link has ended it in order: it uses this box's part
@@ -741,16 +742,16 @@
 }
 
 /// A server's limit as it is told now.
-fn note_of(limit: &ServerLimitChange, now: Instant) -> LimitNote {
-    LimitNote {
+fn note_of(limit: &ServerLimitChange, now: Instant) -> ServerLimitUpdate {
+    ServerLimitUpdate {
         server: limit.server,
         per_s: limit.per_s,
         age_ms: age_ms(limit.at, now),
     }
 }
 
-fn leaving_note(server: ServerKey, since: Instant, now: Instant) -> LeavingNote {
-    LeavingNote {
+fn leaving_note(server: ServerKey, since: Instant, now: Instant) -> ServerDrainingUpdate {
+    ServerDrainingUpdate {
         server,
         age_ms: age_ms(since, now),
     }
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -10,7 +10,9 @@
 use wingspur_coordination::{
     LinkId, QuotaMessage, RecordOutcome, TrialDecision, TrialRecord,
 };
-use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, QuarantineRecord};
+use wingspur_protocol::{
+    LeasedResource, QuarantineRecord, QuotaLeaseReply, QuotaLeaseRequest,
+};
 use wingspur_state::{
     RequestFingerprint, SUSPECT_RETENTION, StoreEra, StorePosition, StoredQuarantine,
 };
@@ -191,11 +193,11 @@
 }
 
 /// Answers another box that asks whether it may send a request, once that is decided.
-pub fn answer_permit(shared: &Arc<Shared>, link: LinkId, asked: &LoanRequest) {
-    let Lendable::Permit(request) = asked.of else {
+pub fn answer_permit(shared: &Arc<Shared>, link: LinkId, asked: &QuotaLeaseRequest) {
+    let LeasedResource::Permit(request) = asked.resource else {
         return;
     };
-    let (number, of) = (asked.number, asked.of);
+    let (number, of) = (asked.request_id, asked.resource);
     let shared = shared.clone();
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
@@ -204,21 +206,21 @@
             TrialDecision::Later(after) => (0, after),
             TrialDecision::AskHub | TrialDecision::Count(_) => (0, ASK_AGAIN),
         };
-        let answer = LoanAnswer {
-            number,
-            of,
-            urgent,
-            stock: 0.0,
+        let answer = QuotaLeaseReply {
+            request_id: number,
+            resource: of,
+            on_demand_granted: urgent,
+            prefetch_granted: 0.0,
             renewed: false,
-            more_in_ms: Some(more_in.as_millis() as u32),
+            retry_after_ms: Some(more_in.as_millis() as u32),
         };
         send(&shared, vec![QuotaMessage::reply(link, answer, true)]);
     });
 }
 
 /// Takes in the hub's answer to a question of this box.
-pub fn take_permit_answer(shared: &Shared, answer: &LoanAnswer) {
-    let asked = shared.quarantine.lock().asked.remove(&answer.number);
+pub fn take_permit_answer(shared: &Shared, answer: &QuotaLeaseReply) {
+    let asked = shared.quarantine.lock().asked.remove(&answer.request_id);
     if let Some(asked) = asked {
         // One that has given up does not listen any more.
         let _ = asked.try_send(*answer);
@@ -279,11 +281,11 @@
         state.asked.insert(number, tell);
         number
     };
-    let question = LoanRequest {
-        number,
-        of: Lendable::Permit(request),
+    let question = QuotaLeaseRequest {
+        request_id: number,
+        resource: LeasedResource::Permit(request),
         held: 0.0,
-        urgent: 1,
+        on_demand_count: 1,
         reserve: 0.0,
         wanted: 0.0,
     };
@@ -296,9 +298,9 @@
     let answer = told.or(expired).await;
     shared.quarantine.lock().asked.remove(&number);
     match answer {
-        Some(answer) if answer.urgent > 0 => Step::Lend,
+        Some(answer) if answer.on_demand_granted > 0 => Step::Lend,
         Some(answer) => {
-            let after = answer.more_in_ms.unwrap_or_default();
+            let after = answer.retry_after_ms.unwrap_or_default();
             Step::Later(Duration::from_millis(after.into()))
         }
         // The hub is lost: its successor is asked.
--- a/crates/wingspur-edge/src/quarantine_state.rs
+++ b/crates/wingspur-edge/src/quarantine_state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use wingspur_coordination::QuarantineRegistry;
-use wingspur_protocol::LoanAnswer;
+use wingspur_protocol::QuotaLeaseReply;
 use wingspur_state::{SourceId, StoreEra};
 
 /// This box's part in what is let through of requests in quarantine.
@@ -13,7 +13,7 @@
     /// Who may send, and when.
     pub desk: QuarantineRegistry,
     /// This box's own questions, with who waits for each answer.
-    pub asked: HashMap<u32, async_channel::Sender<LoanAnswer>>,
+    pub asked: HashMap<u32, async_channel::Sender<QuotaLeaseReply>>,
     /// The number of the last question.
     pub last_number: u32,
 }
--- a/crates/wingspur-edge/src/resend_loans.rs
+++ b/crates/wingspur-edge/src/resend_loans.rs
@@ -8,13 +8,13 @@
 use std::time::Instant;
 
 use wingspur_coordination::LinkId;
-use wingspur_protocol::{Lendable, ResendRoom};
+use wingspur_protocol::{LeasedResource, ResendBudgetUsage};
 use wingspur_state::{ResendKind, ServerKey};
 
 /// Who has room for resends, and which loans are under way.
 #[derive(Debug, Default)]
 pub struct ResendLoans {
-    rooms: HashMap<LinkId, HashMap<ServerKey, ResendRoom>>,
+    rooms: HashMap<LinkId, HashMap<ServerKey, ResendBudgetUsage>>,
     /// This box's own questions, with who waits for each answer.
     pub asked: HashMap<u32, async_channel::Sender<bool>>,
     /// Questions of other boxes that were passed on.
@@ -39,9 +39,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct ToldRooms {
     /// At this box.
-    pub own: Vec<ResendRoom>,
+    pub own: Vec<ResendBudgetUsage>,
     /// Over this box and its members.
-    pub sums: Vec<ResendRoom>,
+    pub sums: Vec<ResendBudgetUsage>,
 }
 
 /// Whom a box may ask.
@@ -57,7 +57,7 @@
 
 impl ResendLoans {
     /// Takes in how the budgets stand at the other side of a link.
-    pub fn receive(&mut self, link: LinkId, rooms: &[ResendRoom]) {
+    pub fn receive(&mut self, link: LinkId, rooms: &[ResendBudgetUsage]) {
         if !rooms.is_empty() {
             let rooms = rooms.iter().map(|room| (room.service, *room));
             self.rooms.insert(link, rooms.collect());
@@ -76,12 +76,16 @@
     }
 
     /// How the budgets stand at this box and some others together.
-    pub fn sums(&self, own: &[ResendRoom], members: &[LinkId]) -> Vec<ResendRoom> {
+    pub fn sums(
+        &self,
+        own: &[ResendBudgetUsage],
+        members: &[LinkId],
+    ) -> Vec<ResendBudgetUsage> {
         let told = members.iter().filter_map(|link| self.rooms.get(link));
         let told: Vec<_> = told.collect();
-        let sum_of = |own: &ResendRoom| {
+        let sum_of = |own: &ResendBudgetUsage| {
             let rooms = told.iter().filter_map(|rooms| rooms.get(&own.service));
-            rooms.fold(*own, |sum, room| ResendRoom {
+            rooms.fold(*own, |sum, room| ResendBudgetUsage {
                 service: sum.service,
                 spent: sum.spent + room.spent,
                 limit: sum.limit + room.limit,
@@ -95,7 +99,7 @@
     pub fn choose(
         &mut self,
         lenders: &Lenders,
-        of: Lendable,
+        of: LeasedResource,
         asker: Option<LinkId>,
     ) -> Option<LinkId> {
         let (service, use_) = resend_of(of)?;
@@ -139,10 +143,12 @@
 }
 
 /// The service that a resend is for, and how sure it is; none for what is no resend.
-pub fn resend_of(of: Lendable) -> Option<(ServerKey, ResendKind)> {
+pub fn resend_of(of: LeasedResource) -> Option<(ServerKey, ResendKind)> {
     match of {
-        Lendable::Resend(service) => Some((service, ResendKind::AfterFailure)),
-        Lendable::Hedge(service) => Some((service, ResendKind::Hedge)),
-        Lendable::Account(_) | Lendable::Server(_) | Lendable::Permit(_) => None,
+        LeasedResource::Resend(service) => Some((service, ResendKind::AfterFailure)),
+        LeasedResource::Hedge(service) => Some((service, ResendKind::Hedge)),
+        LeasedResource::Account(_)
+        | LeasedResource::Server(_)
+        | LeasedResource::Permit(_) => None,
     }
 }
--- a/crates/wingspur-edge/src/resending.rs
+++ b/crates/wingspur-edge/src/resending.rs
@@ -4,7 +4,9 @@
 
 use futures_lite::FutureExt;
 use wingspur_coordination::{LinkId, QuotaMessage, QuotaMessages};
-use wingspur_protocol::{Lendable, LoanAnswer, LoanRequest, ResendRoom};
+use wingspur_protocol::{
+    LeasedResource, QuotaLeaseReply, QuotaLeaseRequest, ResendBudgetUsage,
+};
 use wingspur_state::{RESEND_LEASE_TTL, ResendKind, server_key};
 
 use crate::lending_frames::send;
@@ -51,11 +53,11 @@
     let (told, answered) = async_channel::bounded(1);
     loans.asked.insert(number, told);
     drop(loans);
-    let request = LoanRequest {
-        number,
-        of,
+    let request = QuotaLeaseRequest {
+        request_id: number,
+        resource: of,
         held: 0.0,
-        urgent: 1,
+        on_demand_count: 1,
         reserve: 0.0,
         wanted: 0.0,
     };
@@ -67,46 +69,49 @@
 pub fn answer_resend(
     shared: &Shared,
     link: LinkId,
-    request: &LoanRequest,
+    request: &QuotaLeaseRequest,
 ) -> QuotaMessages {
     let now = wingspur_clock::now();
-    if lends_itself(shared, request.of, now) {
-        return vec![answering(link, request.number, request.of, true)];
+    if lends_itself(shared, request.resource, now) {
+        return vec![answering(link, request.request_id, request.resource, true)];
     }
     let lenders = shared.links.lock().lenders();
     if lenders.own_hub == Some(link) {
-        return vec![answering(link, request.number, request.of, false)];
+        return vec![answering(link, request.request_id, request.resource, false)];
     }
     let mut loans = shared.resend_loans.lock();
-    let Some(to) = loans.choose(&lenders, request.of, Some(link)) else {
-        return vec![answering(link, request.number, request.of, false)];
+    let Some(to) = loans.choose(&lenders, request.resource, Some(link)) else {
+        return vec![answering(link, request.request_id, request.resource, false)];
     };
     let number = loans.number();
     let passed = PassedOn {
         from: link,
-        number: request.number,
+        number: request.request_id,
         at: now,
     };
     loans
         .passed_on
         .retain(|_, passed| passed.at + KEPT_FOR > now);
     loans.passed_on.insert(number, passed);
-    let request = LoanRequest { number, ..*request };
+    let request = QuotaLeaseRequest {
+        request_id: number,
+        ..*request
+    };
     vec![QuotaMessage::request(to, request)]
 }
 
 /// Takes in the answer to a question for a resend: this box's own, or one passed on.
-pub fn take_resend_answer(shared: &Shared, answer: &LoanAnswer) -> QuotaMessages {
-    let lent = answer.urgent > 0;
+pub fn take_resend_answer(shared: &Shared, answer: &QuotaLeaseReply) -> QuotaMessages {
+    let lent = answer.on_demand_granted > 0;
     let mut loans = shared.resend_loans.lock();
-    if let Some(asked) = loans.asked.remove(&answer.number) {
+    if let Some(asked) = loans.asked.remove(&answer.request_id) {
         // One that has given up does not listen any more.
         let _ = asked.try_send(lent);
         return QuotaMessages::new();
     }
-    let passed = loans.passed_on.remove(&answer.number);
+    let passed = loans.passed_on.remove(&answer.request_id);
     let message =
-        |passed: PassedOn| answering(passed.from, passed.number, answer.of, lent);
+        |passed: PassedOn| answering(passed.from, passed.number, answer.resource, lent);
     passed.map(message).into_iter().collect()
 }
 
@@ -121,7 +126,7 @@
     let room = |service: &ServiceState| {
         let mut budget = service.budget.lock();
         let answer = budget.check(ResendKind::AfterFailure, standing, now);
-        ResendRoom {
+        ResendBudgetUsage {
             service: server_key(&service.name),
             spent: answer.spent as f32,
             limit: answer.limit() as f32,
@@ -138,7 +143,7 @@
 }
 
 /// Whether this box's own part has room for the resend of another; counts it.
-fn lends_itself(shared: &Shared, of: Lendable, now: Instant) -> bool {
+fn lends_itself(shared: &Shared, of: LeasedResource, now: Instant) -> bool {
     let Some((key, use_)) = resend_of(of) else {
         return false;
     };
@@ -152,22 +157,22 @@
     })
 }
 
-fn lendable(service: &ServiceState, use_: ResendKind) -> Lendable {
+fn lendable(service: &ServiceState, use_: ResendKind) -> LeasedResource {
     let key = server_key(&service.name);
     match use_ {
-        ResendKind::AfterFailure => Lendable::Resend(key),
-        ResendKind::Hedge => Lendable::Hedge(key),
+        ResendKind::AfterFailure => LeasedResource::Resend(key),
+        ResendKind::Hedge => LeasedResource::Hedge(key),
     }
 }
 
-fn answering(link: LinkId, number: u32, of: Lendable, lent: bool) -> QuotaMessage {
-    let answer = LoanAnswer {
-        number,
-        of,
-        urgent: u32::from(lent),
-        stock: 0.0,
+fn answering(link: LinkId, number: u32, of: LeasedResource, lent: bool) -> QuotaMessage {
+    let answer = QuotaLeaseReply {
+        request_id: number,
+        resource: of,
+        on_demand_granted: u32::from(lent),
+        prefetch_granted: 0.0,
         renewed: false,
-        more_in_ms: None,
+        retry_after_ms: None,
     };
     QuotaMessage::reply(link, answer, true)
 }
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use wingspur_coordination::{LinkId, ReserveShare};
-use wingspur_protocol::{LeavingNote, Lendable, LimitNote, ServerHints};
+use wingspur_protocol::{
+    LeasedResource, ServerDrainingUpdate, ServerHints, ServerLimitUpdate,
+};
 use wingspur_state::{
     AcquireOutcome, Priority, RegistryChange, ServerKey, ServerLimitChange, ServerRecord,
 };
@@ -25,7 +27,7 @@
 ) -> ServerHints {
     let now = wingspur_clock::now();
     let hints = head.hints(&shared.names, SystemTime::now());
-    if hints.is_other_run {
+    if hints.is_other_instance {
         // What it says of itself is not of the run that was asked.
         receive_replaced(shared, id, server);
         return hints;
@@ -34,10 +36,10 @@
     if let Ok(per_s) = hints.limit_per_s {
         receive_limit(shared, server, per_s, now);
     }
-    if hints.leaving == Ok(true) {
+    if hints.draining == Ok(true) {
         receive_leaving(shared, id, server, now);
     }
-    if let Ok(Some(rest)) = hints.rest {
+    if let Ok(Some(rest)) = hints.backoff {
         receive_backoff(shared, id, server, rest, now);
     }
     hints
@@ -61,10 +63,10 @@
         shared.metrics.count_server_hint(word);
         tracing::info!(id, server = %server.id, %error, "server: a word is not read.");
     };
-    if let Err(error) = &hints.leaving {
+    if let Err(error) = &hints.draining {
         note("unreadable_leaving", error);
     }
-    if let Err(error) = &hints.rest {
+    if let Err(error) = &hints.backoff {
         note("unreadable_rest", error);
     }
     if let Err(error) = &hints.limit_per_s {
@@ -119,7 +121,7 @@
 }
 
 /// Takes in what another box tells of servers' limits.
-pub fn take_limits(shared: &Shared, link: LinkId, notes: &[LimitNote]) {
+pub fn take_limits(shared: &Shared, link: LinkId, notes: &[ServerLimitUpdate]) {
     let now = wingspur_clock::now();
     for note in notes {
         let age = Duration::from_millis(note.age_ms.into());
@@ -136,7 +138,7 @@
 }
 
 /// Takes in that other boxes have heard servers say that they leave.
-pub fn take_leaving(shared: &Shared, link: LinkId, notes: &[LeavingNote]) {
+pub fn take_leaving(shared: &Shared, link: LinkId, notes: &[ServerDrainingUpdate]) {
     let now = wingspur_clock::now();
     for note in notes {
         let age = Duration::from_millis(note.age_ms.into());
@@ -246,7 +248,7 @@
     rank: Priority,
 ) -> Result<(), Option<Duration>> {
     let began = wingspur_clock::now();
-    let of = Lendable::Server(server.key());
+    let of = LeasedResource::Server(server.key());
     let outcome = want(shared, of, reserve_of(rank), PLACE_PATIENCE).await;
     let (told, more_in) = match outcome {
         AcquireOutcome::Acquired => ("place taken", None),
--- a/crates/wingspur-edge/src/stopping.rs
+++ b/crates/wingspur-edge/src/stopping.rs
@@ -104,7 +104,7 @@
 /// What a caller is told when the box ends before its request is over.
 pub fn out_of_time(sent: bool) -> ResultCode {
     match sent {
-        true => ResultCode::DeadlineInDoubt,
+        true => ResultCode::DeadlineAfterSend,
         false => ResultCode::DeadlineBeforeSend,
     }
 }
--- a/crates/wingspur-entry/src/bundles.rs
+++ b/crates/wingspur-entry/src/bundles.rs
@@ -7,7 +7,8 @@
 use rand::seq::IndexedRandom;
 use wingspur_coordination::{PeerView, RendezvousSet};
 use wingspur_protocol::{
-    BundleOffer, Manifest, PeerMessage, PeerReply, SignedBundle, digest_of, verify_bundle,
+    BundleOffer, Manifest, PeerMessage, PeerReply, SignedBundle, sha256_hex,
+    verify_bundle,
 };
 use wingspur_state::{BoxId, BundleVersion, check_bundle};
 use wingspur_transport::{
@@ -270,7 +271,7 @@
             return Err(BundleRefusal::PartsMissing);
         };
         for (digest, bytes) in given {
-            if digest_of(&bytes) == digest {
+            if sha256_hex(&bytes) == digest {
                 parts.insert(digest, bytes.into_vec());
             }
         }
--- a/crates/wingspur-entry/src/claims.rs
+++ b/crates/wingspur-entry/src/claims.rs
@@ -6,7 +6,7 @@
 
 use futures_lite::FutureExt;
 use wingspur_protocol::{
-    ClaimReply, ClaimRequest, OperationId, OperationOutcome, OutcomeNote, PeerMessage,
+    ClaimReply, ClaimRequest, OperationId, OperationOutcome, OutcomeReport, PeerMessage,
     PeerReply, ResultCode,
 };
 
@@ -40,7 +40,7 @@
         ClaimReply::Unavailable => {
             // The claim may be recorded even so; it will never be sent.
             let outcome = OperationOutcome::NotRun;
-            let note = OutcomeNote {
+            let note = OutcomeReport {
                 operation,
                 nonce,
                 outcome,
@@ -67,7 +67,7 @@
 }
 
 /// Tells the owner how an operation ended, a few times if need be.
-async fn tell_outcome(shared: Arc<Shared>, note: OutcomeNote) {
+async fn tell_outcome(shared: Arc<Shared>, note: OutcomeReport) {
     shared.untold.fetch_add(1, Ordering::AcqRel);
     tell_until_taken(&shared, &note).await;
     shared.untold.fetch_sub(1, Ordering::AcqRel);
@@ -83,7 +83,7 @@
     }
 }
 
-async fn tell_until_taken(shared: &Arc<Shared>, note: &OutcomeNote) {
+async fn tell_until_taken(shared: &Arc<Shared>, note: &OutcomeReport) {
     for pause in OUTCOME_PAUSES {
         let owner = owner(shared, note.operation.shard(shared.shards.count()));
         let taken = match shared.peer(&owner) {
@@ -143,7 +143,7 @@
         if std::mem::replace(&mut self.told, true) {
             return;
         }
-        let note = OutcomeNote {
+        let note = OutcomeReport {
             operation: self.operation,
             nonce: self.nonce,
             outcome,
--- a/crates/wingspur-entry/src/concern.rs
+++ b/crates/wingspur-entry/src/concern.rs
@@ -37,7 +37,7 @@
         }
         if self.waiting.fetch_add(1, Ordering::AcqRel) >= self.queue {
             self.waiting.fetch_sub(1, Ordering::AcqRel);
-            return Err(ResultCode::ConcernFull);
+            return Err(ResultCode::ServiceQueueFull);
         }
         let _waiting = Waiting(&self.waiting);
         let acquired = async { Ok(self.places.acquire_arc().await) };
--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -239,7 +239,7 @@
         };
         match sending.or(expired).await {
             None => {
-                let (end, code) = (AttemptEnd::InDoubt, ResultCode::DeadlineInDoubt);
+                let (end, code) = (AttemptEnd::InDoubt, ResultCode::DeadlineAfterSend);
                 Err(FailedAttempt::new(end, code))
             }
             Some(Err(SendFailure::NotSent { request, reason })) => {
@@ -253,7 +253,10 @@
             Some(Err(SendFailure::InDoubt(error))) => {
                 tracing::debug!("proxy: in doubt: {error}.");
                 attempt.finish(AttemptOutcome::Failed);
-                Err(FailedAttempt::new(AttemptEnd::InDoubt, ResultCode::InDoubt))
+                Err(FailedAttempt::new(
+                    AttemptEnd::InDoubt,
+                    ResultCode::ConnectionLostAfterSend,
+                ))
             }
             Some(Ok((response, lease))) => {
                 self.weigh_head(pending, attempt, response, lease)
@@ -272,7 +275,10 @@
         if names_another(&pending.parts.headers, response.headers()) {
             tracing::warn!("proxy: an answer to another request; its connection ends.");
             attempt.finish(AttemptOutcome::Failed);
-            return Err(FailedAttempt::new(AttemptEnd::InDoubt, ResultCode::InDoubt));
+            return Err(FailedAttempt::new(
+                AttemptEnd::InDoubt,
+                ResultCode::ConnectionLostAfterSend,
+            ));
         }
         let status = response.status();
         let declared = &pending.handle.service.retry.not_run_statuses;
@@ -294,8 +300,8 @@
     /// Takes in what a server says of its own load and plans.
     fn take_hints(&self, pending: &Pending, server: usize, headers: &HeaderMap) {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-        let hint = text(HeaderNames::OWN.load).and_then(parse_load_hint);
-        let leaving = HeaderNames::OWN.leaving;
+        let hint = text(HeaderNames::DEFAULT.load).and_then(parse_load_hint);
+        let leaving = HeaderNames::DEFAULT.draining;
         let drains = leaving.is_some_and(|name| headers.contains_key(name));
         if hint.is_none() && !drains {
             return;
@@ -436,11 +442,13 @@
 /// The final code: once an attempt is in doubt, no later one makes it *not run*.
 fn give_up(code: ResultCode, in_doubt: bool) -> (ResultCode, bool) {
     match code {
-        ResultCode::DeadlineInDoubt | ResultCode::InDoubt => (code, false),
+        ResultCode::DeadlineAfterSend | ResultCode::ConnectionLostAfterSend => {
+            (code, false)
+        }
         ResultCode::DeadlineBeforeSend if in_doubt => {
-            (ResultCode::DeadlineInDoubt, false)
+            (ResultCode::DeadlineAfterSend, false)
         }
-        _ if in_doubt => (ResultCode::InDoubt, false),
+        _ if in_doubt => (ResultCode::ConnectionLostAfterSend, false),
         _ => (code, true),
     }
 }
--- a/crates/wingspur-entry/src/shards.rs
+++ b/crates/wingspur-entry/src/shards.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use wingspur_coordination::{ClaimResult, ClaimTicket, ShardLog, ShardLogSettings};
-use wingspur_protocol::{ClaimReply, ClaimRequest, OutcomeNote};
+use wingspur_protocol::{ClaimReply, ClaimRequest, OutcomeReport};
 
 use wingspur_edge::Settings;
 use wingspur_edge::{Rank, Ranked};
@@ -107,7 +107,7 @@
     }
 
     /// Takes in how an operation ended; false when this box does not own the shard.
-    pub fn outcome(&self, note: &OutcomeNote) -> bool {
+    pub fn outcome(&self, note: &OutcomeReport) -> bool {
         let seat = self.seat(note.operation.shard(self.count()));
         {
             let mut state = seat.state.lock();
--- a/crates/wingspur-protocol/src/catalog.rs
+++ b/crates/wingspur-protocol/src/catalog.rs
@@ -13,7 +13,7 @@
 
 /// All that a catalog announces, as of a point in the store's history.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct CatalogListing {
+pub struct CatalogSnapshot {
     /// Changes up to this one are in.
     pub position: StorePosition,
     /// The bundle in force, if there is a sound one; between boxes none as well where the
--- a/crates/wingspur-protocol/src/headers.rs
+++ b/crates/wingspur-protocol/src/headers.rs
@@ -12,23 +12,23 @@
     /// Names the run of a server that a request is for; others answer 421.
     pub expected_incarnation: Option<&'static str>,
     /// Says that a server did not run the request, where servers say so by a header.
-    pub not_run: Option<&'static str>,
+    pub not_executed: Option<&'static str>,
     /// Tells a server's load.
     pub load: &'static str,
     /// How the load is written.
-    pub load_form: LoadForm,
+    pub load_form: LoadFormat,
     /// Names the requests a second that a server takes from all boxes together, for as long
     /// as its answers say so; none where servers name no such limit.
     pub server_limit: Option<&'static str>,
     /// Tells a server the client account of a request.
     pub account: &'static str,
     /// Says that a server is leaving, where servers say so by a header.
-    pub leaving: Option<&'static str>,
+    pub draining: Option<&'static str>,
 }
 
 /// How servers write their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadForm {
+pub enum LoadFormat {
     /// The published JSON form of load reports.
     EndpointLoadMetrics,
     /// Requests running, requests waiting and slots, separated by commas.
@@ -37,16 +37,16 @@
 
 impl HeaderNames {
     /// The product's own names.
-    pub const OWN: Self = Self {
+    pub const DEFAULT: Self = Self {
         request_id: "x-request-id",
         deadline_ms: "wingspur-deadline-ms",
         server_stamp: None,
         expected_incarnation: None,
-        not_run: None,
+        not_executed: None,
         load: "endpoint-load-metrics",
-        load_form: LoadForm::EndpointLoadMetrics,
+        load_form: LoadFormat::EndpointLoadMetrics,
         server_limit: None,
         account: "wingspur-account",
-        leaving: Some("wingspur-draining"),
+        draining: Some("wingspur-draining"),
     };
 }
--- a/crates/wingspur-protocol/src/link.rs
+++ b/crates/wingspur-protocol/src/link.rs
@@ -11,7 +11,7 @@
     StoreEra, StorePosition, SuspectMessage,
 };
 
-use crate::{BoxRecord, CatalogChanges, CatalogListing, compact_servers};
+use crate::{BoxRecord, CatalogChanges, CatalogSnapshot, compact_servers};
 
 /// The version of the frames; boxes refuse any other.
 pub const LINK_PROTOCOL_VERSION: u16 = 11;
@@ -46,44 +46,44 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// When it was sent, and what its sender had by then.
-    pub stamps: Stamps,
+    pub timestamps: LinkTimestamps,
     /// The version of the bundle that is in force at the sender; 0 for none. A listing for
     /// it leaves out a bundle that it has.
     pub bundle_version: BundleVersion,
     /// What the sender, and at a hub its members, have seen; changes only.
-    pub digests: Vec<Digest>,
+    pub tally_updates: Vec<TallyUpdate>,
     /// What is news of the catalog, oldest first.
     pub catalog: Vec<CatalogUpdate>,
     /// How the sender stands with the store.
-    pub feed: FeedState,
+    pub catalog_freshness: CatalogFreshness,
     /// What the sender knows of the fleet.
-    pub fleet: FleetNote,
+    pub fleet: FleetStatus,
     /// Whom the sender counts, from one hub to another.
-    pub census: CensusNote,
+    pub membership: MembershipUpdate,
     /// Whether the sender lacks changes and wants a listing.
-    pub wants_listing: bool,
+    pub wants_snapshot: bool,
     /// Whether the sender is stopping: it should not be taken for a hub any more.
     pub leaving: bool,
     /// What the sender makes of backend servers; told once, when a link is new.
     pub health: Vec<(ServerKey, HealthSnapshot)>,
     /// How the retry budgets stand at the sender, and at a hub over its members as well.
     #[serde(default)]
-    pub rooms: Vec<ResendRoom>,
+    pub resend_budgets: Vec<ResendBudgetUsage>,
     /// What is lent and asked for.
     #[serde(default)]
-    pub lending: Lending,
+    pub lease_messages: LeaseMessages,
     /// What was seen of requests under which servers ended.
     #[serde(default)]
     pub suspects: Vec<SuspectMessage>,
     /// Limits of servers that have changed.
     #[serde(default)]
-    pub limits: Vec<LimitNote>,
+    pub limits: Vec<ServerLimitUpdate>,
     /// Servers that have said that they leave.
     #[serde(default)]
-    pub leaving_servers: Vec<LeavingNote>,
+    pub draining_servers: Vec<ServerDrainingUpdate>,
     /// From one hub to another, the parts that are left to it.
     #[serde(default)]
-    pub left_parts: Vec<LeftPart>,
+    pub delegated_shares: Vec<DelegatedShare>,
     /// What stands here.
     #[serde(default)]
     pub content: FrameContent,
@@ -97,31 +97,33 @@
     #[default]
     All,
     /// What is lent and asked for.
-    Lending,
+    #[serde(rename = "Lending")]
+    LeaseMessages,
     /// A listing of the catalog.
-    Listing,
+    #[serde(rename = "Listing")]
+    Snapshot,
 }
 
 /// What boxes lend each other of the fleet's allowances.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Lending {
+pub struct LeaseMessages {
     /// What the sender asks for.
-    pub asks: Vec<LoanRequest>,
+    pub requests: Vec<QuotaLeaseRequest>,
     /// What it answers.
-    pub answers: Vec<LoanAnswer>,
+    pub replies: Vec<QuotaLeaseReply>,
 }
 
 /// A box asks for a part of an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LoanRequest {
+pub struct QuotaLeaseRequest {
     /// Numbers the sender's requests.
-    pub number: u32,
+    pub request_id: u32,
     /// Of what.
-    pub of: Lendable,
+    pub resource: LeasedResource,
     /// What it holds in stock.
     pub held: f64,
     /// What is spent at once, or never.
-    pub urgent: u32,
+    pub on_demand_count: u32,
     /// The share of the lender's room that is left to more urgent requests.
     #[serde(default)]
     pub reserve: f32,
@@ -131,7 +133,7 @@
 
 /// What boxes lend each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Lendable {
+pub enum LeasedResource {
     /// Requests of a client account.
     Account(QuotaKey),
     /// Requests to a server that has named a limit.
@@ -146,7 +148,7 @@
 
 /// How a service's retry budget stands at a box, or over the boxes of a hub.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct ResendRoom {
+pub struct ResendBudgetUsage {
     /// The service, by the key of its name.
     pub service: ServerKey,
     /// Resends in the window that has least room.
@@ -157,7 +159,7 @@
 
 /// What a server takes from all boxes together, as its newest answer said.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LimitNote {
+pub struct ServerLimitUpdate {
     /// The server.
     pub server: ServerKey,
     /// Requests a second; none for no limit.
@@ -168,7 +170,7 @@
 
 /// That a server has said that it leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeavingNote {
+pub struct ServerDrainingUpdate {
     /// The server.
     pub server: ServerKey,
     /// How long ago a box first heard so, in milliseconds.
@@ -178,65 +180,65 @@
 /// A hub leaves to another its part, with those of its members, of what the servers of one
 /// data centre take.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LeftPart {
+pub struct DelegatedShare {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// The part of the whole.
-    pub part: f64,
+    pub share: f64,
 }
 
 /// What came of a request for a part of an allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LoanAnswer {
+pub struct QuotaLeaseReply {
     /// The request's number.
-    pub number: u32,
+    pub request_id: u32,
     /// Of what.
-    pub of: Lendable,
+    pub resource: LeasedResource,
     /// What is lent of what is urgent.
-    pub urgent: u32,
+    pub on_demand_granted: u32,
     /// What is lent for the stock.
-    pub stock: f64,
+    pub prefetch_granted: f64,
     /// Whether what was held in stock lasts anew.
     pub renewed: bool,
     /// When there should be more, in milliseconds; none where the lender cannot tell, since
     /// it knows no such allowance or has no part of any.
-    pub more_in_ms: Option<u32>,
+    pub retry_after_ms: Option<u32>,
 }
 
-impl LoanAnswer {
+impl QuotaLeaseReply {
     /// That nothing is lent.
-    pub fn none(request: &LoanRequest) -> Self {
+    pub fn denied(request: &QuotaLeaseRequest) -> Self {
         Self {
-            number: request.number,
-            of: request.of,
-            urgent: 0,
-            stock: 0.0,
+            request_id: request.request_id,
+            resource: request.resource,
+            on_demand_granted: 0,
+            prefetch_granted: 0.0,
             renewed: false,
-            more_in_ms: None,
+            retry_after_ms: None,
         }
     }
 }
 
 /// What a box tells another of the fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetNote {
+pub struct FleetStatus {
     /// From a hub to a member the boxes of the fleet; else 0.
     pub boxes: u32,
     /// From a hub to another, the boxes that it counts in all data centres; else 0.
     pub counted: u32,
     /// How long ago the sender, a hub, last was in touch with the hubs of all data centres,
     /// in milliseconds; none if it never was, or is no hub.
-    pub touch_ms: Option<u32>,
+    pub hub_contact_age_ms: Option<u32>,
     /// From a member, whether it leaves its part of the fleet's allowances to the hub.
     #[serde(default)]
-    pub delegates: bool,
+    pub delegates_shares: bool,
 }
 
 /// Whom a hub counts, as far as another hub has not been told yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CensusNote {
+pub struct MembershipUpdate {
     /// Whether those that have joined are all.
-    pub whole: bool,
+    pub is_full: bool,
     /// Boxes that it counts: itself, and its members.
     pub joined: Vec<BoxKey>,
     /// Boxes that it does not count any more.
@@ -245,7 +247,7 @@
 
 /// When a frame was sent, by its sender's clock on the link, which begins with it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamps {
+pub struct LinkTimestamps {
     /// When this frame was sent, in milliseconds.
     pub sent_ms: u32,
     /// When the newest frame was sent that the sender has of the other side, by the other
@@ -255,11 +257,11 @@
 
 /// Tallies that have changed, as told by one source.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct TallyUpdate {
     /// Who told them.
     pub source: SourceId,
     /// Whether these are all tallies of the source, not changes only.
-    pub whole: bool,
+    pub is_full: bool,
     /// Of backend servers.
     pub servers: Vec<KeyedTally>,
     /// Of services, by the key of the name.
@@ -270,7 +272,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CatalogUpdate {
     /// All there is; shared, since a hub owes the same listing to many boxes at once.
-    Listing(Arc<ListingUpdate>),
+    #[serde(rename = "Listing")]
+    Snapshot(Arc<CatalogSnapshotUpdate>),
     /// What has changed.
     Changes {
         /// The changes.
@@ -282,9 +285,9 @@
 
 /// All that a box knows of the catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ListingUpdate {
+pub struct CatalogSnapshotUpdate {
     /// What the store holds.
-    pub listing: CatalogListing,
+    pub snapshot: CatalogSnapshot,
     /// For how long servers that it lacks may only seem gone, in milliseconds.
     pub doubtful_ms: u32,
     /// Servers that it lacks and that may only seem gone.
@@ -322,13 +325,13 @@
 
 /// How fresh a box's view of the catalog is.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedState {
+pub struct CatalogFreshness {
     /// The box that reads the store for it; none when nobody does.
     pub reader: Option<BoxId>,
     /// How long ago that box last had an answer of the store, in milliseconds.
     pub age_ms: u32,
     /// Whether the sender itself tries to read, and has no answer.
-    pub tries: bool,
+    pub is_read_failing: bool,
     /// Up to where the sender knows the store's history; the age is that of this knowledge.
     pub position: StorePosition,
     /// The newest era of the store that the sender has seen; it may know nothing of it yet.
@@ -372,7 +375,7 @@
 }
 
 /// Takes the first whole frame off the bytes; none while it is not all in.
-pub fn take_frame<T: DeserializeOwned>(
+pub fn decode_next_frame<T: DeserializeOwned>(
     bytes: &mut Vec<u8>,
 ) -> Result<Option<T>, FrameError> {
     let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else {
--- a/crates/wingspur-protocol/src/peer.rs
+++ b/crates/wingspur-protocol/src/peer.rs
@@ -43,7 +43,7 @@
     /// Asks the owner of a once-only shard for leave to run operations.
     Claim(ClaimRequest),
     /// Tells the owner how an operation ended.
-    Outcome(OutcomeNote),
+    Outcome(OutcomeReport),
     /// Asks for the box's state.
     Status,
 }
@@ -61,7 +61,7 @@
 
 /// How an operation ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutcomeNote {
+pub struct OutcomeReport {
     /// The operation.
     pub operation: OperationId,
     /// The nonce of the claim.
@@ -87,9 +87,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
     /// The suspected box.
-    pub of: BoxId,
+    pub suspect: BoxId,
     /// Who watches it and hears nothing.
-    pub by: BoxId,
+    pub observer: BoxId,
     /// For how long the suspicion still holds, in milliseconds.
     pub ttl_ms: u32,
 }
--- a/crates/wingspur-protocol/src/answer.rs
+++ b/crates/wingspur-protocol/src/refusal.rs
@@ -7,7 +7,7 @@
 /// Whether the request ran at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RunState {
+pub enum ExecutionState {
     /// It surely did not run.
     NotRun,
     /// It may have run.
@@ -24,7 +24,7 @@
     /// The code's short name.
     pub result: String,
     /// Whether the request ran.
-    pub ran: RunState,
+    pub ran: ExecutionState,
     /// When to ask again, in seconds; absent where asking again does not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<f64>,
--- a/crates/wingspur-protocol/src/codes.rs
+++ b/crates/wingspur-protocol/src/result_code.rs
@@ -1,6 +1,6 @@
 //! Numbered result codes, one for each answer that wingspur makes itself.
 
-use crate::RunState;
+use crate::ExecutionState;
 
 /// The result of a request that wingspur answered itself.
 ///
@@ -22,15 +22,15 @@
     /// The caller account is over its rate.
     AccountLimit,
     /// Whether the client account is over its rate could not be found out.
-    AllowanceUnknown,
+    QuotaUnavailable,
     /// Servers have ended under the request, and it is let through no more for now.
     Quarantined,
     /// All servers that may take the request have named limits that are used up.
     ServersAtLimit,
     /// All servers that may take the request have asked for rest.
-    ServersRest,
+    ServersBackingOff,
     /// The concern's places and queue are full.
-    ConcernFull,
+    ServiceQueueFull,
     /// The deadline would pass, or passed, before the request was sent.
     DeadlineBeforeSend,
     /// No backend server may take the request now.
@@ -38,9 +38,9 @@
     /// No backend server could be reached, or all refused before running.
     NotSent,
     /// The answer did not come before the deadline.
-    DeadlineInDoubt,
+    DeadlineAfterSend,
     /// The connection failed after the request was sent.
-    InDoubt,
+    ConnectionLostAfterSend,
     /// The once-only claim could not be recorded.
     ClaimUnavailable,
     /// The once-only request is running now.
@@ -54,7 +54,7 @@
     /// The box has no bundle yet.
     NotReady,
     /// The box's news is too old to say that a route or a key does not exist.
-    NewsLate,
+    CatalogStale,
 }
 
 impl ResultCode {
@@ -67,23 +67,23 @@
         Self::BadKey,
         Self::UnknownKey,
         Self::AccountLimit,
-        Self::ConcernFull,
+        Self::ServiceQueueFull,
         Self::DeadlineBeforeSend,
-        Self::AllowanceUnknown,
+        Self::QuotaUnavailable,
         Self::Quarantined,
         Self::ServersAtLimit,
-        Self::ServersRest,
+        Self::ServersBackingOff,
         Self::NoServer,
         Self::NotSent,
-        Self::DeadlineInDoubt,
-        Self::InDoubt,
+        Self::DeadlineAfterSend,
+        Self::ConnectionLostAfterSend,
         Self::ClaimUnavailable,
         Self::InProgress,
         Self::AlreadyRun,
         Self::OutcomeUnknown,
         Self::KeyTooOld,
         Self::NotReady,
-        Self::NewsLate,
+        Self::CatalogStale,
     ];
 
     /// The number in the `wingspur-result` header.
@@ -96,23 +96,23 @@
             Self::BadKey => 1005,
             Self::UnknownKey => 1006,
             Self::AccountLimit => 2001,
-            Self::ConcernFull => 2002,
+            Self::ServiceQueueFull => 2002,
             Self::DeadlineBeforeSend => 2003,
-            Self::AllowanceUnknown => 2004,
+            Self::QuotaUnavailable => 2004,
             Self::Quarantined => 2005,
             Self::ServersAtLimit => 2006,
-            Self::ServersRest => 2007,
+            Self::ServersBackingOff => 2007,
             Self::NoServer => 3001,
             Self::NotSent => 3002,
-            Self::DeadlineInDoubt => 3003,
-            Self::InDoubt => 3004,
+            Self::DeadlineAfterSend => 3003,
+            Self::ConnectionLostAfterSend => 3004,
             Self::ClaimUnavailable => 4001,
             Self::InProgress => 4002,
             Self::AlreadyRun => 4003,
             Self::OutcomeUnknown => 4004,
             Self::KeyTooOld => 4005,
             Self::NotReady => 5001,
-            Self::NewsLate => 5002,
+            Self::CatalogStale => 5002,
         }
     }
 
@@ -125,14 +125,14 @@
             Self::BadFraming | Self::BadKey => 400,
             Self::UnknownKey => 401,
             Self::AccountLimit => 429,
-            Self::ConcernFull | Self::NoServer | Self::ClaimUnavailable => 503,
-            Self::AllowanceUnknown | Self::Quarantined => 503,
-            Self::ServersAtLimit | Self::ServersRest => 503,
-            Self::DeadlineBeforeSend | Self::NotReady | Self::NewsLate => 503,
+            Self::ServiceQueueFull | Self::NoServer | Self::ClaimUnavailable => 503,
+            Self::QuotaUnavailable | Self::Quarantined => 503,
+            Self::ServersAtLimit | Self::ServersBackingOff => 503,
+            Self::DeadlineBeforeSend | Self::NotReady | Self::CatalogStale => 503,
             // A caller may trust a 503 to mean that nothing ran.
             Self::NotSent => 503,
-            Self::InDoubt => 502,
-            Self::DeadlineInDoubt => 504,
+            Self::ConnectionLostAfterSend => 502,
+            Self::DeadlineAfterSend => 504,
             Self::InProgress | Self::AlreadyRun | Self::OutcomeUnknown => 409,
             Self::KeyTooOld => 410,
         }
@@ -148,46 +148,48 @@
             Self::BadKey => "bad_key",
             Self::UnknownKey => "unknown_key",
             Self::AccountLimit => "account_limit",
-            Self::AllowanceUnknown => "allowance_unknown",
+            Self::QuotaUnavailable => "allowance_unknown",
             Self::Quarantined => "quarantined",
             Self::ServersAtLimit => "servers_at_limit",
-            Self::ServersRest => "servers_rest",
-            Self::ConcernFull => "concern_full",
+            Self::ServersBackingOff => "servers_rest",
+            Self::ServiceQueueFull => "concern_full",
             Self::DeadlineBeforeSend => "deadline_before_send",
             Self::NoServer => "no_server",
             Self::NotSent => "not_sent",
-            Self::DeadlineInDoubt => "deadline_in_doubt",
-            Self::InDoubt => "in_doubt",
+            Self::DeadlineAfterSend => "deadline_in_doubt",
+            Self::ConnectionLostAfterSend => "in_doubt",
             Self::ClaimUnavailable => "claim_unavailable",
             Self::InProgress => "in_progress",
             Self::AlreadyRun => "already_run",
             Self::OutcomeUnknown => "outcome_unknown",
             Self::KeyTooOld => "key_too_old",
             Self::NotReady => "not_ready",
-            Self::NewsLate => "news_late",
+            Self::CatalogStale => "news_late",
         }
     }
 
     /// What the code says about the request having run.
-    pub fn run_state(self) -> RunState {
+    pub fn run_state(self) -> ExecutionState {
         match self {
-            Self::DeadlineInDoubt | Self::InDoubt => RunState::Unknown,
+            Self::DeadlineAfterSend | Self::ConnectionLostAfterSend => {
+                ExecutionState::Unknown
+            }
             Self::InProgress | Self::OutcomeUnknown | Self::KeyTooOld => {
-                RunState::Unknown
+                ExecutionState::Unknown
             }
-            Self::AlreadyRun => RunState::Ran,
-            _ => RunState::NotRun,
+            Self::AlreadyRun => ExecutionState::Ran,
+            _ => ExecutionState::NotRun,
         }
     }
 
     /// Seconds after which the caller may ask again; none where it should not.
     pub fn retry_after_s(self) -> Option<u32> {
         match self {
-            Self::AccountLimit | Self::ConcernFull => Some(1),
-            Self::AllowanceUnknown => Some(1),
-            Self::ServersAtLimit | Self::ServersRest => Some(1),
+            Self::AccountLimit | Self::ServiceQueueFull => Some(1),
+            Self::QuotaUnavailable => Some(1),
+            Self::ServersAtLimit | Self::ServersBackingOff => Some(1),
             Self::DeadlineBeforeSend | Self::NoServer | Self::NotSent => Some(1),
-            Self::InProgress | Self::NotReady | Self::NewsLate => Some(1),
+            Self::InProgress | Self::NotReady | Self::CatalogStale => Some(1),
             Self::ClaimUnavailable | Self::Quarantined => Some(5),
             _ => None,
         }
--- a/crates/wingspur-protocol/src/server_hints.rs
+++ b/crates/wingspur-protocol/src/server_hints.rs
@@ -2,37 +2,37 @@
 
 use std::time::Duration;
 
-use crate::UnreadableLimit;
+use crate::InvalidServerLimit;
 
 /// What the head of one answer says of the server that gave it, beside the answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerHints {
     /// Whether the server leaves: it is about to end and wants no new work.
-    pub leaving: Result<bool, UnreadableLeaving>,
+    pub draining: Result<bool, InvalidDraining>,
     /// For how long it wants nothing of the box that it answered; none where it asks for no
     /// rest.
-    pub rest: Result<Option<Duration>, UnreadableBackoff>,
+    pub backoff: Result<Option<Duration>, InvalidBackoff>,
     /// The requests a second that it takes from all boxes together; none for no limit.
-    pub limit_per_s: Result<Option<f64>, UnreadableLimit>,
+    pub limit_per_s: Result<Option<f64>, InvalidServerLimit>,
     /// Whether it surely did not run the request.
     pub not_run: bool,
     /// Whether it is another run than the one that was asked: what it says is not of that.
-    pub is_other_run: bool,
+    pub is_other_instance: bool,
 }
 
 /// Reads whether a server says that it leaves: `1` or `true`, `0` or `false`.
 ///
 /// A server that leaves does not come back, so of several readable values one that says so
 /// counts.
-pub fn parse_leaving<'a>(
+pub fn parse_draining<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
-) -> Result<bool, UnreadableLeaving> {
+) -> Result<bool, InvalidDraining> {
     let mut values = values.into_iter().peekable();
     if values.peek().is_none() {
         return Ok(false);
     }
     let mut readable = values.filter_map(flag).peekable();
-    readable.peek().ok_or(UnreadableLeaving)?;
+    readable.peek().ok_or(InvalidDraining)?;
     Ok(readable.any(|says_so| says_so))
 }
 
@@ -44,7 +44,7 @@
 pub fn parse_backoff<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
     until: impl Fn(&str) -> Option<Duration>,
-) -> Result<Option<Duration>, UnreadableBackoff> {
+) -> Result<Option<Duration>, InvalidBackoff> {
     let mut values = values.into_iter().peekable();
     if values.peek().is_none() {
         return Ok(None);
@@ -53,19 +53,19 @@
         let text = str::from_utf8(value.trim_ascii()).ok()?;
         seconds(text).or_else(|| until(text))
     });
-    let longest = readable.max().ok_or(UnreadableBackoff)?;
+    let longest = readable.max().ok_or(InvalidBackoff)?;
     Ok(Some(longest.min(LONGEST_REST)).filter(|rest| !rest.is_zero()))
 }
 
 /// No value says whether the server leaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("whether the server leaves is neither `0` nor `1`")]
-pub struct UnreadableLeaving;
+pub struct InvalidDraining;
 
 /// No value of `Retry-After` is a number of seconds or a date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the rest is neither a number of seconds nor a date")]
-pub struct UnreadableBackoff;
+pub struct InvalidBackoff;
 
 fn flag(value: &[u8]) -> Option<bool> {
     match value.trim_ascii() {
--- a/crates/wingspur-protocol/src/server_limit.rs
+++ b/crates/wingspur-protocol/src/server_limit.rs
@@ -8,20 +8,20 @@
 /// limit nor that there is none: `Err`.
 pub fn parse_server_limit<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
-) -> Result<Option<f64>, UnreadableLimit> {
+) -> Result<Option<f64>, InvalidServerLimit> {
     let mut values = values.into_iter().peekable();
     if values.peek().is_none() {
         return Ok(None);
     }
     let readable = values.filter_map(decimal);
-    let least = readable.min_by(f64::total_cmp).ok_or(UnreadableLimit)?;
+    let least = readable.min_by(f64::total_cmp).ok_or(InvalidServerLimit)?;
     Ok(Some(least))
 }
 
 /// No value of the header is a plain decimal number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the limit is no plain decimal number")]
-pub struct UnreadableLimit;
+pub struct InvalidServerLimit;
 
 /// Digits with at most one point, as `0`, `1.6` or `20`.
 fn decimal(value: &[u8]) -> Option<f64> {
--- a/crates/wingspur-protocol/src/store.rs
+++ b/crates/wingspur-protocol/src/store.rs
@@ -72,7 +72,7 @@
         let mut references = Vec::with_capacity(bundle.services.len());
         for service in &bundle.services {
             let bytes = serde_json::to_vec(service)?;
-            let digest = digest_of(&bytes);
+            let digest = sha256_hex(&bytes);
             references.push(PartReference {
                 service: service.name.clone(),
                 digest,
@@ -161,7 +161,7 @@
 }
 
 /// The SHA-256 of some bytes, in hexadecimal.
-pub fn digest_of(bytes: &[u8]) -> String {
+pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes)
         .iter()
         .map(|byte| format!("{byte:02x}"))
--- a/crates/wingspur-transport/src/catalog.rs
+++ b/crates/wingspur-transport/src/catalog.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use wingspur_protocol::{BoxRecord, CatalogChanges, CatalogListing, QuarantineRecord};
+use wingspur_protocol::{BoxRecord, CatalogChanges, CatalogSnapshot, QuarantineRecord};
 use wingspur_state::{BoxId, RequestFingerprint, StoreEra, StorePosition};
 
 /// The calls of a catalog.
@@ -17,9 +17,9 @@
 pub struct Catalog {
     /// Lists all there is, as it stands now or, cheaper, as it may have stood some seconds
     /// ago.
-    pub list: Arc<dyn Fn(bool) -> CatalogFuture<CatalogListing> + Send + Sync>,
+    pub list: Arc<dyn Fn(bool) -> CatalogFuture<CatalogSnapshot> + Send + Sync>,
     /// Lists the boxes alone, as they may have been announced some seconds ago.
-    pub list_boxes: Arc<dyn Fn() -> CatalogFuture<CatalogListing> + Send + Sync>,
+    pub list_boxes: Arc<dyn Fn() -> CatalogFuture<CatalogSnapshot> + Send + Sync>,
     /// Waits for changes after a position, at most for the time given.
     pub watch: Arc<
         dyn Fn(StorePosition, Duration) -> CatalogFuture<CatalogChanges> + Send + Sync,
--- a/crates/wingspur-transport/src/link.rs
+++ b/crates/wingspur-transport/src/link.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Bytes, Frame as BodyFrame, Incoming};
 use hyper::{Request, Response};
 use serde::de::DeserializeOwned;
-use wingspur_protocol::{EncodedFrame, FrameError, take_frame};
+use wingspur_protocol::{EncodedFrame, FrameError, decode_next_frame};
 
 use crate::exchange::{Connector, ExchangeError};
 
@@ -152,7 +152,7 @@
         patience: Duration,
     ) -> Result<T, LinkError> {
         loop {
-            if let Some(frame) = take_frame(&mut self.buffer)? {
+            if let Some(frame) = decode_next_frame(&mut self.buffer)? {
                 self.buffer.shrink_to(MOST_PIECE_BYTES);
                 return Ok(frame);
             }
--- a/crates/wingspur-transport/src/publish.rs
+++ b/crates/wingspur-transport/src/publish.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use wingspur_protocol::{
-    BundlePointer, Manifest, SignedBundle, SigningError, StoreKeys, digest_of,
+    BundlePointer, Manifest, SignedBundle, SigningError, StoreKeys, sha256_hex,
 };
 use wingspur_state::{Bundle, Service};
 
@@ -48,7 +48,7 @@
     for part in parts {
         put_part(store, keys, part).await?;
     }
-    let digest = digest_of(signed.manifest.as_bytes());
+    let digest = sha256_hex(signed.manifest.as_bytes());
     let record = serde_json::to_vec(signed).expect("a signed bundle serialises");
     store
         .put_if(&keys.manifest(&digest), &record, ABSENT)
@@ -67,7 +67,7 @@
 ) -> Result<Published, PublishError> {
     let manifest: Manifest =
         serde_json::from_str(&signed.manifest).map_err(SigningError::from)?;
-    let digest = digest_of(signed.manifest.as_bytes());
+    let digest = sha256_hex(signed.manifest.as_bytes());
     let key = keys.manifest(&digest);
     if store.get(&key).await?.is_none() {
         return Err(missing(&key));
@@ -165,7 +165,7 @@
     keys: &StoreKeys,
     part: &[u8],
 ) -> Result<(), StoreError> {
-    let digest = digest_of(part);
+    let digest = sha256_hex(part);
     for (piece, bytes) in part.chunks(PIECE_BYTES).enumerate() {
         // Content-addressed: a piece that is there already is the same piece.
         store
@@ -186,7 +186,7 @@
         .into_iter()
         .flat_map(|pair| pair.value)
         .collect::<Vec<u8>>();
-    if digest_of(&bytes) != digest {
+    if sha256_hex(&bytes) != digest {
         let reason = "its bytes do not have its digest".to_owned();
         return Err(PublishError::Unreadable { key, reason });
     }
--- a/crates/wingspur-transport/src/server_hints.rs
+++ b/crates/wingspur-transport/src/server_hints.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 use hyper::header::{DATE, HeaderMap, RETRY_AFTER};
 use wingspur_protocol::{
-    HeaderNames, ServerHints, parse_backoff, parse_leaving, parse_server_limit,
+    HeaderNames, ServerHints, parse_backoff, parse_draining, parse_server_limit,
 };
 
 use crate::AnswerHead;
@@ -17,7 +17,9 @@
         let headers = &self.headers;
         let is_other_run = self.status == StatusCode::MISDIRECTED_REQUEST
             && names.expected_incarnation.is_some();
-        let is_marked = names.not_run.is_some_and(|name| headers.contains_key(name));
+        let is_marked = names
+            .not_executed
+            .is_some_and(|name| headers.contains_key(name));
         // Other statuses use it for other ends, as when a page has moved.
         let asks_for_rest = self.status == StatusCode::SERVICE_UNAVAILABLE;
         let rest = match asks_for_rest {
@@ -27,11 +29,11 @@
             false => Ok(None),
         };
         ServerHints {
-            leaving: parse_leaving(values(headers, names.leaving)),
-            rest,
+            draining: parse_draining(values(headers, names.draining)),
+            backoff: rest,
             limit_per_s: parse_server_limit(values(headers, names.server_limit)),
             not_run: is_other_run || is_marked,
-            is_other_run,
+            is_other_instance: is_other_run,
         }
     }
 }
--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -16,7 +16,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{AnnouncementView, FleetView, LinkPeer, OWN_LINK, PeerRole};
-use wingspur_protocol::{CensusNote, FleetNote};
+use wingspur_protocol::{FleetStatus, MembershipUpdate};
 use wingspur_state::{
     DataCentreId, FleetMembership, FleetRetryBudget, ResendKind, RetryBudgetSettings,
 };
@@ -163,8 +163,8 @@
     sent: Instant,
     link: u64,
     to: usize,
-    told: FleetNote,
-    census: CensusNote,
+    told: FleetStatus,
+    census: MembershipUpdate,
 }
 
 /// A request that asks for a resend.
--- a/tests/tests/budgets.rs
+++ b/tests/tests/budgets.rs
@@ -6,7 +6,7 @@
     AnnouncementView, BoxRegistry, FleetConnectivity, FleetSizeTracker, FleetView,
     LinkId, LinkPeer, PeerRole, required_contact_time,
 };
-use wingspur_protocol::{CensusNote, FleetNote};
+use wingspur_protocol::{FleetStatus, MembershipUpdate};
 use wingspur_state::{
     BoxKey, DataCentreId, FleetMembership, FleetRetryBudget, MembershipState, ResendKind,
     RetryBudgetSettings, ServiceTally,
@@ -70,9 +70,9 @@
 }
 
 /// What a hub tells that counts so many boxes, itself among them.
-fn census(hub: LinkId, boxes: u64) -> CensusNote {
-    CensusNote {
-        whole: true,
+fn census(hub: LinkId, boxes: u64) -> MembershipUpdate {
+    MembershipUpdate {
+        is_full: true,
         joined: (0..boxes).map(|n| hub * 100 + n).collect(),
         left: Vec::new(),
     }
@@ -91,7 +91,7 @@
         view.add_link(id, peer(name, id * 100), PeerRole::Hub, start);
         view.receive_census(id, &census(id, 10), known, start);
     }
-    let told = FleetNote::default();
+    let told = FleetStatus::default();
     for tick in 0..=(span.as_millis() / 300) as u32 {
         let now = start + Duration::from_millis(300) * tick;
         for id in 1..=heard.len() as u64 {
@@ -274,11 +274,11 @@
         is_hub: false,
         ..hub_of(&["b"])
     };
-    let told = |touch_ms| FleetNote {
+    let told = |touch_ms| FleetStatus {
         boxes: 40,
         counted: 0,
-        touch_ms,
-        delegates: false,
+        hub_contact_age_ms: touch_ms,
+        delegates_shares: false,
     };
     let after_join = |touch_ms| {
         let start = Instant::now() + seconds(100);
@@ -409,8 +409,8 @@
     // the first has not noticed that they have gone.
     fleet.add_hub(2);
     for n in 0..30 {
-        let joined = CensusNote {
-            whole: n == 0,
+        let joined = MembershipUpdate {
+            is_full: n == 0,
             joined: vec![100 + n],
             left: Vec::new(),
         };
@@ -428,13 +428,13 @@
     fleet.add_hub(1);
     fleet.add_member(2, 50);
     let first = fleet.updates_for(1);
-    assert_eq!((first.whole, first.joined), (true, vec![OWN_KEY, 50]));
-    assert_eq!(fleet.updates_for(1), CensusNote::default());
+    assert_eq!((first.is_full, first.joined), (true, vec![OWN_KEY, 50]));
+    assert_eq!(fleet.updates_for(1), MembershipUpdate::default());
     fleet.add_member(3, 60);
     fleet.drop_link(2, now);
     let next = fleet.updates_for(1);
     assert_eq!(
-        (next.whole, next.joined, next.left),
+        (next.is_full, next.joined, next.left),
         (false, vec![60], vec![50])
     );
     fleet.add_hub(4);
@@ -448,11 +448,11 @@
     let mut view = FleetView::new(OWN_KEY, Instant::now());
     view.add_link(1, peer("b", 100), PeerRole::Hub, now);
     view.receive_census(1, &census(1, 10), &known, now);
-    let told = FleetNote {
+    let told = FleetStatus {
         boxes: 0,
         counted: 35,
-        touch_ms: None,
-        delegates: false,
+        hub_contact_age_ms: None,
+        delegates_shares: false,
     };
     view.receive(1, told, &known, Some(now), now);
     assert_eq!(view.fleet_size(&known, now), 35);
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -13,7 +13,9 @@
     AnnouncementView, DataCentreQuota, FleetView, LinkPeer, PeerRole, PendingGrant,
     Quota, QuotaAllocator, QuotaLeaseManager, QuotaMessages, QuotaTopology,
 };
-use wingspur_protocol::{CensusNote, FleetNote, LeftPart, Lendable, Lending};
+use wingspur_protocol::{
+    DelegatedShare, FleetStatus, LeaseMessages, LeasedResource, MembershipUpdate,
+};
 use wingspur_state::{
     AcquireOutcome, ClientAccount, DataCentreId, QuotaTerms, QuotaTolerance, ServerKey,
     ServerLimitChange, ServerLimits, quota_request_probability,
@@ -242,13 +244,13 @@
 #[derive(Clone)]
 enum What {
     Note {
-        told: FleetNote,
-        census: CensusNote,
-        left: Vec<LeftPart>,
+        told: FleetStatus,
+        census: MembershipUpdate,
+        left: Vec<DelegatedShare>,
         sent: Instant,
         echo: Option<Instant>,
     },
-    Lending(Lending),
+    Lending(LeaseMessages),
     /// The server's limit, with how long ago it said so.
     Limit(Option<f64>, Duration),
     /// A hub has ended a link in order: it uses the other side's part no more.
@@ -729,11 +731,11 @@
                 let find = |_| allowance_of(&subject, &run.limits);
                 let desk = &mut run.desk;
                 let mut messages = QuotaMessages::new();
-                for ask in &lending.asks {
+                for ask in &lending.requests {
                     messages
                         .extend(desk.handle_request(from.1, ask, &standing, &find, now));
                 }
-                for answer in &lending.answers {
+                for answer in &lending.replies {
                     messages.extend(desk.handle_answer(answer, &standing, &find, now));
                 }
                 self.send_all(to.0, messages);
@@ -961,10 +963,10 @@
 }
 
 impl Subject {
-    fn lendable(&self) -> Lendable {
+    fn lendable(&self) -> LeasedResource {
         match self {
-            Self::Account(account) => Lendable::Account(account.allowance()),
-            Self::Server(_) => Lendable::Server(SERVER),
+            Self::Account(account) => LeasedResource::Account(account.allowance()),
+            Self::Server(_) => LeasedResource::Server(SERVER),
         }
     }
 
--- a/tests/tests/full_links.rs
+++ b/tests/tests/full_links.rs
@@ -15,7 +15,7 @@
 use edge::{Route, configuration, start_box, wait_until};
 use futures_lite::FutureExt;
 use wingspur_protocol::{
-    BoxRecord, Frame, Hello, LINK_PROTOCOL_VERSION, LinkRole, Stamps,
+    BoxRecord, Frame, Hello, LINK_PROTOCOL_VERSION, LinkRole, LinkTimestamps,
 };
 use wingspur_state::StorePosition;
 use wingspur_tests::PlatformStore;
@@ -42,12 +42,12 @@
     };
     sender.send(&hello).ok()?;
     for count in 1..=MOST_UNANSWERED {
-        let stamps = Stamps {
+        let stamps = LinkTimestamps {
             sent_ms: count,
             heard_ms: None,
         };
         let frame = Frame {
-            stamps,
+            timestamps: stamps,
             ..Frame::default()
         };
         sender.send(&frame).ok()?;
@@ -56,7 +56,7 @@
     let waits = Instant::now();
     loop {
         let frame = receiver.next::<Frame>(PATIENCE).await.ok()?;
-        if frame.stamps.heard_ms == Some(MOST_UNANSWERED) {
+        if frame.timestamps.heard_ms == Some(MOST_UNANSWERED) {
             return Some(waits.elapsed());
         }
     }
--- a/tests/tests/hub_memory.rs
+++ b/tests/tests/hub_memory.rs
@@ -4,7 +4,7 @@
 
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use wingspur_coordination::{LinkKind, OWN_LINK, Rollup};
-use wingspur_protocol::Digest;
+use wingspur_protocol::TallyUpdate;
 use wingspur_state::ServerTally;
 
 #[global_allocator]
@@ -19,15 +19,15 @@
 }
 
 /// A digest of all servers, each with one more good answer.
-fn digest(source: u64, good: u32) -> Digest {
+fn digest(source: u64, good: u32) -> TallyUpdate {
     let tally = ServerTally {
         good,
         ..ServerTally::default()
     };
-    Digest {
+    TallyUpdate {
         source,
         servers: (0..SERVERS).map(|key| (key * 7, tally)).collect(),
-        ..Digest::default()
+        ..TallyUpdate::default()
     }
 }
 
--- a/tests/tests/hubs.rs
+++ b/tests/tests/hubs.rs
@@ -18,7 +18,7 @@
 use edge::{Route, configuration, settings, start_box, start_box_with, wait_until};
 use wingspur_edge::EdgeBox;
 use wingspur_protocol::{
-    BoxRecord, Frame, Hello, LINK_PROTOCOL_VERSION, LinkRole, Stamps,
+    BoxRecord, Frame, Hello, LINK_PROTOCOL_VERSION, LinkRole, LinkTimestamps,
 };
 use wingspur_state::StorePosition;
 use wingspur_tests::PlatformStore;
@@ -89,9 +89,9 @@
         sender.send(&hello).expect("the link has just come up");
         while let Ok(frame) = receiver.next::<Frame>(PATIENCE).await {
             let answer = Frame {
-                stamps: Stamps {
+                timestamps: LinkTimestamps {
                     sent_ms: 0,
-                    heard_ms: Some(frame.stamps.sent_ms),
+                    heard_ms: Some(frame.timestamps.sent_ms),
                 },
                 ..Frame::default()
             };
--- a/tests/tests/lending_desk.rs
+++ b/tests/tests/lending_desk.rs
@@ -3,14 +3,14 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::{Quota, QuotaAllocator, QuotaLeaseManager, QuotaTopology};
-use wingspur_protocol::{Lendable, LoanRequest};
+use wingspur_protocol::{LeasedResource, QuotaLeaseRequest};
 use wingspur_state::{AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance};
 
-const OF: Lendable = Lendable::Account(1);
-const SERVER: Lendable = Lendable::Server(2);
+const OF: LeasedResource = LeasedResource::Account(1);
+const SERVER: LeasedResource = LeasedResource::Server(2);
 
 /// An account that may ask for ten a second, or a server that takes as much.
-fn allowance(of: Lendable) -> Option<Quota> {
+fn allowance(of: LeasedResource) -> Option<Quota> {
     let account = ClientAccount {
         name: "school".into(),
         keys_sha256: Vec::new(),
@@ -19,7 +19,7 @@
         burst: 5.0,
     };
     let (terms, held_by) = match of {
-        Lendable::Account(_) => {
+        LeasedResource::Account(_) => {
             let quota = QuotaTolerance::default();
             (
                 QuotaTerms::of_account(&account, &quota),
@@ -92,18 +92,18 @@
     let start = Instant::now();
     let now = start + Duration::from_millis(500);
     let mut desk = desk_since(start, now);
-    let ask = |urgent| LoanRequest {
-        number: 1,
-        of: OF,
+    let ask = |urgent| QuotaLeaseRequest {
+        request_id: 1,
+        resource: OF,
         held: 0.0,
-        urgent,
+        on_demand_count: urgent,
         reserve: 0.0,
         wanted: 0.0,
     };
     for (urgent, is_told) in [(9, false), (50, true)] {
         let messages = desk.handle_request(7, &ask(urgent), &hub(), &allowance, now);
-        let answer = messages[0].lending.answers[0];
-        assert_eq!(answer.more_in_ms.is_some(), is_told, "{urgent}");
+        let answer = messages[0].lending.replies[0];
+        assert_eq!(answer.retry_after_ms.is_some(), is_told, "{urgent}");
     }
 }
 
--- a/tests/tests/listings.rs
+++ b/tests/tests/listings.rs
@@ -7,8 +7,8 @@
     CatalogQueue, PendingSnapshot, SnapshotFrameCache, UpdatePacer,
 };
 use wingspur_protocol::{
-    CatalogChange, CatalogChanges, CatalogListing, CatalogUpdate, Frame, FrameContent,
-    ListingUpdate, encode_frame, take_frame,
+    CatalogChange, CatalogChanges, CatalogSnapshot, CatalogSnapshotUpdate, CatalogUpdate,
+    Frame, FrameContent, decode_next_frame, encode_frame,
 };
 use wingspur_state::{Bundle, ServerRecord, StorePosition};
 
@@ -32,13 +32,13 @@
     }
 }
 
-fn listing(bundle: Option<Arc<Bundle>>) -> Arc<ListingUpdate> {
-    Arc::new(ListingUpdate {
-        listing: CatalogListing {
+fn listing(bundle: Option<Arc<Bundle>>) -> Arc<CatalogSnapshotUpdate> {
+    Arc::new(CatalogSnapshotUpdate {
+        snapshot: CatalogSnapshot {
             position: at(7),
             bundle,
             servers: (0..SERVERS).map(record).collect(),
-            ..CatalogListing::default()
+            ..CatalogSnapshot::default()
         },
         doubtful_ms: 0,
         missing: Vec::new(),
@@ -51,7 +51,7 @@
     Arc::new(serde_json::from_str(&text).unwrap())
 }
 
-fn owed(listing: &Arc<ListingUpdate>, bundle_version: u64) -> PendingSnapshot {
+fn owed(listing: &Arc<CatalogSnapshotUpdate>, bundle_version: u64) -> PendingSnapshot {
     PendingSnapshot {
         listing: listing.clone(),
         bundle_version,
@@ -83,14 +83,14 @@
     for (known, expected) in [(2, Some(3)), (3, None), (4, None)] {
         let frame = frames.frame(&owed(&listing, known));
         let mut bytes = frame.bytes().to_vec();
-        let frame: Frame = take_frame(&mut bytes).unwrap().unwrap();
-        assert_eq!(frame.content, FrameContent::Listing);
-        let [CatalogUpdate::Listing(told)] = &frame.catalog[..] else {
+        let frame: Frame = decode_next_frame(&mut bytes).unwrap().unwrap();
+        assert_eq!(frame.content, FrameContent::Snapshot);
+        let [CatalogUpdate::Snapshot(told)] = &frame.catalog[..] else {
             panic!("one listing");
         };
-        let peer_version = told.listing.bundle.as_ref().map(|bundle| bundle.version);
+        let peer_version = told.snapshot.bundle.as_ref().map(|bundle| bundle.version);
         assert_eq!(peer_version, expected);
-        assert_eq!(told.listing.servers.len(), SERVERS);
+        assert_eq!(told.snapshot.servers.len(), SERVERS);
     }
 }
 
@@ -120,7 +120,7 @@
         doubtful_ms: 0,
     };
     let mut queue = CatalogQueue::new();
-    queue.push(&CatalogUpdate::Listing(listing(Some(bundle(3)))), true);
+    queue.push(&CatalogUpdate::Snapshot(listing(Some(bundle(3)))), true);
     queue.push(&change, true);
     queue.drop_known_listing(at(6), 3);
     assert!(queue.has_listing(), "an older history");
@@ -136,7 +136,7 @@
     let mut told = (*listing(None)).clone();
     told.returned.push("i-1".into());
     let mut queue = CatalogQueue::new();
-    queue.push(&CatalogUpdate::Listing(Arc::new(told)), true);
+    queue.push(&CatalogUpdate::Snapshot(Arc::new(told)), true);
     queue.drop_known_listing(at(9), 9);
     assert!(queue.has_listing());
 }
@@ -162,10 +162,10 @@
 #[test]
 fn server_records_take_forty_bytes_each_between_boxes() {
     let servers = announced_records();
-    let listing = CatalogListing {
+    let listing = CatalogSnapshot {
         position: at(7),
         servers: servers.clone(),
-        ..CatalogListing::default()
+        ..CatalogSnapshot::default()
     };
     let changes = CatalogChanges {
         after: at(7),
@@ -181,15 +181,15 @@
 #[test]
 fn listings_and_changes_are_read_as_they_were_written() {
     let servers = announced_records();
-    let listing = CatalogListing {
+    let listing = CatalogSnapshot {
         position: at(7),
         bundle: Some(bundle(3)),
         servers: servers.clone(),
         evacuated: vec!["hala-jug".into()],
-        ..CatalogListing::default()
+        ..CatalogSnapshot::default()
     };
     let mut bytes = encode_frame(&listing);
-    let read = take_frame(&mut bytes).map_err(|error| error.to_string());
+    let read = decode_next_frame(&mut bytes).map_err(|error| error.to_string());
     assert_eq!(read, Ok(Some(listing)));
     let mut told: Vec<_> = servers.into_iter().map(CatalogChange::Server).collect();
     told.insert(3, CatalogChange::ServerGone("i-3".into()));
@@ -200,7 +200,7 @@
         changes: told,
     };
     let mut bytes = encode_frame(&changes);
-    let read = take_frame(&mut bytes).map_err(|error| error.to_string());
+    let read = decode_next_frame(&mut bytes).map_err(|error| error.to_string());
     assert_eq!(read, Ok(Some(changes)));
 }
 
@@ -230,7 +230,7 @@
             [(); 0],
         );
         let mut bytes = encode_frame(&listing);
-        take_frame::<CatalogListing>(&mut bytes)
+        decode_next_frame::<CatalogSnapshot>(&mut bytes)
     };
     let known = read(0).unwrap().expect("it is whole");
     assert_eq!(known.servers[0].data_centre, "svc");
--- a/tests/tests/many_servers.rs
+++ b/tests/tests/many_servers.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_coordination::{LinkKind, Rollup, TallyUpdateReader};
-use wingspur_protocol::Digest;
+use wingspur_protocol::TallyUpdate;
 use wingspur_state::{
     AttemptId, Balancer, ExpectedLatency, FleetRetryBudget, HealthOutcome, PickRequest,
     RetryBudgetSettings, ServerKey, ServerRecord, ServiceLoad, ServiceTime,
@@ -262,10 +262,10 @@
         for (at, balancer) in self.boxes.iter_mut().enumerate() {
             let servers = balancer.take_changes();
             if !servers.is_empty() {
-                let digest = Digest {
+                let digest = TallyUpdate {
                     source: at as u64 + 1,
                     servers,
-                    ..Digest::default()
+                    ..TallyUpdate::default()
                 };
                 self.hub.receive(at as u64 + 1, &digest);
             }
--- a/tests/tests/membership.rs
+++ b/tests/tests/membership.rs
@@ -74,8 +74,8 @@
     let now = Instant::now();
     let suspected = "box-5".to_owned();
     let by = |by: &str| Suspicion {
-        of: suspected.clone(),
-        by: by.to_owned(),
+        suspect: suspected.clone(),
+        observer: by.to_owned(),
         ttl_ms: u32::MAX,
     };
     member.receive_suspicions(&[by("box-3")], now);
@@ -103,7 +103,7 @@
     let suspected: Vec<String> = member
         .suspicions(now)
         .into_iter()
-        .map(|suspicion| suspicion.of)
+        .map(|suspicion| suspicion.suspect)
         .collect();
     assert_eq!(suspected.len(), 3, "the three that it watches");
     assert!(watched.iter().all(|peer| suspected.contains(&peer.id)));
--- a/tests/tests/news_age.rs
+++ b/tests/tests/news_age.rs
@@ -13,7 +13,9 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::{CatalogFreshnessTracker, LinkClock};
-use wingspur_protocol::{CatalogChange, FeedState, Stamps, encode_frame, take_frame};
+use wingspur_protocol::{
+    CatalogChange, CatalogFreshness, LinkTimestamps, decode_next_frame, encode_frame,
+};
 use wingspur_state::{BoxId, Bundle, BundlePatch, HostRoute, RouteClass, RouteTarget};
 
 /// A hub's frames on their way to a member: how long one takes that is sent now.
@@ -31,14 +33,14 @@
 fn longest_blindness(way: Way) -> Duration {
     let start = Instant::now();
     let mut member = CatalogFreshnessTracker::new(BoxId::from("member"), start);
-    let fresh = FeedState {
+    let fresh = CatalogFreshness {
         reader: Some(BoxId::from("hub")),
         age_ms: 0,
-        tries: false,
-        ..FeedState::default()
+        is_read_failing: false,
+        ..CatalogFreshness::default()
     };
     let (mut hub_clock, mut own_clock) = (LinkClock::new(start), LinkClock::new(start));
-    let mut on_the_way: Vec<(Duration, Duration, Stamps)> = Vec::new();
+    let mut on_the_way: Vec<(Duration, Duration, LinkTimestamps)> = Vec::new();
     let (mut newest, mut blind, mut longest) = (Duration::ZERO, Duration::ZERO, ms(0));
     for tick in 0..1000 {
         let now = ms(10) * tick;
@@ -112,11 +114,11 @@
 fn the_age_of_the_newest_news_shows_whoever_read_it() {
     let start = Instant::now();
     let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), start);
-    let told = FeedState {
+    let told = CatalogFreshness {
         reader: Some(BoxId::from("hub")),
         age_ms: 300,
-        tries: false,
-        ..FeedState::default()
+        is_read_failing: false,
+        ..CatalogFreshness::default()
     };
     feed.receive(1, &told, start + ms(1_000));
     assert_eq!(feed.staleness(start + ms(1_500)), ms(800));
@@ -195,7 +197,7 @@
     assert_eq!(changes.len(), 5);
     for change in changes {
         let mut bytes = encode_frame(&change);
-        let read = take_frame(&mut bytes).map_err(|error| error.to_string());
+        let read = decode_next_frame(&mut bytes).map_err(|error| error.to_string());
         assert_eq!(read, Ok(Some(change)));
     }
 }
--- a/tests/tests/news_pacer.rs
+++ b/tests/tests/news_pacer.rs
@@ -3,16 +3,16 @@
 use std::time::{Duration, Instant};
 
 use wingspur_coordination::UpdatePacer;
-use wingspur_protocol::Digest;
+use wingspur_protocol::TallyUpdate;
 use wingspur_state::ServerTally;
 
 /// News of so many servers.
-fn digests(servers: u64) -> Vec<Digest> {
+fn digests(servers: u64) -> Vec<TallyUpdate> {
     let tally = ServerTally::default();
     let servers = (0..servers).map(|server| (server, tally)).collect();
-    vec![Digest {
+    vec![TallyUpdate {
         servers,
-        ..Digest::default()
+        ..TallyUpdate::default()
     }]
 }
 
--- a/tests/tests/once_only_explorer.rs
+++ b/tests/tests/once_only_explorer.rs
@@ -12,7 +12,7 @@
 
 use wingspur_coordination::{LogCommand, SegmentWrite, ShardLog, ShardLogSettings};
 use wingspur_protocol::{
-    ClaimReply, ClaimRequest, LogSegment, OperationId, OperationOutcome, OutcomeNote,
+    ClaimReply, ClaimRequest, LogSegment, OperationId, OperationOutcome, OutcomeReport,
 };
 
 const BOXES: usize = 2;
@@ -163,7 +163,7 @@
                     world.callers[caller] = Caller::Ran { owner, told: true };
                     let operation = OperationId(7);
                     let nonce = caller as u64;
-                    let note = OutcomeNote {
+                    let note = OutcomeReport {
                         operation,
                         nonce,
                         outcome,
--- a/tests/tests/pages.rs
+++ b/tests/tests/pages.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use wingspur_edge::load_settings;
-use wingspur_protocol::{ResultCode, RunState};
+use wingspur_protocol::{ExecutionState, ResultCode};
 use wingspur_state::{Bundle, check_bundle};
 
 fn root() -> &'static Path {
@@ -29,9 +29,9 @@
 
 fn row(code: ResultCode) -> String {
     let ran = match code.run_state() {
-        RunState::NotRun => "not_run",
-        RunState::Unknown => "unknown",
-        RunState::Ran => "ran",
+        ExecutionState::NotRun => "not_run",
+        ExecutionState::Unknown => "unknown",
+        ExecutionState::Ran => "ran",
     };
     let retry = code
         .retry_after_s()
--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -11,8 +11,8 @@
     CatalogFreshnessTracker, CatalogQueue, EraChange, LinkClock, RecentChanges,
 };
 use wingspur_protocol::{
-    CatalogChange, CatalogChanges, CatalogListing, CatalogUpdate, FeedState,
-    ListingUpdate, Stamps,
+    CatalogChange, CatalogChanges, CatalogFreshness, CatalogSnapshot,
+    CatalogSnapshotUpdate, CatalogUpdate, LinkTimestamps,
 };
 use wingspur_state::{
     AnnouncedStates, Availability, Bundle, RegistryChange, ServerId, ServerKey,
@@ -93,8 +93,8 @@
 /// What goes over a link.
 #[derive(Clone)]
 struct PlayedFrame {
-    stamps: Stamps,
-    feed: FeedState,
+    stamps: LinkTimestamps,
+    feed: CatalogFreshness,
     bundle_version: u64,
     updates: Vec<CatalogUpdate>,
     wants_listing: bool,
@@ -115,7 +115,7 @@
 
 #[derive(Clone)]
 enum Told {
-    Listing(CatalogListing),
+    Listing(CatalogSnapshot),
     Changes(CatalogChanges),
 }
 
@@ -146,7 +146,7 @@
         place: Place,
         life: u32,
         number: u64,
-        listing: CatalogListing,
+        listing: CatalogSnapshot,
     },
     WatchEnds {
         number: u64,
@@ -690,7 +690,7 @@
         place: Place,
         life: u32,
         number: u64,
-        mut listing: CatalogListing,
+        mut listing: CatalogSnapshot,
     ) {
         if !self.has_store(place) {
             return self.answer(place, life, number, away());
@@ -914,15 +914,15 @@
         change
     }
 
-    fn take_listing(&mut self, place: Place, listing: CatalogListing) {
+    fn take_listing(&mut self, place: Place, listing: CatalogSnapshot) {
         let known = self.boxes[place].feed.position();
         self.boxes[place].reading.lists = false;
         if listing.position < known {
             return;
         }
         let position = listing.position;
-        let read = ListingUpdate {
-            listing,
+        let read = CatalogSnapshotUpdate {
+            snapshot: listing,
             doubtful_ms: 0,
             missing: Vec::new(),
             returned: Vec::new(),
@@ -959,19 +959,19 @@
 
     // What a box knows.
 
-    fn apply_listing(&mut self, place: Place, told: ListingUpdate) {
+    fn apply_listing(&mut self, place: Place, told: CatalogSnapshotUpdate) {
         let now = self.instant();
         let played = &mut self.boxes[place];
-        if let Some(bundle) = told.listing.bundle {
+        if let Some(bundle) = told.snapshot.bundle {
             played.put_in_force(bundle);
         }
-        let servers = told.listing.servers;
+        let servers = told.snapshot.servers;
         let directory = &mut played.directory;
         let mut changes = directory.replace_restored(servers, &told.returned, now);
         let missing = told.missing.into_iter();
         changes.extend(missing.filter_map(|record| directory.put_missing(record, now)));
         played.follow(&changes, now);
-        played.feed.advance_to(told.listing.position);
+        played.feed.advance_to(told.snapshot.position);
     }
 
     fn apply_changes(&mut self, place: Place, changes: CatalogChanges) {
@@ -1001,7 +1001,7 @@
         let played = &mut self.boxes[place];
         let known = played.feed.position();
         match update {
-            CatalogUpdate::Listing(told) if told.listing.position > known => {
+            CatalogUpdate::Snapshot(told) if told.snapshot.position > known => {
                 let doubtful = Duration::from_millis(told.doubtful_ms.into());
                 played.directory.store_read_by_peer(doubtful, now);
                 self.apply_listing(place, (*told).clone());
@@ -1009,7 +1009,7 @@
                 self.spread(place, &own, true, Some(from));
                 self.tell_more(place, &told, from);
             }
-            CatalogUpdate::Listing(told) => {
+            CatalogUpdate::Snapshot(told) => {
                 if self.boxes[place].merge_listing(&told, now) {
                     let own = self.boxes[place].listing(now);
                     self.spread(place, &own, true, Some(from));
@@ -1040,7 +1040,7 @@
     }
 
     /// Tells the teller of a listing what it lacks and this box knows.
-    fn tell_more(&mut self, place: Place, told: &ListingUpdate, to: Place) {
+    fn tell_more(&mut self, place: Place, told: &CatalogSnapshotUpdate, to: Place) {
         let now = self.instant();
         let played = &mut self.boxes[place];
         if played.knows_more(told) {
@@ -1110,10 +1110,10 @@
             link.told_era = feed.era;
             let mut updates = link.queue.take(now);
             for update in &mut updates {
-                if let CatalogUpdate::Listing(told) = update {
+                if let CatalogUpdate::Snapshot(told) = update {
                     let known = link.bundle_version;
                     Arc::make_mut(told)
-                        .listing
+                        .snapshot
                         .bundle
                         .take_if(|bundle| bundle.version <= known);
                 }
@@ -1463,10 +1463,10 @@
         is_newer
     }
 
-    fn merge_listing(&mut self, told: &ListingUpdate, now: Instant) -> bool {
-        let bundle = told.listing.bundle.clone();
+    fn merge_listing(&mut self, told: &CatalogSnapshotUpdate, now: Instant) -> bool {
+        let bundle = told.snapshot.bundle.clone();
         let is_newer = bundle.is_some_and(|bundle| self.put_in_force(bundle));
-        let is_of_this_era = told.listing.position.era() == self.feed.position().era();
+        let is_of_this_era = told.snapshot.position.era() == self.feed.position().era();
         let gone = match is_of_this_era {
             true => self.directory.suppress_stale(&told.returned, now),
             false => Vec::new(),
@@ -1475,8 +1475,8 @@
         is_newer || !gone.is_empty()
     }
 
-    fn knows_more(&self, told: &ListingUpdate) -> bool {
-        let bundle = told.listing.bundle.as_ref();
+    fn knows_more(&self, told: &CatalogSnapshotUpdate) -> bool {
+        let bundle = told.snapshot.bundle.as_ref();
         let has_newer = bundle.is_some_and(|bundle| bundle.version < self.version());
         let mut returned = self.directory.suppressed();
         has_newer || returned.any(|record| !told.returned.contains(&record.id))
@@ -1487,14 +1487,14 @@
     }
 
     fn listing(&self, now: Instant) -> CatalogUpdate {
-        let listing = CatalogListing {
+        let listing = CatalogSnapshot {
             position: self.feed.position(),
             bundle: self.bundle.clone(),
             servers: self.directory.listed().cloned().collect(),
-            ..CatalogListing::default()
+            ..CatalogSnapshot::default()
         };
-        CatalogUpdate::Listing(Arc::new(ListingUpdate {
-            listing,
+        CatalogUpdate::Snapshot(Arc::new(CatalogSnapshotUpdate {
+            snapshot: listing,
             doubtful_ms: self.doubtful_ms(now),
             missing: self.directory.missing().cloned().collect(),
             returned: self.directory.suppressed().map(|r| r.id.clone()).collect(),
@@ -1518,7 +1518,7 @@
         let newest = self.version();
         let brings = |change: &CatalogChange| matches!(change, CatalogChange::Bundle(bundle) if bundle.version == newest);
         let told = update.as_ref().is_some_and(|update| match update {
-            CatalogUpdate::Listing(_) => true,
+            CatalogUpdate::Snapshot(_) => true,
             CatalogUpdate::Changes { changes, .. } => changes.changes.iter().any(brings),
         });
         let knows_gone = self.directory.suppressed().next().is_some();
--- a/tests/tests/restore_play/store.rs
+++ b/tests/tests/restore_play/store.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use wingspur_protocol::{CatalogChange, CatalogChanges, CatalogListing};
+use wingspur_protocol::{CatalogChange, CatalogChanges, CatalogSnapshot};
 use wingspur_state::{Bundle, CallerLimits, ServerId, ServerRecord, StorePosition};
 
 use super::Ms;
@@ -90,7 +90,7 @@
 
     /// One of the two pages of a listing: the configuration with one half of the servers, or
     /// the other half.
-    pub fn page(&self, first: bool) -> CatalogListing {
+    pub fn page(&self, first: bool) -> CatalogSnapshot {
         let is_here = |id: &ServerId| {
             let last = id.bytes().last().unwrap_or_default();
             last.is_multiple_of(2) == first
@@ -98,11 +98,11 @@
         let servers = self.now.servers.iter();
         let servers = servers.filter(|(id, _)| is_here(id));
         let has_bundle = first && self.now.version > 0;
-        CatalogListing {
+        CatalogSnapshot {
             position: self.position(),
             bundle: has_bundle.then(|| bundle(self.now.version)),
             servers: servers.map(|(_, record)| record.clone()).collect(),
-            ..CatalogListing::default()
+            ..CatalogSnapshot::default()
         }
     }
 
--- a/tests/tests/server_limit_values.rs
+++ b/tests/tests/server_limit_values.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use wingspur_protocol::{UnreadableLimit, parse_server_limit};
+use wingspur_protocol::{InvalidServerLimit, parse_server_limit};
 use wingspur_state::{ServerLimitChange, ServerLimits};
 
 #[test]
@@ -29,13 +29,13 @@
     ];
     for value in unreadable {
         let read = parse_server_limit([value.as_bytes()]);
-        assert_eq!(read, Err(UnreadableLimit), "{value:?}");
+        assert_eq!(read, Err(InvalidServerLimit), "{value:?}");
     }
     let long = [b'9'; 400];
-    assert_eq!(parse_server_limit([&long[..]]), Err(UnreadableLimit));
+    assert_eq!(parse_server_limit([&long[..]]), Err(InvalidServerLimit));
     assert_eq!(
         parse_server_limit([&[0xff, b'1'][..]]),
-        Err(UnreadableLimit)
+        Err(InvalidServerLimit)
     );
 }
 
--- a/tests/tests/sharing.rs
+++ b/tests/tests/sharing.rs
@@ -11,11 +11,12 @@
     waits_for_hub_snapshot,
 };
 use wingspur_protocol::{
-    BoxRecord, CatalogChange, CatalogChanges, CatalogUpdate, Digest, FeedState, LinkRole,
+    BoxRecord, CatalogChange, CatalogChanges, CatalogFreshness, CatalogUpdate, LinkRole,
+    TallyUpdate,
 };
 use wingspur_state::{BoxId, ServerTally, ServiceTally, StorePosition};
 
-fn digest(source: u64, whole: bool, good: u32, in_flight: u32) -> Digest {
+fn digest(source: u64, whole: bool, good: u32, in_flight: u32) -> TallyUpdate {
     let tally = ServerTally {
         good,
         in_flight,
@@ -25,9 +26,9 @@
         requests: good,
         ..ServiceTally::default()
     };
-    Digest {
+    TallyUpdate {
         source,
-        whole,
+        is_full: whole,
         servers: vec![(7, tally)],
         services: vec![(1, counts)],
     }
@@ -100,7 +101,7 @@
     hub.add_link(2, LinkKind::Hub);
     hub.add_link(3, LinkKind::Hub);
     hub.receive(2, &digest(200, false, 4, 0));
-    let sources = |digests: Vec<Digest>| -> Vec<u64> {
+    let sources = |digests: Vec<TallyUpdate>| -> Vec<u64> {
         digests.iter().map(|digest| digest.source).collect()
     };
     assert!(sources(hub.compose(1)).contains(&200));
@@ -118,7 +119,7 @@
     for told in hub.compose(1) {
         member.receive(5, &told);
     }
-    let sources = |digests: &[Digest]| -> Vec<u64> {
+    let sources = |digests: &[TallyUpdate]| -> Vec<u64> {
         digests.iter().map(|digest| digest.source).collect()
     };
     assert!(sources(&member.compose(OWN_LINK)).contains(&200));
@@ -258,11 +259,11 @@
     let now = Instant::now();
     let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     feed.note_no_answer();
-    let other_tries = FeedState {
+    let other_tries = CatalogFreshness {
         reader: None,
         age_ms: 0,
-        tries: true,
-        ..FeedState::default()
+        is_read_failing: true,
+        ..CatalogFreshness::default()
     };
     feed.receive(1, &other_tries, now);
     assert!(!feed.may_defer_read(true), "a hub tries all the time");
@@ -275,11 +276,11 @@
 fn a_member_reads_the_store_itself_once_its_feed_is_stale() {
     let now = Instant::now();
     let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
-    let fresh = FeedState {
+    let fresh = CatalogFreshness {
         reader: Some(BoxId::from("hub")),
         age_ms: 100,
-        tries: false,
-        ..FeedState::default()
+        is_read_failing: false,
+        ..CatalogFreshness::default()
     };
     feed.receive(1, &fresh, now);
     assert!(!feed.should_watch_store(false, 0, now + Duration::from_millis(500)));
@@ -311,11 +312,11 @@
 fn what_a_box_has_read_itself_does_not_come_back_as_another_reader() {
     let now = Instant::now();
     let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
-    let echo = FeedState {
+    let echo = CatalogFreshness {
         reader: Some(BoxId::from("own")),
         age_ms: 0,
-        tries: false,
-        ..FeedState::default()
+        is_read_failing: false,
+        ..CatalogFreshness::default()
     };
     feed.receive(1, &echo, now + Duration::from_secs(2));
     assert!(feed.should_watch_store(false, 0, now + Duration::from_secs(2)));
@@ -438,7 +439,7 @@
 
 #[test]
 fn requests_counted_by_a_service_that_go_back_earn_no_budget() {
-    let counted = |requests| Digest {
+    let counted = |requests| TallyUpdate {
         source: 3,
         services: vec![(
             9,
@@ -447,7 +448,7 @@
                 ..ServiceTally::default()
             },
         )],
-        ..Digest::default()
+        ..TallyUpdate::default()
     };
     let mut reader = TallyUpdateReader::default();
     reader.read(&counted(70));
@@ -460,7 +461,7 @@
 
 #[test]
 fn a_source_heard_on_two_ways_earns_no_budget_by_going_back_and_forth() {
-    let told = |requests: u32, resends: u32| Digest {
+    let told = |requests: u32, resends: u32| TallyUpdate {
         source: 3,
         services: vec![(
             9,
@@ -470,7 +471,7 @@
                 lost: 0,
             },
         )],
-        ..Digest::default()
+        ..TallyUpdate::default()
     };
     let mut reader = TallyUpdateReader::default();
     // One way leaves out 110 requests and 10 resends; both sums begin near nothing.
@@ -491,9 +492,9 @@
 
 #[test]
 fn a_source_that_was_forgotten_and_goes_on_tells_no_life_long_counts_as_news() {
-    let told = |whole, keys: &[u64], requests| Digest {
+    let told = |whole, keys: &[u64], requests| TallyUpdate {
         source: 3,
-        whole,
+        is_full: whole,
         services: keys
             .iter()
             .map(|key| {
@@ -504,7 +505,7 @@
                 (*key, tally)
             })
             .collect(),
-        ..Digest::default()
+        ..TallyUpdate::default()
     };
     let mut reader = TallyUpdateReader::default();
     reader.read(&told(true, &[8, 9], 400));
@@ -553,7 +554,11 @@
 }
 
 /// News of servers that only answer well, and of one that fails.
-fn busy_digest(servers: std::ops::Range<u64>, good: u32, failing: Option<u64>) -> Digest {
+fn busy_digest(
+    servers: std::ops::Range<u64>,
+    good: u32,
+    failing: Option<u64>,
+) -> TallyUpdate {
     let tally = |failed| ServerTally {
         good,
         failed,
@@ -561,9 +566,9 @@
     };
     let mut told: Vec<_> = servers.map(|key| (key, tally(0))).collect();
     told.extend(failing.map(|key| (key, tally(1))));
-    Digest {
+    TallyUpdate {
         servers: told,
-        ..Digest::default()
+        ..TallyUpdate::default()
     }
 }
 
@@ -617,9 +622,9 @@
     hub.add_link(2, LinkKind::Member);
     assert!(hub.compose_within(2, 0).is_empty());
     let first = hub.compose_within(2, 20);
-    assert!(first[0].whole && first[0].servers.len() == 20);
+    assert!(first[0].is_full && first[0].servers.len() == 20);
     let rest = hub.compose_within(2, 100);
-    assert!(!rest[0].whole && rest[0].servers.len() == 31);
+    assert!(!rest[0].is_full && rest[0].servers.len() == 31);
     assert!(!hub.has_updates(2));
 }
 
@@ -644,12 +649,12 @@
         changed
             .iter()
             .for_each(|key| counts[*key as usize].good += 1);
-        let mut digest = Digest {
+        let mut digest = TallyUpdate {
             servers: changed
                 .iter()
                 .map(|key| (*key, counts[*key as usize]))
                 .collect(),
-            ..Digest::default()
+            ..TallyUpdate::default()
         };
         if ms == FAILS_AT_MS {
             counts[servers as usize].failed = 1;
