--- a/crates/wingspur-clock/src/lib.rs
+++ b/crates/wingspur-clock/src/lib.rs
@@ -115,7 +115,7 @@
 }
 
 /// For tests: lets so much time pass as if the machine were suspended meanwhile.
-pub fn step(span: Duration) {
+pub fn simulate_suspension(span: Duration) {
     STEPPED_NS.fetch_add(span.as_nanos() as u64, Ordering::Relaxed);
     WOKEN.notify(usize::MAX);
 }
--- a/tests/tests/suspended_box.rs
+++ b/tests/tests/suspended_box.rs
@@ -48,7 +48,7 @@
     });
     // However late the sleeper lies down, it wakes at the first step after that.
     while !sleeper.is_finished() {
-        wingspur_clock::step(Duration::from_secs(7200));
+        wingspur_clock::simulate_suspension(Duration::from_secs(7200));
         thread::sleep(Duration::from_millis(5));
     }
     assert!(wingspur_clock::since(before) >= Duration::from_secs(7200));
@@ -68,7 +68,7 @@
     let answer = thread::scope(|scope| {
         let asking = scope.spawn(|| ask(&deployment, ""));
         wait_until("it is out", || !servers[0].heads().is_empty());
-        wingspur_clock::step(Duration::from_secs(90));
+        wingspur_clock::simulate_suspension(Duration::from_secs(90));
         asking.join().expect("it does not panic")
     });
     assert_eq!(answer.status, 504);
@@ -88,7 +88,7 @@
     // a moment ago by its steady clock.
     deployment.store.set_fault(StoreFault::Silent);
     thread::sleep(Duration::from_secs(1));
-    wingspur_clock::step(Duration::from_secs(10));
+    wingspur_clock::simulate_suspension(Duration::from_secs(10));
     let answer = ask(&deployment, "key-z");
     assert_eq!(answer.status, 503, "a key that came meanwhile may be its");
     assert_eq!(ask(&deployment, "key-a").status, 200);
@@ -107,7 +107,7 @@
         let again = backend.connect(Reuse::Any, timeout).await;
         backend.keep(again.expect("it listens"));
         assert_eq!(backend.opened(), 1, "it is used again");
-        wingspur_clock::step(Duration::from_secs(30));
+        wingspur_clock::simulate_suspension(Duration::from_secs(30));
         let fresh = backend.connect(Reuse::Any, timeout).await;
         assert!(fresh.is_ok());
         assert_eq!(backend.opened(), 2);
