--- a/crates/wingspur-bench/src/capacity/processes.rs
+++ b/crates/wingspur-bench/src/capacity/processes.rs
@@ -8,7 +8,7 @@
 use wingspur_edge::Settings;
 use wingspur_protocol::BoxStatus;
 use wingspur_state::RouteClass;
-use wingspur_transport::{Exchange, LinkFaults, Spawner};
+use wingspur_transport::{FaultInjector, HttpClient, Spawner};
 
 use crate::{Fleet, FleetPlan, Load, LoadOptions, RequestKind, ServerPlan, zagreb};
 
@@ -157,7 +157,7 @@
         .retain(|service| service.class == RouteClass::Read);
     let mut fleet = Fleet::prepare(plan, spawner).await?;
     let processes = start_processes(&fleet, spawner).await?;
-    let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+    let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
     smol::Timer::after(SETTLE).await;
     let at_rest = measure(&fleet, &processes, &exchange, MEASURE).await?;
     let load = Load::new(spawner, &fleet.caller_addresses());
@@ -217,7 +217,7 @@
     spawner: &Spawner,
 ) -> Result<BoxProcesses, String> {
     let processes = start(fleet)?;
-    let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+    let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
     wait_ready(fleet, &exchange).await?;
     Ok(processes)
 }
@@ -255,7 +255,7 @@
     child.map_err(|error| error.to_string())
 }
 
-async fn wait_ready(fleet: &Fleet, exchange: &Exchange) -> Result<(), String> {
+async fn wait_ready(fleet: &Fleet, exchange: &HttpClient) -> Result<(), String> {
     let end = Instant::now() + READY_PATIENCE;
     for settings in fleet.settings() {
         let address = settings.operator_address;
@@ -272,7 +272,7 @@
 async fn measure(
     fleet: &Fleet,
     processes: &BoxProcesses,
-    exchange: &Exchange,
+    exchange: &HttpClient,
     time: Duration,
 ) -> Result<Counts, String> {
     let before = count(fleet, processes, exchange).await?;
@@ -290,7 +290,7 @@
 async fn count(
     fleet: &Fleet,
     processes: &BoxProcesses,
-    exchange: &Exchange,
+    exchange: &HttpClient,
 ) -> Result<Counts, String> {
     let mut counts = Counts::default();
     for child in &processes.children {
@@ -344,7 +344,7 @@
 }
 
 /// Accepts a bundle, and asks every box afterwards since when it is in force.
-async fn measure_spread(fleet: &mut Fleet, exchange: &Exchange) -> Result<f64, String> {
+async fn measure_spread(fleet: &mut Fleet, exchange: &HttpClient) -> Result<f64, String> {
     let mut slowest: f64 = 0.0;
     for _ in 0..SPREADS {
         let version = fleet.publish_next(|_| {}).await?;
--- a/crates/wingspur-bench/src/fleet.rs
+++ b/crates/wingspur-bench/src/fleet.rs
@@ -14,7 +14,8 @@
     RouteClass, Service,
 };
 use wingspur_transport::{
-    Exchange, LinkFaults, Published, Spawner, StoreClient, accept_bundle, submit_bundle,
+    FaultInjector, HttpClient, Published, Spawner, StoreClient, accept_bundle,
+    submit_bundle,
 };
 
 use crate::{BackendStandIn, BoxListStandIn, LoadReport, ServerPlan, StoreStandIn};
@@ -229,7 +230,7 @@
 
     /// A client of the store, as the operators' command has one.
     pub fn store_client(&self) -> StoreClient {
-        let exchange = Exchange::new(self.spawner.clone(), LinkFaults::default());
+        let exchange = HttpClient::new(self.spawner.clone(), FaultInjector::default());
         StoreClient::new(
             self.store.address(),
             exchange.into(),
@@ -280,7 +281,7 @@
     pub async fn restart_box(&mut self, index: usize) -> Result<(), String> {
         let settings = self.settings[index].clone();
         let started =
-            EntryBox::start(settings, &self.spawner, LinkFaults::default()).await;
+            EntryBox::start(settings, &self.spawner, FaultInjector::default()).await;
         self.boxes[index] = Some(started.map_err(|error| error.to_string())?);
         Ok(())
     }
@@ -318,7 +319,7 @@
         submitted.map_err(|error| error.to_string())?;
         match accept_bundle(&store, &keys, &signed).await {
             Ok(Published::Accepted) => Ok(()),
-            Ok(Published::Overtaken(by)) => Err(format!("overtaken by {}", by.version)),
+            Ok(Published::Superseded(by)) => Err(format!("overtaken by {}", by.version)),
             Err(error) => Err(error.to_string()),
         }
     }
--- a/crates/wingspur-bench/src/load.rs
+++ b/crates/wingspur-bench/src/load.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, HashSet};
 use wingspur_edge::Settings;
 use wingspur_transport::{
-    BackendPool, Exchange, LinkFaults, SendBody, SendFailure, Spawner,
+    BackendPool, FaultInjector, HttpClient, SendBody, SendFailure, Spawner,
 };
 
 /// Sends load to some addresses, as the platform's balancer would.
@@ -127,7 +127,8 @@
             .map(|settings| settings.caller_address)
             .collect();
         let mut load = Self::new(spawner, &addresses);
-        let exchange = Arc::new(Exchange::new(spawner.clone(), LinkFaults::default()));
+        let exchange =
+            Arc::new(HttpClient::new(spawner.clone(), FaultInjector::default()));
         for (target, settings) in load.targets.iter().zip(settings) {
             let watching = watch(
                 exchange.clone(),
@@ -225,7 +226,7 @@
 }
 
 /// Asks a box for its readiness as often as a balancer would.
-async fn watch(exchange: Arc<Exchange>, operator: SocketAddr, ready: Arc<AtomicBool>) {
+async fn watch(exchange: Arc<HttpClient>, operator: SocketAddr, ready: Arc<AtomicBool>) {
     loop {
         let got = exchange.get(operator, "/ready", READY_EVERY * 5).await;
         ready.store(got.is_ok(), Ordering::Release);
@@ -253,7 +254,7 @@
         request = request.header("x-answer-bytes", bytes);
     }
     let body = match kind.method {
-        "POST" => SendBody::whole(Bytes::from(id.clone())),
+        "POST" => SendBody::buffered(Bytes::from(id.clone())),
         _ => SendBody::empty(),
     };
     let request = request.body(body).expect("the kinds are constants");
@@ -308,7 +309,7 @@
     let (response, lease) = match pool.send(request).await {
         Ok(answered) => answered,
         Err(SendFailure::NotSent { .. }) => return Ended::Unsent,
-        Err(SendFailure::InDoubt(_)) => return Ended::Broken,
+        Err(SendFailure::MaybeSent(_)) => return Ended::Broken,
     };
     let status = response.status().as_u16();
     let code = response.headers().get("wingspur-result");
@@ -316,7 +317,7 @@
     let Ok(body) = response.into_body().collect().await else {
         return Ended::Broken;
     };
-    pool.finish(lease);
+    pool.release(lease);
     Ended::Answered(status, code, body.to_bytes())
 }
 
--- a/crates/wingspur-edge/src/announce.rs
+++ b/crates/wingspur-edge/src/announce.rs
@@ -15,7 +15,7 @@
 pub async fn run_announcement(shared: Arc<Shared>, stop: StopSignal) {
     let mut told_boxes = 0;
     let mut failures = 0u32;
-    while !stop.is_given() && !shared.stopping.has_begun() {
+    while !stop.is_triggered() && !shared.stopping.has_begun() {
         let done = match (next_step(&shared), announcement(&shared)) {
             (AnnouncementStep::AnnounceWithin(span), _) => {
                 announce_within(&shared, span, &mut told_boxes).await
--- a/crates/wingspur-edge/src/answer_body.rs
+++ b/crates/wingspur-edge/src/answer_body.rs
@@ -7,7 +7,7 @@
 use futures_lite::Stream;
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
-use wingspur_transport::{BackendConnection, BodyError, poll_whole};
+use wingspur_transport::{BackendConnection, BodyError, poll_buffered};
 
 use crate::attempt::AttemptGuard;
 use crate::requests_out::Ticket;
@@ -46,7 +46,7 @@
                     return Some((Ok(piece), (first, rest)));
                 }
                 let (mut connection, guard) = rest?;
-                match connection.next_piece().await {
+                match connection.next_chunk().await {
                     // The listener does not ask again after the last byte of a known length.
                     Ok(Some(piece)) if connection.is_read() => {
                         guard.close_good(connection);
@@ -82,7 +82,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(body) => poll_whole(body, context),
+            Self::Whole(body) => poll_buffered(body, context),
             Self::Stream(body) => {
                 let polled = body.pieces.as_mut().poll_next(context);
                 polled.map(|piece| piece.map(|piece| piece.map(Frame::data)))
--- a/crates/wingspur-edge/src/attempt.rs
+++ b/crates/wingspur-edge/src/attempt.rs
@@ -13,7 +13,8 @@
     RequestFingerprint, ServerRecord,
 };
 use wingspur_transport::{
-    AnswerError, AnswerHead, Backend, BackendConnection, Reuse, SendBody,
+    BackendConnection, BackendConnections, ResponseError, ResponseHead, ReusePolicy,
+    SendBody,
 };
 
 use crate::admission::Admitted;
@@ -57,7 +58,7 @@
     /// The beginning of an answer that is too long to hold.
     Streaming {
         /// The status and headers.
-        head: AnswerHead,
+        head: ResponseHead,
         /// What has come of the body.
         first: Vec<Bytes>,
         /// Where the rest comes from.
@@ -96,7 +97,7 @@
 pub struct AttemptGuard {
     shared: Arc<Shared>,
     service: Arc<ServiceState>,
-    backend: Arc<Backend>,
+    backend: Arc<BackendConnections>,
     server: Arc<ServerRecord>,
     request: RequestFingerprint,
     id: Option<AttemptId>,
@@ -137,14 +138,14 @@
             .account_now(&self.shared, &self.route)
         else {
             guard.end(HealthOutcome::Abandoned);
-            guard.backend.keep(connection);
+            guard.backend.release(connection);
             let reason = &"the key was taken away";
             return self.failed(AttemptEnd::NotSent, ResultCode::UnknownKey, reason);
         };
         let began = wingspur_clock::now();
         if !guard.may_send(began) {
             guard.end(HealthOutcome::Abandoned);
-            guard.backend.keep(connection);
+            guard.backend.release(connection);
             let reason = &"the server wants nothing any more";
             return self.failed(AttemptEnd::NotSent, ResultCode::NotSent, reason);
         }
@@ -191,18 +192,18 @@
         connection: &mut BackendConnection,
         account: Option<&ClientAccount>,
         body: SendBody,
-    ) -> Result<Conversed, AnswerError> {
+    ) -> Result<Conversed, ResponseError> {
         let method = &self.outgoing.method;
         let request = self.head_bytes(account, &body);
-        let mut head = connection.exchange(request, body, method).await?;
+        let mut head = connection.send_request(request, body, method).await?;
         let mut hints = self.receive(&head);
         while self.belongs_to_another(&head) {
             // A second answer to an earlier request; ours may follow it.
             tracing::info!(server = %self.pick.server.id, "attempt: skipped an answer to another request.");
-            connection.set_last();
+            connection.disable_reuse();
             let skipped = connection.read_whole(HELD_BYTES).await?;
             if skipped.is_err() || !connection.is_read() {
-                return Err(AnswerError::Unreadable("of another request".to_owned()));
+                return Err(ResponseError::Unreadable("of another request".to_owned()));
             }
             head = connection.read_head(method).await?;
             hints = self.receive(&head);
@@ -214,7 +215,7 @@
         }
     }
 
-    fn receive(&self, head: &AnswerHead) -> ServerHints {
+    fn receive(&self, head: &ResponseHead) -> ServerHints {
         let id = id_text(self.outgoing.id.as_ref());
         observe_response(&self.shared, id, &self.pick.server, head)
     }
@@ -238,7 +239,7 @@
             } else {
                 HealthOutcome::Refused
             });
-            guard.backend.keep(connection);
+            guard.backend.release(connection);
             let end = AttemptEnd::RefusedBeforeRunning;
             return self.failed(end, ResultCode::NotSent, &status);
         }
@@ -246,7 +247,7 @@
             // Without the server's own mark it may have run, and callers would take the
             // status for a promise that it has not.
             guard.end(HealthOutcome::Failed);
-            guard.backend.keep(connection);
+            guard.backend.release(connection);
             return self.failed(
                 AttemptEnd::InDoubt,
                 ResultCode::ConnectionLostAfterSend,
@@ -263,7 +264,7 @@
             } else {
                 HealthOutcome::Failed
             });
-            guard.backend.keep(connection);
+            guard.backend.release(connection);
             return AttemptResult::Failed(Box::new(FailedAttempt {
                 end: AttemptEnd::ServerError,
                 code: ResultCode::ConnectionLostAfterSend,
@@ -300,36 +301,36 @@
     }
 
     /// Checks what an answer must have to be the server's own.
-    fn check_own(&self, head: &AnswerHead) -> Result<(), AnswerError> {
+    fn check_own(&self, head: &ResponseHead) -> Result<(), ResponseError> {
         if !head.status.is_success() {
             return Ok(());
         }
         let stamp = self.shared.names.server_stamp;
         if stamp.is_some_and(|name| !head.headers.contains_key(name)) {
             let reason = "a success without the server's stamp";
-            return Err(AnswerError::Unreadable(reason.to_owned()));
+            return Err(ResponseError::Unreadable(reason.to_owned()));
         }
         let encoded = head.headers.contains_key(CONTENT_ENCODING);
         if stamp.is_some() && encoded {
             // Callers ask for bodies as they are: an encoded one is not the server's.
             let reason = "an encoded body that nobody asked for";
-            return Err(AnswerError::Unreadable(reason.to_owned()));
+            return Err(ResponseError::Unreadable(reason.to_owned()));
         }
         Ok(())
     }
 
-    fn belongs_to_another(&self, head: &AnswerHead) -> bool {
+    fn belongs_to_another(&self, head: &ResponseHead) -> bool {
         let echoed = head.headers.get(self.shared.names.request_id);
         echoed.is_some_and(|id| Some(id) != self.outgoing.id.as_ref())
     }
 
     /// Which connections the request may take: one that must not run twice is in doubt when
     /// a kept connection turns out to lead nowhere, so it takes one that is surely alive.
-    fn reuse(&self) -> Reuse {
+    fn reuse(&self) -> ReusePolicy {
         if self.route.route.class.is_retry_safe() {
-            return Reuse::Any;
+            return ReusePolicy::Any;
         }
-        Reuse::RestedAtMost(SURELY_ALIVE)
+        ReusePolicy::IdleAtMost(SURELY_ALIVE)
     }
 
     fn failed(
@@ -349,8 +350,12 @@
     }
 
     /// An attempt without an answer; the server may have ended under it.
-    fn broken(&self, error: &AnswerError, backend: Arc<Backend>) -> AttemptResult {
-        let broken_off = error.is_broken_off().then(|| BrokenOff {
+    fn broken(
+        &self,
+        error: &ResponseError,
+        backend: Arc<BackendConnections>,
+    ) -> AttemptResult {
+        let broken_off = error.is_connection_lost().then(|| BrokenOff {
             request: self.outgoing.fingerprint,
             server: self.pick.server.clone(),
             backend,
@@ -420,11 +425,14 @@
 /// What came back on the connection.
 enum Conversed {
     Whole(HeldAnswer, ServerHints),
-    Longer { head: AnswerHead, first: Vec<Bytes> },
+    Longer {
+        head: ResponseHead,
+        first: Vec<Bytes>,
+    },
 }
 
 impl AttemptGuard {
-    fn begin(plan: &AttemptPlan, backend: Arc<Backend>) -> Self {
+    fn begin(plan: &AttemptPlan, backend: Arc<BackendConnections>) -> Self {
         let server: &Arc<ServerRecord> = &plan.pick.server;
         let mut balancer = plan.service.balancer.lock();
         let id = balancer.begin(server.key(), plan.expected(), wingspur_clock::now());
@@ -488,14 +496,14 @@
     pub fn close_good(mut self, connection: BackendConnection) {
         self.end(HealthOutcome::Good);
         note_answered(&self.shared, self.request);
-        self.backend.keep(connection);
+        self.backend.release(connection);
     }
 
     /// Ends the attempt by an answer that broke off.
-    pub fn close_failed(mut self, error: &AnswerError) {
+    pub fn close_failed(mut self, error: &ResponseError) {
         tracing::info!(%error, "attempt: an answer under way broke off.");
         self.end(HealthOutcome::Failed);
-        if !error.is_broken_off() {
+        if !error.is_connection_lost() {
             return;
         }
         let broken = BrokenOff {
--- a/crates/wingspur-edge/src/attempts.rs
+++ b/crates/wingspur-edge/src/attempts.rs
@@ -758,7 +758,7 @@
 
     fn take_body(&mut self) -> SendBody {
         let body = self.body.take().unwrap_or(SendBody::empty());
-        self.body = body.copy();
+        self.body = body.try_clone();
         body
     }
 
--- a/crates/wingspur-edge/src/edge_box.rs
+++ b/crates/wingspur-edge/src/edge_box.rs
@@ -244,7 +244,7 @@
 async fn tidy(shared: Arc<Shared>, stop: StopSignal) {
     let mut closed = wingspur_clock::now();
     let mut news_is_late = false;
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         wingspur_clock::sleep(TIDY_EVERY).await;
         let now = wingspur_clock::now();
         news_is_late = watch_news(&shared, news_is_late, now);
--- a/crates/wingspur-edge/src/exchange.rs
+++ b/crates/wingspur-edge/src/exchange.rs
@@ -14,7 +14,7 @@
 };
 use wingspur_state::{SourceId, server_key};
 use wingspur_transport::{
-    LinkBody, LinkError, LinkPatience, LinkReceiver, LinkSender, StopSignal, accept_link,
+    LinkBody, LinkError, LinkReceiver, LinkSender, LinkTimeouts, StopSignal, accept_link,
     empty_link_body, open_link,
 };
 
@@ -33,7 +33,7 @@
 /// Opens and closes links until the box stops.
 pub async fn run_links(shared: Arc<Shared>, stop: StopSignal) {
     let started = wingspur_clock::now();
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         let (mut missing, unplanned) =
             shared.links.lock().differences(wingspur_clock::now());
         if shared.links.lock().is_starting() {
@@ -82,7 +82,7 @@
 /// Sends news over the links until the box stops.
 pub async fn run_exchange(shared: Arc<Shared>, stop: StopSignal) {
     let mut listings = SnapshotFrameCache::default();
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         let pause = shared.links.lock().next_tick(wingspur_clock::now());
         if shared.updates.wait(pause).await {
             // What happens at about the same time goes in one frame.
@@ -142,7 +142,7 @@
     role: LinkRole,
 ) -> Result<Opened, LinkError> {
     let starting = shared.links.lock().is_starting();
-    let patience = LinkPatience {
+    let patience = LinkTimeouts {
         connect: if starting {
             START_CONNECT_TIMEOUT
         } else {
@@ -363,7 +363,7 @@
     links.tidy_listing(now);
     drop(links);
     for id in stuck {
-        drop_link(shared, id, &LinkError::Stuck.to_string());
+        drop_link(shared, id, &LinkError::SendQueueFull.to_string());
     }
     for outgoing in frames {
         if let Err(error) = send(shared, &outgoing, listings) {
--- a/crates/wingspur-edge/src/feed.rs
+++ b/crates/wingspur-edge/src/feed.rs
@@ -18,7 +18,7 @@
     let mut reading = Reading::default();
     let started = wingspur_clock::now();
     wait_for_hub(&shared, started).await;
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         if !should_read(&shared) {
             if reading.active {
                 tracing::info!("store: another box reads it.");
--- a/crates/wingspur-edge/src/given_up.rs
+++ b/crates/wingspur-edge/src/given_up.rs
@@ -4,7 +4,7 @@
 
 use hyper::body::Bytes;
 use wingspur_protocol::ResultCode;
-use wingspur_transport::AnswerHead;
+use wingspur_transport::ResponseHead;
 
 /// Why a request got no answer.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone)]
 pub struct HeldAnswer {
     /// The status and headers.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The body.
     pub body: Bytes,
 }
--- a/crates/wingspur-edge/src/lending.rs
+++ b/crates/wingspur-edge/src/lending.rs
@@ -105,7 +105,7 @@
 /// Keeps the part's clock, and goes on with what waits, until the box stops.
 pub async fn run_lending(shared: Arc<Shared>, stop: StopSignal) {
     let (mut tidied, mut told_part) = (wingspur_clock::now(), 0.0);
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         if shared.lending.lock().has_pending() {
             wingspur_clock::sleep(GO_ON_EVERY).await;
         } else {
--- a/crates/wingspur-edge/src/metrics.rs
+++ b/crates/wingspur-edge/src/metrics.rs
@@ -9,7 +9,7 @@
 };
 use wingspur_protocol::ResultCode;
 use wingspur_state::{RetryReason, StopReason, SuspectEvent};
-use wingspur_transport::ExchangeTotals;
+use wingspur_transport::HttpClientTotals;
 
 use crate::quarantine_state::SendPermission;
 
@@ -381,7 +381,7 @@
     }
 
     /// Takes in the totals of exchanges of one part of the box.
-    pub fn set_exchanges(&self, part: &str, totals: ExchangeTotals) {
+    pub fn set_exchanges(&self, part: &str, totals: HttpClientTotals) {
         let rows = [
             ("calls", totals.calls),
             ("sent_bytes", totals.sent_bytes),
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -16,7 +16,7 @@
 use wingspur_state::{
     RequestFingerprint, SUSPECT_RETENTION, StoreEra, StorePosition, StoredQuarantine,
 };
-use wingspur_transport::{CatalogError, StopSignal, TryCounted};
+use wingspur_transport::{CatalogError, ConditionalWriteResult, StopSignal};
 
 use crate::lending_frames::send;
 use crate::quarantine_state::SendPermission;
@@ -230,7 +230,7 @@
 /// Ends in the store what whole answers have cleared, and forgets what is too old, until the
 /// box stops.
 pub async fn run_quarantine(shared: Arc<Shared>, stop: StopSignal) {
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         wingspur_clock::sleep(TIDY_EVERY).await;
         let now = wingspur_clock::now();
         let outlived = tidy(&shared, now);
@@ -358,19 +358,19 @@
         counted_by: count.counted_by,
         position: count.expected_position,
     };
-    let call = (shared.catalog.count_try)(record, SUSPECT_RETENTION);
+    let call = (shared.catalog.record_trial)(record, SUSPECT_RETENTION);
     let written = call_store(shared, "quarantine", call).await;
     log_write(&record, &written);
     match written {
-        Ok(TryCounted::Stands(position)) => {
+        Ok(ConditionalWriteResult::Written(position)) => {
             put_quarantine(shared, &QuarantineRecord { position, ..record });
             RecordOutcome::Stands
         }
-        Ok(TryCounted::Overtaken(Some(found))) => {
+        Ok(ConditionalWriteResult::Conflict(Some(found))) => {
             put_quarantine(shared, &found);
             RecordOutcome::Overtaken
         }
-        Ok(TryCounted::Overtaken(None)) => {
+        Ok(ConditionalWriteResult::Conflict(None)) => {
             shared.suspects.lock().remove_quarantine(request);
             RecordOutcome::Overtaken
         }
@@ -422,17 +422,24 @@
     let ended = call_store(shared, "end_quarantine", call).await;
     log_write(&record, &ended);
     match ended {
-        Ok(TryCounted::Stands(_) | TryCounted::Overtaken(None)) => {
+        Ok(
+            ConditionalWriteResult::Written(_) | ConditionalWriteResult::Conflict(None),
+        ) => {
             end_quarantine(shared, request);
         }
         // Someone else has written since: the catalog tells.
-        Ok(TryCounted::Overtaken(Some(found))) => put_quarantine(shared, &found),
+        Ok(ConditionalWriteResult::Conflict(Some(found))) => {
+            put_quarantine(shared, &found)
+        }
         // It is tried again with the next round.
         Err(_) => {}
     }
 }
 
-fn log_write(record: &QuarantineRecord, written: &Result<TryCounted, CatalogError>) {
+fn log_write(
+    record: &QuarantineRecord,
+    written: &Result<ConditionalWriteResult, CatalogError>,
+) {
     let (fingerprint, tries) = (record.request, record.tries);
     let on = record.position;
     match written {
--- a/crates/wingspur-edge/src/request.rs
+++ b/crates/wingspur-edge/src/request.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, Version};
 use wingspur_protocol::ResultCode;
 use wingspur_state::{RequestFingerprint, RequestParts};
-use wingspur_transport::{AnswerHead, SendBody};
+use wingspur_transport::{ResponseHead, SendBody};
 
 use crate::admission::{Admitted, Asking, admit, find_route, strip_credentials};
 use crate::answer_body::{AnswerBody, StreamBody};
@@ -214,7 +214,7 @@
         host: host_of(parts).unwrap_or_default(),
         target: target.map_or("/", |target| target.as_str()),
         caller: &caller,
-        body: body.held().unwrap_or_default(),
+        body: body.buffered_bytes().unwrap_or_default(),
         body_bytes: body.size_hint().exact(),
     })
 }
@@ -254,7 +254,7 @@
                 Err(ResultCode::DeadlineBeforeSend)
             };
             let whole = received.or(expired).await?;
-            Ok(SendBody::whole(whole.to_bytes()))
+            Ok(SendBody::buffered(whole.to_bytes()))
         }
         _ => Ok(SendBody::Stream(body, most_bytes)),
     }
@@ -274,7 +274,7 @@
     with_head(answer.head, body)
 }
 
-fn with_head(head: AnswerHead, body: AnswerBody) -> Response<AnswerBody> {
+fn with_head(head: ResponseHead, body: AnswerBody) -> Response<AnswerBody> {
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
     let mut response = Response::new(body);
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -10,7 +10,7 @@
 use wingspur_state::{
     AcquireOutcome, Priority, RegistryChange, ServerKey, ServerLimitChange, ServerRecord,
 };
-use wingspur_transport::AnswerHead;
+use wingspur_transport::ResponseHead;
 
 use crate::lending::want;
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
     shared: &Shared,
     id: &str,
     server: &ServerRecord,
-    head: &AnswerHead,
+    head: &ResponseHead,
 ) -> ServerHints {
     let now = wingspur_clock::now();
     let hints = head.hints(&shared.names, SystemTime::now());
--- a/crates/wingspur-edge/src/services.rs
+++ b/crates/wingspur-edge/src/services.rs
@@ -10,7 +10,7 @@
     Regions, RegistryChange, RetryAfterSchedule, RetryBudgetSettings, ServerKey,
     ServerRecord,
 };
-use wingspur_transport::Backend;
+use wingspur_transport::BackendConnections;
 
 use crate::locks::{Rank, Ranked};
 
@@ -36,7 +36,7 @@
     by_name: Ranked<HashMap<String, Arc<ServiceState>>>,
     /// The service of each announced server.
     by_server: Ranked<HashMap<ServerKey, Arc<ServiceState>>>,
-    backends: Ranked<HashMap<SocketAddr, Arc<Backend>>>,
+    backends: Ranked<HashMap<SocketAddr, Arc<BackendConnections>>>,
     /// The data centres whose servers get nothing more.
     evacuated: Ranked<Arc<BTreeSet<DataCentreId>>>,
 }
@@ -125,9 +125,9 @@
     }
 
     /// The connections to a server's address.
-    pub fn backend(&self, address: SocketAddr) -> Arc<Backend> {
+    pub fn backend(&self, address: SocketAddr) -> Arc<BackendConnections> {
         let mut backends = self.backends.lock();
-        let fresh = || Arc::new(Backend::new(address));
+        let fresh = || Arc::new(BackendConnections::new(address));
         backends.entry(address).or_insert_with(fresh).clone()
     }
 
--- a/crates/wingspur-edge/src/store_calls.rs
+++ b/crates/wingspur-edge/src/store_calls.rs
@@ -4,7 +4,7 @@
 
 use wingspur_coordination::EraChange;
 use wingspur_state::StoreEra;
-use wingspur_transport::{CatalogError, CatalogFuture, EraReading};
+use wingspur_transport::{CatalogError, CatalogFuture, ReportedEra};
 
 use crate::shared::Shared;
 
@@ -33,12 +33,12 @@
 fn check_era(
     shared: &Arc<Shared>,
     kind: &'static str,
-    reading: &EraReading,
+    reading: &ReportedEra,
 ) -> Result<(), CatalogError> {
     let known = shared.links.lock().feed().era();
     let outcome = match reading {
-        EraReading::NoAnswer => return Ok(()),
-        EraReading::Named(era) => match observe_era(shared, *era, kind) {
+        ReportedEra::NoAnswer => return Ok(()),
+        ReportedEra::Named(era) => match observe_era(shared, *era, kind) {
             EraChange::Older => {
                 shared.metrics.count_era("older");
                 tracing::info!(era, known, kind, "store: an answer of an older era.");
@@ -51,8 +51,8 @@
                 return Ok(());
             }
         },
-        EraReading::Missing => "missing",
-        EraReading::Unreadable(_) => "unreadable",
+        ReportedEra::Missing => "missing",
+        ReportedEra::Unreadable(_) => "unreadable",
     };
     if outcome == "missing" && known == 0 {
         // A store that has never named an era has the one.
--- a/crates/wingspur-edge/src/suspects.rs
+++ b/crates/wingspur-edge/src/suspects.rs
@@ -8,7 +8,7 @@
     RegistryChange, RequestFingerprint, ServerRecord, SuspectEvent, SuspectMessage,
     SuspectUpdate,
 };
-use wingspur_transport::{Backend, ConnectError};
+use wingspur_transport::{BackendConnections, ConnectError};
 
 use crate::quarantine::{is_quarantined, open_quarantine};
 use crate::shared::Shared;
@@ -20,7 +20,7 @@
     /// The server.
     pub server: Arc<ServerRecord>,
     /// The connections to it.
-    pub backend: Arc<Backend>,
+    pub backend: Arc<BackendConnections>,
 }
 
 /// Finds out whether the server has ended under an attempt that broke off there: nobody
@@ -31,7 +31,7 @@
     let checked = broken.backend.check(CHECK_TIMEOUT).await;
     let has_ended = checked
         .as_ref()
-        .is_err_and(ConnectError::says_that_nobody_listens);
+        .is_err_and(ConnectError::is_connection_refused);
     tracing::info!(
         fingerprint = %request,
         server = %broken.server.id,
--- a/crates/wingspur-entry/src/bundles.rs
+++ b/crates/wingspur-entry/src/bundles.rs
@@ -12,7 +12,7 @@
 };
 use wingspur_state::{BoxId, BundleVersion, check_bundle};
 use wingspur_transport::{
-    PublishError, StopSignal, StoreError, assemble, load_bundle, load_pointer,
+    PublishError, StopSignal, StoreError, assemble_bundle, load_bundle, load_pointer,
 };
 
 use crate::in_force::{InForce, Place};
@@ -118,7 +118,7 @@
 /// Finds the first bundle: the store's, or with the store down the greatest that the
 /// peers have.
 pub async fn find_first(shared: &Arc<Shared>, stop: &StopSignal) {
-    while shared.bundle_version() == 0 && !stop.is_given() {
+    while shared.bundle_version() == 0 && !stop.is_triggered() {
         if let Err(error) = fetch_from_store(shared).await {
             tracing::warn!("bundle: the store has none for us: {error}.");
         }
@@ -134,7 +134,7 @@
 /// Watches the pointer for as long as this box is a reader of its data centre.
 pub async fn run_reader(shared: Arc<Shared>, stop: StopSignal) {
     let mut failures = 0u32;
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         if !is_reader(&shared) {
             wingspur_clock::sleep(READER_CHECK).await;
             continue;
@@ -166,7 +166,7 @@
     // A watch can go dead without a word: it is opened anew after a while, and the pointer
     // read, whatever it says.
     let end = wingspur_clock::now() + WATCH_AT_MOST;
-    while !stop.is_given() && is_reader(shared) && wingspur_clock::now() < end {
+    while !stop.is_triggered() && is_reader(shared) && wingspur_clock::now() < end {
         let events = watch.next(WATCH_PATIENCE).await?;
         if events.is_some_and(|events| !events.is_empty()) {
             fetch_from_store(shared).await?;
@@ -216,7 +216,7 @@
     parts: HashMap<String, Vec<u8>>,
 ) -> Result<(), BundleRefusal> {
     let version = manifest.version;
-    let bundle = assemble(&manifest, &parts)?;
+    let bundle = assemble_bundle(&manifest, &parts)?;
     if let Some(finding) = check_bundle(&bundle).first() {
         return Err(BundleRefusal::Unsound(finding.to_string()));
     }
--- a/crates/wingspur-entry/src/detection.rs
+++ b/crates/wingspur-entry/src/detection.rs
@@ -20,7 +20,7 @@
 /// Weighs, reports and judges until the box stops.
 pub async fn run_detection(shared: Arc<Shared>, stop: StopSignal) {
     let mut idle = true;
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         // Waking up is what an idle box spends most on.
         wingspur_clock::sleep(if idle { IDLE_TICK } else { EVIDENCE_TICK }).await;
         let Some(bundle) = shared.in_force() else {
--- a/crates/wingspur-entry/src/entry_box.rs
+++ b/crates/wingspur-entry/src/entry_box.rs
@@ -9,8 +9,8 @@
 use wingspur_coordination::MembershipSettings;
 use wingspur_edge::{Metrics, Settings, StopPlan};
 use wingspur_transport::{
-    HttpListener, LinkFaults, ListenerOptions, Spawner, StopTrigger, TlsError, TlsFiles,
-    TlsIdentity, stop_pair,
+    FaultInjector, HttpListener, ListenerOptions, Spawner, StopTrigger, TlsError,
+    TlsFiles, TlsIdentity, stop_pair,
 };
 
 use crate::bundles::{find_first, run_reader};
@@ -66,7 +66,7 @@
     pub async fn start(
         settings: Settings,
         spawner: &Spawner,
-        faults: LinkFaults,
+        faults: FaultInjector,
     ) -> Result<Self, StartError> {
         let sources = settings.own.clone().ok_or(StartError::NoSources)?;
         let caller_port = bind("caller_address", settings.caller_address).await?;
--- a/crates/wingspur-entry/src/peers.rs
+++ b/crates/wingspur-entry/src/peers.rs
@@ -42,7 +42,7 @@
     };
     // An operator's command asks from outside the fleet, and changes nothing.
     if envelope.message != PeerMessage::Status {
-        if certificate.is_some_and(|own| !own.names(&envelope.from)) {
+        if certificate.is_some_and(|own| !own.matches_box(&envelope.from)) {
             tracing::warn!("peer: a certificate that does not name {}.", envelope.from);
             return refuse(&shared, "wrong_certificate", StatusCode::FORBIDDEN);
         }
@@ -108,7 +108,7 @@
 
 /// Sends heartbeats until the box stops.
 pub async fn run_heartbeats(shared: Arc<Shared>, every: Duration, stop: StopSignal) {
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         beat(&shared);
         wingspur_clock::sleep(every).await;
     }
@@ -137,7 +137,7 @@
 /// Reads the platform's list until the box stops.
 pub async fn run_box_list(shared: Arc<Shared>, stop: StopSignal) {
     let mut validator = None;
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         read_box_list(&shared, &mut validator).await;
         wingspur_clock::sleep(LIST_EVERY).await;
     }
@@ -150,7 +150,7 @@
     let known = validator.as_deref();
     let got = shared
         .box_list
-        .get_changed(address, "/boxes", known, LIST_TIMEOUT)
+        .get_if_modified(address, "/boxes", known, LIST_TIMEOUT)
         .await;
     let (bytes, new_validator) = match got {
         Ok(Some(changed)) => changed,
--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -18,7 +18,7 @@
 use wingspur_state::{
     AttemptEnd, AttemptOutcome, RetryDecision, Route, RouteClass, decide_retry,
 };
-use wingspur_transport::{Lease, SendBody, SendFailure};
+use wingspur_transport::{PooledConnection, SendBody, SendFailure};
 
 use crate::claims::{ClaimGuard, claim};
 use crate::concern::Place;
@@ -56,7 +56,7 @@
 }
 
 /// An answer's head with the connection and the attempt that it came by.
-type AnswerHead = (Response<Incoming>, Lease, AttemptGuard);
+type AnswerHead = (Response<Incoming>, PooledConnection, AttemptGuard);
 
 /// The answer's head, or the final code and whether the request surely did not run.
 type Forwarded = Result<AnswerHead, (ResultCode, bool)>;
@@ -200,7 +200,7 @@
             let Some(server) = self.pick(pending, &tried) else {
                 return Err(give_up(ResultCode::NoServer, in_doubt));
             };
-            let kept = body.as_ref().and_then(SendBody::copy);
+            let kept = body.as_ref().and_then(SendBody::try_clone);
             let sent = body.take().unwrap_or(SendBody::empty());
             let attempt = AttemptGuard::begin(pending.handle.clone(), server);
             tried.push(server);
@@ -250,7 +250,7 @@
                 failed.unsent = Some(request.into_body());
                 Err(failed)
             }
-            Some(Err(SendFailure::InDoubt(error))) => {
+            Some(Err(SendFailure::MaybeSent(error))) => {
                 tracing::debug!("proxy: in doubt: {error}.");
                 attempt.finish(AttemptOutcome::Failed);
                 Err(FailedAttempt::new(
@@ -269,7 +269,7 @@
         pending: &Pending,
         mut attempt: AttemptGuard,
         response: Response<Incoming>,
-        lease: Lease,
+        lease: PooledConnection,
     ) -> Result<AnswerHead, FailedAttempt> {
         self.take_hints(pending, attempt.server, response.headers());
         if names_another(&pending.parts.headers, response.headers()) {
@@ -364,7 +364,7 @@
         &self,
         pending: &Pending,
         response: Response<Incoming>,
-        lease: Lease,
+        lease: PooledConnection,
         attempt: AttemptGuard,
         place: Place,
     ) -> Response<AnswerBody> {
@@ -425,7 +425,7 @@
                     Err(ResultCode::DeadlineBeforeSend)
                 };
                 let whole = received.or(expired).await?;
-                Ok(SendBody::whole(whole.to_bytes()))
+                Ok(SendBody::buffered(whole.to_bytes()))
             }
             _ => Ok(SendBody::Stream(body, settings.max_body_bytes)),
         }
--- a/crates/wingspur-entry/src/relay.rs
+++ b/crates/wingspur-entry/src/relay.rs
@@ -10,7 +10,7 @@
 use prometheus::IntCounter;
 use wingspur_clock::Timer;
 use wingspur_state::{AttemptId, AttemptOutcome, ServerIndex};
-use wingspur_transport::{BodyError, Lease, poll_whole};
+use wingspur_transport::{BodyError, PooledConnection, poll_buffered};
 
 use crate::concern::Place;
 use crate::in_force::ServiceHandle;
@@ -40,7 +40,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Own(body) => poll_whole(body, context),
+            Self::Own(body) => poll_buffered(body, context),
             Self::Relay(body) => body.poll(context),
         }
     }
@@ -102,8 +102,8 @@
     }
 
     /// Gives the connection of a whole answer back to the pool.
-    fn give_back(&self, lease: Lease) {
-        self.handle.pools[self.server].finish(lease);
+    fn give_back(&self, lease: PooledConnection) {
+        self.handle.pools[self.server].release(lease);
     }
 
     fn progress(&self) {
@@ -127,7 +127,7 @@
 pub struct RelayBody {
     incoming: Incoming,
     attempt: AttemptGuard,
-    lease: Option<Lease>,
+    lease: Option<PooledConnection>,
     timer: Timer,
     /// For downloads: the longest standstill; the timer starts anew with each byte.
     standstill: Option<Duration>,
@@ -150,7 +150,7 @@
     pub fn new(
         incoming: Incoming,
         attempt: AttemptGuard,
-        lease: Lease,
+        lease: PooledConnection,
         rule: CutRule,
         cuts: IntCounter,
         place: Place,
--- a/crates/wingspur-entry/src/shard_driver.rs
+++ b/crates/wingspur-entry/src/shard_driver.rs
@@ -14,7 +14,7 @@
 /// Drives the log of one shard until the box stops.
 pub async fn drive_shard(shared: Arc<Shared>, shard: u32, stop: StopSignal) {
     let seat = shared.shards.seat(shard);
-    while !stop.is_given() {
+    while !stop.is_triggered() {
         let pending = seat.state.lock().log.has_pending();
         let due = async {
             // A write is due when the commit interval is over; else only a wake counts.
--- a/crates/wingspur-entry/src/shared.rs
+++ b/crates/wingspur-entry/src/shared.rs
@@ -10,7 +10,7 @@
     PEER_PROTOCOL_VERSION, PeerEnvelope, PeerMessage, PeerReply, StoreKeys, encode_peer,
 };
 use wingspur_state::{AccountLimiter, BoxId};
-use wingspur_transport::{Exchange, LinkFaults, Spawner, StoreClient, TlsIdentity};
+use wingspur_transport::{FaultInjector, HttpClient, Spawner, StoreClient, TlsIdentity};
 
 use wingspur_edge::{Metrics, OwnSources, Rank, Ranked, Settings, Stopping};
 
@@ -30,13 +30,13 @@
     /// Counters and gauges.
     pub metrics: Metrics,
     /// Connections to peers.
-    pub peers: Exchange,
+    pub peers: HttpClient,
     /// Connections to the box list.
-    pub box_list: Exchange,
+    pub box_list: HttpClient,
     /// Who the box is towards its peers.
     pub identity: Option<Arc<TlsIdentity>>,
     /// Connections to the store.
-    pub store_exchange: Arc<Exchange>,
+    pub store_exchange: Arc<HttpClient>,
     /// The store.
     pub store: StoreClient,
     /// The store's keys of this fleet.
@@ -79,19 +79,19 @@
         settings: Settings,
         sources: OwnSources,
         spawner: Spawner,
-        faults: &LinkFaults,
+        faults: &FaultInjector,
         identity: Option<Arc<TlsIdentity>>,
     ) -> Self {
-        let store_exchange = Arc::new(Exchange::new(spawner.clone(), faults.clone()));
+        let store_exchange = Arc::new(HttpClient::new(spawner.clone(), faults.clone()));
         let exchange = store_exchange.clone();
         let store = StoreClient::new(sources.store_address, exchange, STORE_TIMEOUT);
         let membership =
             Membership::new(settings.box_id.clone(), MembershipSettings::default());
         let incarnation = unix_time().as_micros() as u64;
         Self {
-            peers: Exchange::new(spawner.clone(), faults.clone())
+            peers: HttpClient::new(spawner.clone(), faults.clone())
                 .with_identity(identity.clone()),
-            box_list: Exchange::new(spawner.clone(), faults.clone()),
+            box_list: HttpClient::new(spawner.clone(), faults.clone()),
             identity,
             store_exchange,
             store,
--- a/crates/wingspur-transport/src/backend.rs
+++ b/crates/wingspur-transport/src/backend.rs
@@ -23,13 +23,13 @@
 use wingspur_state::MAX_RESEND_TRANSIT;
 
 use crate::SendBody;
-use crate::answer_head::{
+use crate::response_head::{
     Framing, ParsedHead, framing_of, parse_head, rest_of, unreadable,
 };
 
 /// The connections of this box to one backend server.
 #[derive(Debug)]
-pub struct Backend {
+pub struct BackendConnections {
     address: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
     opened: AtomicUsize,
@@ -39,7 +39,7 @@
 
 /// A connection in use for one request.
 ///
-/// It goes back by `Backend::keep`, after its answer was read whole; when it is dropped
+/// It goes back by `BackendConnections::release`, after its answer was read whole; when it is dropped
 /// instead, it closes.
 #[derive(Debug)]
 pub struct BackendConnection {
@@ -55,16 +55,16 @@
 
 /// Which connection a request may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ReusePolicy {
     /// Any that has not rested too long.
     Any,
     /// One that has rested no longer than this.
-    RestedAtMost(Duration),
+    IdleAtMost(Duration),
 }
 
 /// The head of an answer.
 #[derive(Debug, Clone)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// All headers, as the server sent them.
@@ -86,7 +86,7 @@
 
 impl ConnectError {
     /// Whether the machine answered that nobody listens at the port.
-    pub fn says_that_nobody_listens(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         match self {
             Self::Silent(_) => false,
             Self::Refused(error) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -94,16 +94,16 @@
     }
 }
 
-impl AnswerError {
+impl ResponseError {
     /// Whether the connection ended, as it does when the server's process does.
-    pub fn is_broken_off(&self) -> bool {
+    pub fn is_connection_lost(&self) -> bool {
         matches!(self, Self::Broken(_))
     }
 }
 
 /// Why an answer is missing or of no use: the request may have run.
 #[derive(Debug, thiserror::Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// The connection failed or ended before the whole answer was in.
     #[error("the answer broke off: {0}")]
     Broken(io::Error),
@@ -121,7 +121,7 @@
     since: Instant,
 }
 
-impl Backend {
+impl BackendConnections {
     /// Starts with no connections.
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -136,7 +136,7 @@
     /// one came up fast.
     pub async fn connect(
         &self,
-        reuse: Reuse,
+        reuse: ReusePolicy,
         timeout: Duration,
     ) -> Result<BackendConnection, ConnectError> {
         let now = wingspur_clock::now();
@@ -152,7 +152,7 @@
     /// kept for the next request.
     pub async fn check(&self, timeout: Duration) -> Result<(), ConnectError> {
         let connection = self.open(timeout).await?;
-        self.keep(connection);
+        self.release(connection);
         Ok(())
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes back a connection whose answer was read whole, if another may follow.
-    pub fn keep(&self, mut connection: BackendConnection) {
+    pub fn release(&self, mut connection: BackendConnection) {
         if !connection.may_follow() {
             return;
         }
@@ -210,12 +210,12 @@
     }
 
     /// The newest kept connection that may still be used.
-    fn take_idle(&self, reuse: Reuse, now: Instant) -> Option<BackendConnection> {
+    fn take_idle(&self, reuse: ReusePolicy, now: Instant) -> Option<BackendConnection> {
         let mut idle = self.idle.lock().expect("no holder panics");
         let newest = idle.last()?;
         let limit = match reuse {
-            Reuse::Any => newest.connection.rest_for,
-            Reuse::RestedAtMost(limit) => limit.min(newest.connection.rest_for),
+            ReusePolicy::Any => newest.connection.rest_for,
+            ReusePolicy::IdleAtMost(limit) => limit.min(newest.connection.rest_for),
         };
         if newest.has_rested(limit, now) {
             return None;
@@ -246,12 +246,12 @@
     /// An answer that comes before the request is in ends the sending, and the connection
     /// with its answer: the server may still read on, and must not take what follows for
     /// the rest of the body.
-    pub async fn exchange(
+    pub async fn send_request(
         &mut self,
         head: Vec<u8>,
         body: SendBody,
         method: &Method,
-    ) -> Result<AnswerHead, AnswerError> {
+    ) -> Result<ResponseHead, ResponseError> {
         let writer = self.stream.clone();
         let mut sending = pin!(send(writer, head, body));
         let (sent, answer) = {
@@ -261,7 +261,7 @@
                 if sent.is_none()
                     && let Poll::Ready(ended) = sending.as_mut().poll(context)
                 {
-                    if let Err(error @ AnswerError::RequestBody) = ended {
+                    if let Err(error @ ResponseError::RequestBody) = ended {
                         return Poll::Ready((Some(Ok(())), Err(error)));
                     }
                     // A server that refuses early may close its side: its answer, not the
@@ -283,7 +283,7 @@
     pub async fn read_head(
         &mut self,
         method: &Method,
-    ) -> Result<AnswerHead, AnswerError> {
+    ) -> Result<ResponseHead, ResponseError> {
         loop {
             if let Some((head, length)) = parse_head(&self.buffer)? {
                 self.buffer.advance(length);
@@ -302,7 +302,7 @@
     }
 
     /// The next piece of the answer's body; none at its end.
-    pub async fn next_piece(&mut self) -> Result<Option<Bytes>, AnswerError> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, ResponseError> {
         loop {
             match self.framing {
                 Framing::Done => return Ok(None),
@@ -338,10 +338,10 @@
     pub async fn read_whole(
         &mut self,
         limit: usize,
-    ) -> Result<Result<Bytes, Vec<Bytes>>, AnswerError> {
+    ) -> Result<Result<Bytes, Vec<Bytes>>, ResponseError> {
         let mut pieces = Vec::new();
         let mut length = 0;
-        while let Some(piece) = self.next_piece().await? {
+        while let Some(piece) = self.next_chunk().await? {
             length += piece.len();
             pieces.push(piece);
             if length > limit {
@@ -357,7 +357,7 @@
     }
 
     /// Closes the connection after this answer, whatever the server says.
-    pub fn set_last(&mut self) {
+    pub fn disable_reuse(&mut self) {
         self.reusable = false;
     }
 
@@ -377,7 +377,7 @@
         &mut self,
         head: ParsedHead,
         method: &Method,
-    ) -> Result<AnswerHead, AnswerError> {
+    ) -> Result<ResponseHead, ResponseError> {
         let ParsedHead {
             status,
             headers,
@@ -400,14 +400,14 @@
             Framing::Done => Some(0),
             Framing::Chunked(_) | Framing::UntilClose => None,
         };
-        Ok(AnswerHead {
+        Ok(ResponseHead {
             status,
             headers,
             body_bytes,
         })
     }
 
-    async fn take_piece(&mut self, most: u64) -> Result<Bytes, AnswerError> {
+    async fn take_piece(&mut self, most: u64) -> Result<Bytes, ResponseError> {
         if self.buffer.is_empty() && self.fill().await? == 0 {
             return Err(ended_early());
         }
@@ -415,7 +415,7 @@
         Ok(self.buffer.split_to(length).freeze())
     }
 
-    async fn begin_chunk(&mut self) -> Result<(), AnswerError> {
+    async fn begin_chunk(&mut self) -> Result<(), ResponseError> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((head, 0))) => {
@@ -441,7 +441,7 @@
         }
     }
 
-    async fn skip_trailers(&mut self) -> Result<(), AnswerError> {
+    async fn skip_trailers(&mut self) -> Result<(), ResponseError> {
         loop {
             let end = self.buffer.windows(2).position(|pair| pair == b"\r\n");
             match end {
@@ -459,7 +459,7 @@
         }
     }
 
-    async fn expect_line_end(&mut self) -> Result<(), AnswerError> {
+    async fn expect_line_end(&mut self) -> Result<(), ResponseError> {
         while self.buffer.len() < 2 {
             if self.fill().await? == 0 {
                 return Err(ended_early());
@@ -473,12 +473,12 @@
     }
 
     /// Reads more into the buffer; 0 when the server has closed.
-    async fn fill(&mut self) -> Result<usize, AnswerError> {
+    async fn fill(&mut self) -> Result<usize, ResponseError> {
         let held = self.buffer.len();
         self.buffer.resize(held + READ_BYTES, 0);
         let read = self.stream.read(&mut self.buffer[held..]).await;
         self.buffer.truncate(held + *read.as_ref().unwrap_or(&0));
-        read.map_err(AnswerError::Broken)
+        read.map_err(ResponseError::Broken)
     }
 }
 
@@ -486,11 +486,11 @@
     mut stream: TcpStream,
     head: Vec<u8>,
     body: SendBody,
-) -> Result<(), AnswerError> {
-    let broken = AnswerError::Broken;
+) -> Result<(), ResponseError> {
+    let broken = ResponseError::Broken;
     match body {
-        SendBody::Whole(None) => stream.write_all(&head).await.map_err(broken),
-        SendBody::Whole(Some(bytes)) => {
+        SendBody::Buffered(None) => stream.write_all(&head).await.map_err(broken),
+        SendBody::Buffered(Some(bytes)) => {
             let mut all = head;
             all.extend_from_slice(&bytes);
             stream.write_all(&all).await.map_err(broken)
@@ -507,10 +507,10 @@
     mut stream: TcpStream,
     mut body: SendBody,
     chunked: bool,
-) -> Result<(), AnswerError> {
-    let broken = AnswerError::Broken;
+) -> Result<(), ResponseError> {
+    let broken = ResponseError::Broken;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| AnswerError::RequestBody)?;
+        let frame = frame.map_err(|_| ResponseError::RequestBody)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -543,8 +543,8 @@
     whole.freeze()
 }
 
-fn ended_early() -> AnswerError {
-    AnswerError::Broken(io::ErrorKind::UnexpectedEof.into())
+fn ended_early() -> ResponseError {
+    ResponseError::Broken(io::ErrorKind::UnexpectedEof.into())
 }
 
 /// For how long bytes may wait for their acknowledgement, also once the connection is closed:
--- a/crates/wingspur-transport/src/body.rs
+++ b/crates/wingspur-transport/src/body.rs
@@ -10,36 +10,36 @@
 #[derive(Debug)]
 pub enum SendBody {
     /// Held in memory; none once it was sent.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// Streamed from the caller, up to a limit in bytes.
     Stream(Incoming, u64),
 }
 
 impl SendBody {
     /// A body held in memory.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes))
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Some(bytes))
     }
 
     /// A second copy of a body that is held in memory; none of a streamed one.
-    pub fn copy(&self) -> Option<Self> {
+    pub fn try_clone(&self) -> Option<Self> {
         match self {
-            Self::Whole(bytes) => Some(Self::Whole(Option::<Bytes>::clone(bytes))),
+            Self::Buffered(bytes) => Some(Self::Buffered(Option::<Bytes>::clone(bytes))),
             Self::Stream(..) => None,
         }
     }
 
     /// The bytes of a body that is held in memory; none of a streamed one.
-    pub fn held(&self) -> Option<&[u8]> {
+    pub fn buffered_bytes(&self) -> Option<&[u8]> {
         match self {
-            Self::Whole(bytes) => Some(bytes.as_deref().unwrap_or_default()),
+            Self::Buffered(bytes) => Some(bytes.as_deref().unwrap_or_default()),
             Self::Stream(..) => None,
         }
     }
 
     /// No body.
     pub fn empty() -> Self {
-        Self::Whole(None)
+        Self::Buffered(None)
     }
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Polls a body that is held whole as one that could break off.
-pub fn poll_whole(
+pub fn poll_buffered(
     body: &mut Full<Bytes>,
     context: &mut Context<'_>,
 ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
@@ -75,7 +75,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
             Self::Stream(incoming, left) => {
@@ -99,14 +99,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
+            Self::Buffered(bytes) => bytes.is_none(),
             Self::Stream(incoming, _) => incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
             Self::Stream(incoming, _) => incoming.size_hint(),
--- a/crates/wingspur-transport/src/catalog.rs
+++ b/crates/wingspur-transport/src/catalog.rs
@@ -38,8 +38,10 @@
     pub withdraw: Arc<dyn Fn(BoxId, StorePosition) -> CatalogFuture<bool> + Send + Sync>,
     /// Writes how often a request in quarantine was let through, if what stands there was
     /// written at the record's position; it stands for the time given.
-    pub count_try: Arc<
-        dyn Fn(QuarantineRecord, Duration) -> CatalogFuture<TryCounted> + Send + Sync,
+    pub record_trial: Arc<
+        dyn Fn(QuarantineRecord, Duration) -> CatalogFuture<ConditionalWriteResult>
+            + Send
+            + Sync,
     >,
     /// Reads what stands there of a request in quarantine now.
     pub read_quarantine: Arc<
@@ -49,25 +51,26 @@
     >,
     /// Ends the quarantine of a request, if what stands there was written at the record's
     /// position.
-    pub end_quarantine:
-        Arc<dyn Fn(QuarantineRecord) -> CatalogFuture<TryCounted> + Send + Sync>,
+    pub end_quarantine: Arc<
+        dyn Fn(QuarantineRecord) -> CatalogFuture<ConditionalWriteResult> + Send + Sync,
+    >,
 }
 
 /// A call of a catalog under way.
-pub type CatalogFuture<T> = Pin<Box<dyn Future<Output = CatalogAnswer<T>> + Send>>;
+pub type CatalogFuture<T> = Pin<Box<dyn Future<Output = CatalogResponse<T>> + Send>>;
 
 /// What came of a call, with what the store said of its era.
 #[derive(Debug)]
-pub struct CatalogAnswer<T, E = CatalogError> {
+pub struct CatalogResponse<T, E = CatalogError> {
     /// What the answer said of the era, whatever came of the call.
-    pub era: EraReading,
+    pub era: ReportedEra,
     /// What came of the call.
     pub outcome: Result<T, E>,
 }
 
 /// What an answer of the store said of its era.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum EraReading {
+pub enum ReportedEra {
     /// There was no answer.
     NoAnswer,
     /// It named none.
@@ -80,11 +83,11 @@
 
 /// What came of a write that depends on a position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryCounted {
+pub enum ConditionalWriteResult {
     /// It was made, at this position.
-    Stands(StorePosition),
+    Written(StorePosition),
     /// Something else stands there, or nothing.
-    Overtaken(Option<QuarantineRecord>),
+    Conflict(Option<QuarantineRecord>),
 }
 
 /// A lease in the store. A restored store gives its ids out again.
@@ -113,7 +116,7 @@
 pub enum CatalogError {
     /// No answer, or a refusal: the store is away, for this box at least.
     #[error("the store cannot be had: {0}")]
-    Away(String),
+    Unavailable(String),
     /// The position to watch from, or the pages read so far, are not of the history that
     /// the store has now.
     #[error("the store does not have the history after this position; list anew")]
@@ -137,20 +140,20 @@
     Unreadable(String),
 }
 
-impl<T, E> CatalogAnswer<T, E> {
+impl<T, E> CatalogResponse<T, E> {
     /// The same answer with another outcome, made of its own.
     pub fn and_then<U, F>(
         self,
         outcome: impl FnOnce(Result<T, E>) -> Result<U, F>,
-    ) -> CatalogAnswer<U, F> {
-        CatalogAnswer {
+    ) -> CatalogResponse<U, F> {
+        CatalogResponse {
             era: self.era,
             outcome: outcome(self.outcome),
         }
     }
 }
 
-impl EraReading {
+impl ReportedEra {
     /// The era; a store that has never named one is in era 0.
     pub fn era(&self) -> StoreEra {
         match self {
@@ -162,8 +165,8 @@
 
 impl CatalogError {
     /// Whether the store is away, for this box at least.
-    pub fn is_away(&self) -> bool {
-        matches!(self, Self::Away(_))
+    pub fn is_unavailable(&self) -> bool {
+        matches!(self, Self::Unavailable(_))
     }
 }
 
--- a/crates/wingspur-transport/src/faults.rs
+++ b/crates/wingspur-transport/src/fault_injection.rs
@@ -7,7 +7,7 @@
 
 /// What happens to one exchange on a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum LinkFault {
+pub enum InjectedFault {
     /// Nothing.
     #[default]
     None,
@@ -21,27 +21,29 @@
 
 /// Decides, for each exchange, which fault befalls it; none in production.
 #[derive(Clone, Default)]
-pub struct LinkFaults {
-    decide: Option<Arc<dyn Fn(SocketAddr) -> LinkFault + Send + Sync>>,
+pub struct FaultInjector {
+    decide: Option<Arc<dyn Fn(SocketAddr) -> InjectedFault + Send + Sync>>,
 }
 
-impl LinkFaults {
+impl FaultInjector {
     /// Faults by the receiver's address.
-    pub fn new(decide: impl Fn(SocketAddr) -> LinkFault + Send + Sync + 'static) -> Self {
+    pub fn new(
+        decide: impl Fn(SocketAddr) -> InjectedFault + Send + Sync + 'static,
+    ) -> Self {
         Self {
             decide: Some(Arc::new(decide)),
         }
     }
 
     /// The fault of an exchange with `to`.
-    pub fn toward(&self, to: SocketAddr) -> LinkFault {
+    pub fn fault_for(&self, to: SocketAddr) -> InjectedFault {
         self.decide
             .as_ref()
-            .map_or(LinkFault::None, |decide| decide(to))
+            .map_or(InjectedFault::None, |decide| decide(to))
     }
 }
 
-impl Debug for LinkFaults {
+impl Debug for FaultInjector {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("LinkFaults")
             .field("set", &self.decide.is_some())
--- a/crates/wingspur-transport/src/exchange.rs
+++ b/crates/wingspur-transport/src/http_client.rs
@@ -17,13 +17,13 @@
 use smol::net::TcpStream;
 use smol_hyper::rt::FuturesIo;
 
-use crate::{LinkFault, LinkFaults, Spawner, TlsIdentity};
+use crate::{FaultInjector, InjectedFault, Spawner, TlsIdentity};
 
 /// Exchanges small messages with the store, the box list and peers.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct HttpClient {
     connector: Connector,
-    faults: LinkFaults,
+    faults: FaultInjector,
     idle: Mutex<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
     sent_bytes: AtomicU64,
     received_bytes: AtomicU64,
@@ -39,7 +39,7 @@
 
 /// A whole reply.
 #[derive(Debug, Clone)]
-pub struct Reply {
+pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -50,7 +50,7 @@
 
 /// What was exchanged; bytes are those of bodies, without heads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ExchangeTotals {
+pub struct HttpClientTotals {
     /// Calls begun.
     pub calls: u64,
     /// Bytes sent.
@@ -61,7 +61,7 @@
 
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
-pub enum ExchangeError {
+pub enum HttpClientError {
     /// No reply within the time given: the request may have taken effect.
     #[error("no reply in time")]
     Timeout,
@@ -79,9 +79,9 @@
     Status(StatusCode),
 }
 
-impl Exchange {
+impl HttpClient {
     /// Starts with no connections.
-    pub fn new(spawner: Spawner, faults: LinkFaults) -> Self {
+    pub fn new(spawner: Spawner, faults: FaultInjector) -> Self {
         Self {
             connector: Connector::new(spawner, None),
             faults,
@@ -105,7 +105,7 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Bytes, ExchangeError> {
+    ) -> Result<Bytes, HttpClientError> {
         let request = Request::post(path).header("host", to.to_string());
         let request = request.body(Full::new(Bytes::from(body)));
         self.call(to, request.expect("the path is a constant"), timeout)
@@ -118,7 +118,7 @@
         to: SocketAddr,
         path: &str,
         timeout: Duration,
-    ) -> Result<Bytes, ExchangeError> {
+    ) -> Result<Bytes, HttpClientError> {
         let request = Request::get(path).header("host", to.to_string());
         let request = request.body(Full::new(Bytes::new()));
         self.call(to, request.expect("the path is a constant"), timeout)
@@ -127,13 +127,13 @@
 
     /// Gets a document that has changed since the one with the validator `known`; none
     /// when it has not. With the document comes its own validator, if it has one.
-    pub async fn get_changed(
+    pub async fn get_if_modified(
         &self,
         to: SocketAddr,
         path: &str,
         known: Option<&str>,
         timeout: Duration,
-    ) -> Result<Option<(Bytes, Option<String>)>, ExchangeError> {
+    ) -> Result<Option<(Bytes, Option<String>)>, HttpClientError> {
         let mut request = Request::get(path).header("host", to.to_string());
         if let Some(known) = known {
             request = request.header(IF_NONE_MATCH, known);
@@ -145,7 +145,7 @@
             return Ok(None);
         }
         if !parts.status.is_success() {
-            return Err(ExchangeError::Status(parts.status));
+            return Err(HttpClientError::Status(parts.status));
         }
         let validator = parts
             .headers
@@ -162,16 +162,16 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Reply, ExchangeError> {
+    ) -> Result<HttpResponse, HttpClientError> {
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = method;
-        *request.uri_mut() = path.parse().map_err(|_| ExchangeError::Reply)?;
+        *request.uri_mut() = path.parse().map_err(|_| HttpClientError::Reply)?;
         let host = HeaderValue::from_str(&to.to_string());
         request
             .headers_mut()
             .insert(HOST, host.expect("addresses are visible characters"));
         let (parts, body) = self.call_for_head(to, request, timeout).await?;
-        Ok(Reply {
+        Ok(HttpResponse {
             status: parts.status,
             headers: parts.headers,
             body,
@@ -185,7 +185,7 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Response<hyper::body::Incoming>, ExchangeError> {
+    ) -> Result<Response<hyper::body::Incoming>, HttpClientError> {
         let opening = async {
             self.apply_request_fault(to).await;
             let mut sender = self.connector.connect(to).await?;
@@ -196,7 +196,7 @@
                 .send_request(request.expect("the path is a constant"))
                 .await?;
             if !response.status().is_success() {
-                return Err(ExchangeError::Status(response.status()));
+                return Err(HttpClientError::Status(response.status()));
             }
             Ok(response)
         };
@@ -204,8 +204,8 @@
     }
 
     /// What was exchanged since the start.
-    pub fn totals(&self) -> ExchangeTotals {
-        ExchangeTotals {
+    pub fn totals(&self) -> HttpClientTotals {
+        HttpClientTotals {
             calls: self.calls.load(Ordering::Relaxed),
             sent_bytes: self.sent_bytes.load(Ordering::Relaxed),
             received_bytes: self.received_bytes.load(Ordering::Relaxed),
@@ -217,10 +217,10 @@
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<Bytes, ExchangeError> {
+    ) -> Result<Bytes, HttpClientError> {
         let (parts, body) = self.call_for_head(to, request, timeout).await?;
         if !parts.status.is_success() {
-            return Err(ExchangeError::Status(parts.status));
+            return Err(HttpClientError::Status(parts.status));
         }
         Ok(body)
     }
@@ -230,7 +230,7 @@
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<(Parts, Bytes), ExchangeError> {
+    ) -> Result<(Parts, Bytes), HttpClientError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         self.call_in_time(to, request).or(expire(timeout)).await
     }
@@ -239,7 +239,7 @@
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<(Parts, Bytes), ExchangeError> {
+    ) -> Result<(Parts, Bytes), HttpClientError> {
         let fault = self.apply_request_fault(to).await;
         let sent = request.body().size_hint_bytes();
         let mut sender = match self.take_idle(to) {
@@ -253,25 +253,25 @@
         let body = body
             .collect()
             .await
-            .map_err(|_| ExchangeError::Reply)?
+            .map_err(|_| HttpClientError::Reply)?
             .to_bytes();
         self.received_bytes
             .fetch_add(body.len() as u64, Ordering::Relaxed);
-        if fault == LinkFault::DropReply {
+        if fault == InjectedFault::DropReply {
             futures_lite::future::pending::<()>().await;
         }
         self.keep_idle(to, sender);
         Ok((parts, body))
     }
 
-    async fn apply_request_fault(&self, to: SocketAddr) -> LinkFault {
-        let fault = self.faults.toward(to);
+    async fn apply_request_fault(&self, to: SocketAddr) -> InjectedFault {
+        let fault = self.faults.fault_for(to);
         match fault {
-            LinkFault::DropRequest => futures_lite::future::pending::<()>().await,
-            LinkFault::Delay(time) => {
+            InjectedFault::DropRequest => futures_lite::future::pending::<()>().await,
+            InjectedFault::Delay(time) => {
                 wingspur_clock::sleep(time).await;
             }
-            LinkFault::None | LinkFault::DropReply => {}
+            InjectedFault::None | InjectedFault::DropReply => {}
         }
         fault
     }
@@ -306,7 +306,7 @@
     pub async fn connect<B>(
         &self,
         to: SocketAddr,
-    ) -> Result<SendRequest<B>, ExchangeError>
+    ) -> Result<SendRequest<B>, HttpClientError>
     where
         B: Body<Data = Bytes> + Send + 'static,
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -324,7 +324,7 @@
         }
     }
 
-    async fn handshake<S, B>(&self, stream: S) -> Result<SendRequest<B>, ExchangeError>
+    async fn handshake<S, B>(&self, stream: S) -> Result<SendRequest<B>, HttpClientError>
     where
         S: AsyncRead + AsyncWrite + Send + Unpin + 'static,
         B: Body<Data = Bytes> + Send + 'static,
@@ -366,9 +366,9 @@
     }
 }
 
-async fn expire<T>(timeout: Duration) -> Result<T, ExchangeError> {
+async fn expire<T>(timeout: Duration) -> Result<T, HttpClientError> {
     wingspur_clock::sleep(timeout).await;
-    Err(ExchangeError::Timeout)
+    Err(HttpClientError::Timeout)
 }
 
 /// What a connection buffers each way; a buffer that has grown stays as it is.
--- a/crates/wingspur-transport/src/lib.rs
+++ b/crates/wingspur-transport/src/lib.rs
@@ -1,38 +1,41 @@
 //! Sockets: listeners, backend connections, the store client and the peer client.
 
-mod answer_head;
 mod backend;
 mod body;
 mod catalog;
-mod exchange;
-mod faults;
+mod fault_injection;
+mod http_client;
 mod link;
 mod listener;
 mod pool;
 mod publish;
+mod response_head;
 mod server_hints;
 mod store;
 mod tls;
 mod workers;
 
 pub use backend::{
-    AnswerError, AnswerHead, Backend, BackendConnection, ConnectError, Reuse,
+    BackendConnection, BackendConnections, ConnectError, ResponseError, ResponseHead,
+    ReusePolicy,
 };
-pub use body::{BodyError, SendBody, poll_whole};
+pub use body::{BodyError, SendBody, poll_buffered};
 pub use catalog::{
-    Announcement, Catalog, CatalogAnswer, CatalogError, CatalogFuture, EraReading,
-    LeaseId, StoreLease, TryCounted,
+    Announcement, Catalog, CatalogError, CatalogFuture, CatalogResponse,
+    ConditionalWriteResult, LeaseId, ReportedEra, StoreLease,
+};
+pub use fault_injection::{FaultInjector, InjectedFault};
+pub use http_client::{
+    Connector, HttpClient, HttpClientError, HttpClientTotals, HttpResponse,
 };
-pub use exchange::{Connector, Exchange, ExchangeError, ExchangeTotals, Reply};
-pub use faults::{LinkFault, LinkFaults};
 pub use link::{
-    LinkBody, LinkError, LinkPatience, LinkReceiver, LinkSender, accept_link,
+    LinkBody, LinkError, LinkReceiver, LinkSender, LinkTimeouts, accept_link,
     empty_link_body, open_link,
 };
 pub use listener::{HttpListener, ListenerCounts, ListenerOptions};
-pub use pool::{BackendPool, Lease, SendFailure};
+pub use pool::{BackendPool, PooledConnection, SendFailure};
 pub use publish::{
-    PublishError, Published, accept_bundle, assemble, load_bundle, load_pointer,
+    PublishError, Published, accept_bundle, assemble_bundle, load_bundle, load_pointer,
     submit_bundle,
 };
 pub use store::{
--- a/crates/wingspur-transport/src/link.rs
+++ b/crates/wingspur-transport/src/link.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use wingspur_protocol::{EncodedFrame, FrameError, decode_next_frame};
 
-use crate::exchange::{Connector, ExchangeError};
+use crate::http_client::{Connector, HttpClientError};
 
 /// Sends frames; cheap to copy. The exchange ends when all copies are gone.
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
 pub enum LinkError {
     /// It could not be opened.
     #[error(transparent)]
-    Open(#[from] ExchangeError),
+    Open(#[from] HttpClientError),
     /// The other side has ended it in order, after giving up the link.
     #[error("the other side has ended it")]
     Ended,
@@ -55,7 +55,7 @@
     Silent(Duration),
     /// The other side does not read what it is sent.
     #[error("the other side does not read")]
-    Stuck,
+    SendQueueFull,
     /// A frame cannot be read.
     #[error(transparent)]
     Frame(#[from] FrameError),
@@ -63,7 +63,7 @@
 
 /// How long a link may take to open.
 #[derive(Debug, Clone, Copy)]
-pub struct LinkPatience {
+pub struct LinkTimeouts {
     /// Until the connection is up: a machine without power says nothing at all.
     pub connect: Duration,
     /// Until the other side has answered.
@@ -75,7 +75,7 @@
     connector: &Connector,
     to: SocketAddr,
     path: &str,
-    patience: LinkPatience,
+    patience: LinkTimeouts,
 ) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let (sender, body) = link_body();
     let opening = async {
@@ -88,9 +88,9 @@
         let request = Request::post(path).header("host", to.to_string());
         let request = request.body(body).expect("the path is a constant");
         let response = connection.send_request(request).await;
-        let response = response.map_err(ExchangeError::from)?;
+        let response = response.map_err(HttpClientError::from)?;
         if !response.status().is_success() {
-            return Err(LinkError::from(ExchangeError::Status(response.status())));
+            return Err(LinkError::from(HttpClientError::Status(response.status())));
         }
         Ok(LinkReceiver::new(response.into_body()))
     };
@@ -127,7 +127,7 @@
         let length = bytes.len();
         match self.frames.try_send(bytes) {
             Ok(()) => Ok(length),
-            Err(async_channel::TrySendError::Full(_)) => Err(LinkError::Stuck),
+            Err(async_channel::TrySendError::Full(_)) => Err(LinkError::SendQueueFull),
             Err(async_channel::TrySendError::Closed(_)) => Err(LinkError::Gone),
         }
     }
--- a/crates/wingspur-transport/src/listener.rs
+++ b/crates/wingspur-transport/src/listener.rs
@@ -306,7 +306,7 @@
             %from,
             running,
             begun = carried.begun.load(Ordering::Acquire),
-            stopping = self.signal.is_given(),
+            stopping = self.signal.is_triggered(),
             error = error.unwrap_or_default(),
             "listen: a connection ended under a request."
         );
--- a/crates/wingspur-transport/src/pool.rs
+++ b/crates/wingspur-transport/src/pool.rs
@@ -34,7 +34,7 @@
 /// It goes back to the pool only by `finish`, after the answer was read whole; when
 /// it is dropped instead, the connection closes.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     sender: SendRequest<SendBody>,
 }
 
@@ -51,7 +51,7 @@
     },
     /// Some of it may have been sent.
     #[error("the request may have run: {0}")]
-    InDoubt(hyper::Error),
+    MaybeSent(hyper::Error),
 }
 
 impl BackendPool {
@@ -69,7 +69,7 @@
     pub async fn send(
         &self,
         request: Request<SendBody>,
-    ) -> Result<(Response<Incoming>, Lease), SendFailure> {
+    ) -> Result<(Response<Incoming>, PooledConnection), SendFailure> {
         let mut request = request;
         // A kept connection may have been closed by the server meanwhile; hyper then
         // gives the request back unsent, and the next connection takes it.
@@ -91,7 +91,7 @@
     }
 
     /// Takes back a connection whose answer was read whole.
-    pub fn finish(&self, lease: Lease) {
+    pub fn release(&self, lease: PooledConnection) {
         let idle = IdleConnection {
             sender: lease.sender,
             since: wingspur_clock::now(),
@@ -114,7 +114,7 @@
             let Ok(sender) = self.connect().await else {
                 return;
             };
-            self.finish(Lease { sender });
+            self.release(PooledConnection { sender });
         }
     }
 
@@ -160,9 +160,9 @@
 async fn send_on(
     mut sender: SendRequest<SendBody>,
     request: Request<SendBody>,
-) -> Result<(Response<Incoming>, Lease), SendFailure> {
+) -> Result<(Response<Incoming>, PooledConnection), SendFailure> {
     match sender.try_send_request(request).await {
-        Ok(response) => Ok((response, Lease { sender })),
+        Ok(response) => Ok((response, PooledConnection { sender })),
         Err(mut error) => match error.take_message() {
             Some(request) => {
                 let reason = error.into_error().to_string();
@@ -171,7 +171,7 @@
                     reason,
                 })
             }
-            None => Err(SendFailure::InDoubt(error.into_error())),
+            None => Err(SendFailure::MaybeSent(error.into_error())),
         },
     }
 }
--- a/crates/wingspur-transport/src/publish.rs
+++ b/crates/wingspur-transport/src/publish.rs
@@ -15,7 +15,7 @@
     /// It is accepted.
     Accepted,
     /// Another bundle of this or a greater version was accepted before.
-    Overtaken(BundlePointer),
+    Superseded(BundlePointer),
 }
 
 /// Why a bundle could not be published or loaded.
@@ -117,7 +117,7 @@
 }
 
 /// Puts a bundle together from its manifest and its parts' bytes.
-pub fn assemble(
+pub fn assemble_bundle(
     manifest: &Manifest,
     parts: &HashMap<String, Vec<u8>>,
 ) -> Result<Bundle, PublishError> {
@@ -145,7 +145,7 @@
         let revision = match present {
             Some((present, _)) if present == *pointer => return Ok(Published::Accepted),
             Some((present, _)) if present.version >= pointer.version => {
-                return Ok(Published::Overtaken(present));
+                return Ok(Published::Superseded(present));
             }
             Some((_, revision)) => revision,
             None => ABSENT,
--- a/crates/wingspur-transport/src/answer_head.rs
+++ b/crates/wingspur-transport/src/response_head.rs
@@ -7,7 +7,7 @@
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
 };
 
-use crate::AnswerError;
+use crate::ResponseError;
 
 /// The head of an answer, as it was read.
 pub struct ParsedHead {
@@ -33,7 +33,7 @@
 }
 
 /// Reads a head at the start of the bytes, with its length; none while it is not all in.
-pub fn parse_head(bytes: &[u8]) -> Result<Option<(ParsedHead, usize)>, AnswerError> {
+pub fn parse_head(bytes: &[u8]) -> Result<Option<(ParsedHead, usize)>, ResponseError> {
     let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut parsed = httparse::Response::new(&mut space);
     let length = match parsed.parse(bytes) {
@@ -61,7 +61,7 @@
 }
 
 /// How the body after a head ends.
-pub fn framing_of(headers: &HeaderMap) -> Result<Framing, AnswerError> {
+pub fn framing_of(headers: &HeaderMap) -> Result<Framing, ResponseError> {
     let lengths = headers.get_all(CONTENT_LENGTH);
     let mut lengths = lengths
         .iter()
@@ -104,8 +104,8 @@
 }
 
 /// An answer that is none in HTTP/1.1.
-pub fn unreadable(reason: &str) -> AnswerError {
-    AnswerError::Unreadable(reason.to_owned())
+pub fn unreadable(reason: &str) -> ResponseError {
+    ResponseError::Unreadable(reason.to_owned())
 }
 
 const MOST_HEADERS: usize = 96;
--- a/crates/wingspur-transport/src/server_hints.rs
+++ b/crates/wingspur-transport/src/server_hints.rs
@@ -8,9 +8,9 @@
     HeaderNames, ServerHints, parse_backoff, parse_draining, parse_server_limit,
 };
 
-use crate::AnswerHead;
+use crate::ResponseHead;
 
-impl AnswerHead {
+impl ResponseHead {
     /// What the server says of itself; `now` is the time of day, for a server that names a
     /// date and does not tell its own.
     pub fn hints(&self, names: &HeaderNames, now: SystemTime) -> ServerHints {
--- a/crates/wingspur-transport/src/store.rs
+++ b/crates/wingspur-transport/src/store.rs
@@ -11,13 +11,13 @@
 use hyper::body::Incoming;
 use serde::{Deserialize, Serialize};
 
-use crate::{Exchange, ExchangeError};
+use crate::{HttpClient, HttpClientError};
 
 /// Reads, writes and watches the platform's key-value service.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     address: SocketAddr,
-    exchange: Arc<Exchange>,
+    exchange: Arc<HttpClient>,
     timeout: Duration,
 }
 
@@ -55,7 +55,7 @@
 pub enum StoreError {
     /// No answer: a write may have taken effect.
     #[error("the store did not answer: {0}")]
-    Unanswered(#[from] ExchangeError),
+    Unanswered(#[from] HttpClientError),
     /// The answer cannot be read.
     #[error("the store's answer cannot be read: {0}")]
     Unreadable(#[from] serde_json::Error),
@@ -66,7 +66,11 @@
 
 impl StoreClient {
     /// A client of the store at `address`; each call ends within `timeout`.
-    pub fn new(address: SocketAddr, exchange: Arc<Exchange>, timeout: Duration) -> Self {
+    pub fn new(
+        address: SocketAddr,
+        exchange: Arc<HttpClient>,
+        timeout: Duration,
+    ) -> Self {
         Self {
             address,
             exchange,
@@ -229,7 +233,7 @@
             return Ok(None);
         };
         if message.result.canceled || message.result.compact_revision.is_some() {
-            return Err(ExchangeError::Reply.into());
+            return Err(HttpClientError::Reply.into());
         }
         let events = message.result.events.into_iter();
         let pairs = events.map(|event| KeyValue::try_from(event.kv));
@@ -247,8 +251,8 @@
                     let data = frame.into_data().unwrap_or_default();
                     self.buffer.extend_from_slice(&data);
                 }
-                Some(Err(error)) => return Err(ExchangeError::Http(error).into()),
-                None => return Err(ExchangeError::Reply.into()),
+                Some(Err(error)) => return Err(HttpClientError::Http(error).into()),
+                None => return Err(HttpClientError::Reply.into()),
             }
         }
     }
--- a/crates/wingspur-transport/src/tls.rs
+++ b/crates/wingspur-transport/src/tls.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether the certificate names this box.
-    pub fn names(&self, box_id: &str) -> bool {
+    pub fn matches_box(&self, box_id: &str) -> bool {
         let Ok(name) = ServerName::try_from(box_id) else {
             return false;
         };
--- a/crates/wingspur-transport/src/workers.rs
+++ b/crates/wingspur-transport/src/workers.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether the signal was given.
-    pub fn is_given(&self) -> bool {
+    pub fn is_triggered(&self) -> bool {
         self.receiver.is_closed()
     }
 }
--- a/crates/wingspur/src/rollout.rs
+++ b/crates/wingspur/src/rollout.rs
@@ -9,7 +9,7 @@
     PeerReply, StoreKeys, encode_peer,
 };
 use wingspur_transport::{
-    Exchange, LinkFaults, Published, StoreClient, TlsFiles, TlsIdentity, Workers,
+    FaultInjector, HttpClient, Published, StoreClient, TlsFiles, TlsIdentity, Workers,
     accept_bundle, load_pointer,
 };
 
@@ -64,7 +64,7 @@
             println!("Version {version} is accepted.");
             Ok(())
         }
-        Published::Overtaken(by) => {
+        Published::Superseded(by) => {
             let hint = "number yours higher, sign it again and submit it";
             let (version, signer) = (by.version, by.signer);
             let text =
@@ -84,7 +84,7 @@
 /// Shows which version is in force on each listed box.
 pub fn status(args: &RolloutStatusArgs) -> CommandResult {
     let workers = Workers::start(2);
-    let exchange = || Exchange::new(workers.spawner(), LinkFaults::default());
+    let exchange = || HttpClient::new(workers.spawner(), FaultInjector::default());
     let peers = exchange().with_identity(identity(args)?);
     let report = smol::block_on(gather(args, exchange(), &peers));
     workers.close();
@@ -133,8 +133,8 @@
 
 async fn gather(
     args: &RolloutStatusArgs,
-    exchange: Exchange,
-    peers: &Exchange,
+    exchange: HttpClient,
+    peers: &HttpClient,
 ) -> Result<RolloutReport, Failure> {
     let list = exchange.get(args.box_list, "/boxes", TIMEOUT).await;
     let list = list.map_err(|error| {
@@ -163,7 +163,7 @@
 }
 
 async fn ask_status(
-    exchange: &Exchange,
+    exchange: &HttpClient,
     fleet: &str,
     listed: &ListedBox,
 ) -> Option<BoxStatus> {
--- a/crates/wingspur/src/run.rs
+++ b/crates/wingspur/src/run.rs
@@ -8,7 +8,7 @@
 use wingspur_edge::{EdgeBox, Settings, load_settings, parse_settings};
 use wingspur_entry::EntryBox;
 use wingspur_platform::{catalog, header_names};
-use wingspur_transport::{Exchange, LinkFaults, Spawner, Workers};
+use wingspur_transport::{FaultInjector, HttpClient, Spawner, Workers};
 
 use crate::CommandResult;
 use crate::args::RunArgs;
@@ -117,11 +117,11 @@
 impl Running {
     async fn start(settings: Settings, spawner: &Spawner) -> Result<Self, Failure> {
         let Some(sources) = settings.catalog.clone() else {
-            let faults = LinkFaults::default();
+            let faults = FaultInjector::default();
             let started = EntryBox::start(settings, spawner, faults).await;
             return Ok(Self::Own(Box::new(started.map_err(Failure::failed)?)));
         };
-        let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+        let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
         let address = sources.store_address;
         let catalog = catalog(address, exchange.into(), STORE_TIMEOUT, LEASE_TTL);
         let started = EdgeBox::start(settings, header_names(), catalog, spawner).await;
--- a/crates/wingspur/src/status.rs
+++ b/crates/wingspur/src/status.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use wingspur_protocol::BoxStatus;
-use wingspur_transport::{Exchange, LinkFaults, Workers};
+use wingspur_transport::{FaultInjector, HttpClient, Workers};
 
 use crate::CommandResult;
 use crate::args::StatusArgs;
@@ -12,7 +12,7 @@
 /// Shows a box's state.
 pub fn status(args: &StatusArgs) -> CommandResult {
     let workers = Workers::start(1);
-    let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
+    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
     let got = smol::block_on(exchange.get(args.operator_address, "/status", TIMEOUT));
     workers.close();
     let got = got.map_err(|error| {
--- a/tests/tests/cases/mod.rs
+++ b/tests/tests/cases/mod.rs
@@ -17,8 +17,8 @@
     decide_retry,
 };
 use wingspur_transport::{
-    Exchange, LinkFaults, Published, StoreClient, Workers, accept_bundle, load_pointer,
-    submit_bundle,
+    FaultInjector, HttpClient, Published, StoreClient, Workers, accept_bundle,
+    load_pointer, submit_bundle,
 };
 
 type TestResult = datatest_stable::Result<()>;
@@ -150,7 +150,7 @@
 ) -> datatest_stable::Result<(String, u64)> {
     let spawner = workers.spawner();
     let store = StoreStandIn::start(&spawner).await?;
-    let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+    let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
     let client = StoreClient::new(store.address(), exchange.into(), CALL_TIMEOUT);
     let keys = StoreKeys::new("zagreb");
     publish(&client, &keys, 1, "ana").await?;
@@ -180,7 +180,7 @@
     store.set_fault(StoreFault::None);
     let outcome = match accepted {
         Ok(Published::Accepted) => "accepted",
-        Ok(Published::Overtaken(_)) => "overtaken",
+        Ok(Published::Superseded(_)) => "overtaken",
         Err(_) => "error",
     };
     let pointer = load_pointer(&client, &keys).await?;
@@ -200,7 +200,7 @@
     submit_bundle(client, keys, &signed, &parts).await?;
     match accept_bundle(client, keys, &signed).await? {
         Published::Accepted => Ok(()),
-        Published::Overtaken(by) => Err(format!("overtaken by {}", by.version).into()),
+        Published::Superseded(by) => Err(format!("overtaken by {}", by.version).into()),
     }
 }
 
--- a/tests/tests/edge/mod.rs
+++ b/tests/tests/edge/mod.rs
@@ -9,7 +9,7 @@
 use wingspur_platform::{catalog, header_names};
 use wingspur_state::RetryBudgetSettings;
 use wingspur_tests::{Answer, BackendServer, PlatformStore, call};
-use wingspur_transport::{Exchange, LinkFaults, Workers};
+use wingspur_transport::{FaultInjector, HttpClient, Workers};
 
 /// Resends that never run out.
 const PLENTY: f64 = 1000.0;
@@ -199,7 +199,7 @@
     workers: &Workers,
 ) -> EdgeBox {
     let spawner = workers.spawner();
-    let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+    let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
     let timeout = Duration::from_millis(1500);
     let lease = Duration::from_secs(10);
     let catalog = catalog(store.address, exchange.into(), timeout, lease);
--- a/tests/tests/entry_stop.rs
+++ b/tests/tests/entry_stop.rs
@@ -7,7 +7,7 @@
 use wingspur_bench::{Fleet, Gray, small_zagreb};
 use wingspur_edge::DrainSettings;
 use wingspur_entry::EntryBox;
-use wingspur_transport::{LinkFaults, Workers};
+use wingspur_transport::{FaultInjector, Workers};
 
 /// The box over a catalog cut the requests that were out when its stop's time was over; this
 /// one did the same, for the same reason: its limit ended the waiting, and nobody answered.
@@ -35,7 +35,7 @@
             limit_ms: 800,
             kill_after_s: None,
         };
-        let starting = EntryBox::start(settings, &spawner, LinkFaults::default());
+        let starting = EntryBox::start(settings, &spawner, FaultInjector::default());
         let running = starting.await.unwrap();
         assert!(running.wait_ready(Duration::from_secs(20)).await);
         let servers = || fleet.servers.iter().flatten();
--- a/tests/tests/foreign_entries.rs
+++ b/tests/tests/foreign_entries.rs
@@ -11,7 +11,7 @@
 use wingspur_protocol::CatalogChange;
 use wingspur_state::{RegistryChange, ServerRegistry, StorePosition};
 use wingspur_tests::{BackendServer, PlatformStore, Reply};
-use wingspur_transport::{Exchange, LinkFaults, Workers};
+use wingspur_transport::{FaultInjector, HttpClient, Workers};
 
 fn entry() -> Value {
     let mut entry = server_entry("10.0.0.1:80".parse().unwrap(), "ready");
@@ -143,7 +143,7 @@
         };
     }
     let workers = Workers::start(1);
-    let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
+    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
     let wait = Duration::from_secs(20);
     let catalog = catalog(store.address, exchange.into(), wait, wait);
     let listing = smol::block_on((catalog.list)(true)).outcome.unwrap();
@@ -263,7 +263,7 @@
     store.put_bytes("servers/i-1", b"{\"service\":");
     store.put_bytes("wingspur/boxes/box-9", b"{\"id\":\"box-1\"}");
     let workers = Workers::start(1);
-    let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
+    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
     let wait = Duration::from_secs(20);
     let catalog = catalog(store.address, exchange.into(), wait, wait);
     let watched = (catalog.watch)(StorePosition::new(1, 1), Duration::from_millis(50));
--- a/tests/tests/identity.rs
+++ b/tests/tests/identity.rs
@@ -13,8 +13,8 @@
 };
 use smol::net::TcpListener;
 use wingspur_transport::{
-    Exchange, ExchangeError, HttpListener, LinkFaults, ListenerOptions, PeerCertificate,
-    TlsFiles, TlsIdentity, Workers,
+    FaultInjector, HttpClient, HttpClientError, HttpListener, ListenerOptions,
+    PeerCertificate, TlsFiles, TlsIdentity, Workers,
 };
 
 type Authority = CertifiedIssuer<'static, KeyPair>;
@@ -80,7 +80,7 @@
     };
     let handler = |request: Request<Incoming>, _| async move {
         let certificate = request.extensions().get::<PeerCertificate>();
-        let known = certificate.is_some_and(|own| own.names("box-1"));
+        let known = certificate.is_some_and(|own| own.matches_box("box-1"));
         let text = if known { "box-1" } else { "another" };
         Response::new(Full::new(Bytes::from_static(text.as_bytes())))
     };
@@ -94,8 +94,8 @@
     workers: &Workers,
     identity: Option<Arc<TlsIdentity>>,
     to: SocketAddr,
-) -> Result<String, ExchangeError> {
-    let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
+) -> Result<String, HttpClientError> {
+    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
     let exchange = exchange.with_identity(identity);
     let got = exchange.get(to, "/peer", Duration::from_secs(5)).await?;
     Ok(String::from_utf8_lossy(&got).into_owned())
--- a/tests/tests/late_answers.rs
+++ b/tests/tests/late_answers.rs
@@ -17,7 +17,8 @@
 use wingspur_platform::{catalog, header_names};
 use wingspur_tests::{BackendServer, PlatformStore, Reply, call};
 use wingspur_transport::{
-    Catalog, CatalogAnswer, CatalogError, EraReading, Exchange, LinkFaults, Workers,
+    Catalog, CatalogError, CatalogResponse, FaultInjector, HttpClient, ReportedEra,
+    Workers,
 };
 
 /// Two boxes, each the hub of its data centre; the answers to the first may be late.
@@ -66,8 +67,8 @@
         let (watching, calls) = (watch(after, wait), of_watch.clone());
         Box::pin(async move {
             if calls.history_is_lost.swap(false, Ordering::AcqRel) {
-                return CatalogAnswer {
-                    era: EraReading::NoAnswer,
+                return CatalogResponse {
+                    era: ReportedEra::NoAnswer,
                     outcome: Err(CatalogError::HistoryLost),
                 };
             }
@@ -99,7 +100,7 @@
         let late_calls = Arc::new(LateCalls::default());
         let prompt = start_box_with(settings_in("dc-2", &store), &store, &workers);
         let spawner = workers.spawner();
-        let exchange = Exchange::new(spawner.clone(), LinkFaults::default());
+        let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
         let (timeout, lease) = (Duration::from_millis(1500), Duration::from_secs(10));
         let calls = catalog(store.address, exchange.into(), timeout, lease);
         let calls = late_catalog(calls, &late_calls);
--- a/tests/tests/link_memory.rs
+++ b/tests/tests/link_memory.rs
@@ -7,7 +7,7 @@
 use smol::net::TcpListener;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use wingspur_transport::{
-    Connector, HttpListener, LinkPatience, LinkReceiver, LinkSender, ListenerOptions,
+    Connector, HttpListener, LinkReceiver, LinkSender, LinkTimeouts, ListenerOptions,
     Workers, accept_link, open_link,
 };
 
@@ -45,7 +45,7 @@
     let listener = HttpListener::start(port, &workers.spawner(), options, handler)
         .expect("it is bound");
     let connector = Connector::new(workers.spawner(), None);
-    let patience = LinkPatience {
+    let patience = LinkTimeouts {
         connect: PATIENCE,
         answer: PATIENCE,
     };
--- a/tests/tests/platform_catalog.rs
+++ b/tests/tests/platform_catalog.rs
@@ -10,7 +10,7 @@
 use wingspur_state::StorePosition;
 use wingspur_tests::{PlatformStore, StoreFault};
 use wingspur_transport::{
-    Catalog, CatalogError, CatalogFuture, Exchange, LinkFaults, Workers,
+    Catalog, CatalogError, CatalogFuture, FaultInjector, HttpClient, Workers,
 };
 
 const WAIT: Duration = Duration::from_millis(50);
@@ -18,7 +18,7 @@
 /// Runs a test over a store's catalog, whose calls are given up after `timeout`.
 fn with_catalog(store: &PlatformStore, timeout: Duration, test: impl FnOnce(Catalog)) {
     let workers = Workers::start(1);
-    let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
+    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
     let lease = Duration::from_secs(10);
     test(catalog(store.address, exchange.into(), timeout, lease));
     workers.close();
@@ -100,7 +100,7 @@
         for status in [429, 500, 503] {
             store.set_fault(StoreFault::Refuses(status));
             let away = asked((catalog.watch)(at(2), WAIT)).unwrap_err();
-            assert!(away.is_away(), "{status}: {away}");
+            assert!(away.is_unavailable(), "{status}: {away}");
         }
     });
 }
@@ -140,13 +140,13 @@
     put_server(&store, "i-1");
     store.set_fault(StoreFault::LosesReplies);
     with_sound_catalog(&store, |catalog| {
-        assert!(asked((catalog.list)(true)).unwrap_err().is_away());
+        assert!(asked((catalog.list)(true)).unwrap_err().is_unavailable());
         let lost = asked((catalog.announce)(own_record(), None));
-        assert!(lost.unwrap_err().is_away());
+        assert!(lost.unwrap_err().is_unavailable());
     });
     store.set_fault(StoreFault::Silent);
     with_catalog(&store, Duration::from_millis(100), |catalog| {
-        assert!(asked((catalog.list)(true)).unwrap_err().is_away());
+        assert!(asked((catalog.list)(true)).unwrap_err().is_unavailable());
     });
 }
 
--- a/tests/tests/suspended_box.rs
+++ b/tests/tests/suspended_box.rs
@@ -12,7 +12,7 @@
 
 use edge::{Deployment, Route, configuration, wait_until, with_accounts};
 use wingspur_tests::{Answer, BackendServer, Reply, StoreFault, call};
-use wingspur_transport::{Backend, Reuse};
+use wingspur_transport::{BackendConnections, ReusePolicy};
 
 /// The clock is the process's: tests that step it take turns.
 static TURN: Mutex<()> = Mutex::new(());
@@ -99,16 +99,16 @@
     let _turn = turn();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("it is bound");
-    let backend = Backend::new(address);
+    let backend = BackendConnections::new(address);
     let timeout = Duration::from_secs(10);
     smol::block_on(async {
-        let first = backend.connect(Reuse::Any, timeout).await;
-        backend.keep(first.expect("it listens"));
-        let again = backend.connect(Reuse::Any, timeout).await;
-        backend.keep(again.expect("it listens"));
+        let first = backend.connect(ReusePolicy::Any, timeout).await;
+        backend.release(first.expect("it listens"));
+        let again = backend.connect(ReusePolicy::Any, timeout).await;
+        backend.release(again.expect("it listens"));
         assert_eq!(backend.opened(), 1, "it is used again");
         wingspur_clock::simulate_suspension(Duration::from_secs(30));
-        let fresh = backend.connect(Reuse::Any, timeout).await;
+        let fresh = backend.connect(ReusePolicy::Any, timeout).await;
         assert!(fresh.is_ok());
         assert_eq!(backend.opened(), 2);
     });
