--- a/crates/wingspur-edge/src/in_force.rs
+++ b/crates/wingspur-edge/src/active_bundle.rs
@@ -9,12 +9,12 @@
     AccountTable, Bundle, ClientAccount, HostRoute, HostRoutes, RouteClass, ServiceTime,
 };
 
-use crate::locks::{Rank, Ranked};
+use crate::locks::{LockRank, RankedMutex};
 use crate::services::{ServiceState, Services};
 
 /// A bundle in force; swapped whole for the next one.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveBundle {
     /// The bundle.
     pub bundle: Arc<Bundle>,
     /// Since when it is in force.
@@ -35,20 +35,20 @@
     /// The services, with the sum of the weights up to and with each.
     targets: Vec<(u32, Arc<ServiceState>)>,
     /// What has been learned; goes over to the next bundle.
-    pub learned: Arc<RouteFigures>,
+    pub stats: Arc<RouteStats>,
 }
 
 /// What has been learned of a route's requests.
 #[derive(Debug)]
-pub struct RouteFigures {
+pub struct RouteStats {
     typical_us: AtomicU64,
     answer_bytes: AtomicU64,
-    service_time: Ranked<ServiceTime>,
+    service_time: RankedMutex<ServiceTime>,
     /// Where the next request falls among the targets.
     turn: AtomicU64,
 }
 
-impl InForce {
+impl ActiveBundle {
     /// Puts a bundle together; takes over what was learned under the one before it.
     pub fn new(bundle: Arc<Bundle>, before: Option<&Self>, services: &Services) -> Self {
         let known: HashMap<&str, &Arc<ActiveRoute>> = before
@@ -58,11 +58,11 @@
             .collect();
         let active = |route: &HostRoute| {
             let learned = known.get(route.name.as_str());
-            let learned = learned.map(|active| active.learned.clone());
-            let fresh = || Arc::new(RouteFigures::new(route));
+            let learned = learned.map(|active| active.stats.clone());
+            let fresh = || Arc::new(RouteStats::new(route));
             Arc::new(ActiveRoute {
                 targets: targets(route, services),
-                learned: learned.unwrap_or_else(fresh),
+                stats: learned.unwrap_or_else(fresh),
                 route: route.clone(),
             })
         };
@@ -91,7 +91,7 @@
     /// The service that takes the next request, by the weights.
     pub fn next_service(&self) -> &Arc<ServiceState> {
         let whole = self.targets.last().map_or(1, |(sum, _)| *sum).max(1);
-        let turn = self.learned.next_turn();
+        let turn = self.stats.next_turn();
         let at = ((turn * f64::from(whole)) as u32).min(whole - 1);
         let target = self.targets.iter().find(|(sum, _)| at < *sum);
         let (_, service) = target.unwrap_or(&self.targets[0]);
@@ -104,7 +104,7 @@
     }
 }
 
-impl RouteFigures {
+impl RouteStats {
     fn new(route: &HostRoute) -> Self {
         let target = Duration::from_millis(route.target_latency_ms);
         let typical = target.mul_f64(FIRST_TYPICAL_SHARE);
@@ -115,14 +115,14 @@
         Self {
             typical_us: AtomicU64::new(typical.as_micros() as u64),
             answer_bytes: AtomicU64::new(bytes),
-            service_time: Ranked::new(Rank::ServiceTime, ServiceTime::new()),
+            service_time: RankedMutex::new(LockRank::ServiceTime, ServiceTime::new()),
             // Boxes begin at different points, so that few requests of each still add up.
             turn: AtomicU64::new(rand::random()),
         }
     }
 
     /// How long a good answer usually takes.
-    pub fn typical(&self) -> Duration {
+    pub fn typical_latency(&self) -> Duration {
         Duration::from_micros(self.typical_us.load(Ordering::Relaxed))
     }
 
@@ -137,14 +137,14 @@
     }
 
     /// Takes in that a good answer took `ratio` times what was expected of its server.
-    pub fn learn_ratio(&self, ratio: f64) {
+    pub fn record_latency_ratio(&self, ratio: f64) {
         self.service_time.lock().record(ratio);
     }
 
     /// Takes in a good answer.
-    pub fn learn(&self, took: Duration, bytes: u64) {
+    pub fn record_response(&self, took: Duration, bytes: u64) {
         // Stragglers must not stretch what counts as usual.
-        let took = took.min(self.typical() * MOST_STRETCH);
+        let took = took.min(self.typical_latency() * MOST_STRETCH);
         blend(&self.typical_us, took.as_micros() as u64);
         blend(&self.answer_bytes, bytes);
     }
@@ -158,7 +158,7 @@
 
 /// The table of the bundle's accounts; the one before where none has changed, as with most
 /// bundles: it is long where accounts are many.
-fn accounts(bundle: &Bundle, before: Option<&InForce>) -> Option<Arc<AccountTable>> {
+fn accounts(bundle: &Bundle, before: Option<&ActiveBundle>) -> Option<Arc<AccountTable>> {
     let new = bundle.client_accounts.as_ref()?;
     let known = before.and_then(|before| {
         let old = before.bundle.client_accounts.as_ref()?;
--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -41,24 +41,24 @@
     /// The servers that leave of which it has not been told yet, with since when.
     pub leaving_servers: BTreeMap<ServerKey, Instant>,
     /// What it is to be told once.
-    pub greeting: Option<Greeting>,
+    pub initial_state: Option<InitialState>,
     /// Whether it knows the servers, so that what is told of them means something there.
     pub has_catalog: bool,
     /// Whether it was told that this box stops.
-    pub told_leaving: bool,
+    pub leaving_sent: bool,
     /// The newest era of the store that it was told.
-    pub told_era: StoreEra,
+    pub sent_era: StoreEra,
     /// When the last frame was sent.
-    pub sent: Instant,
+    pub last_sent_at: Instant,
     /// When the last one with news of servers and services was.
-    pub told: Instant,
+    pub updates_sent_at: Instant,
 }
 
 /// What the other side of a new link should know.
 #[derive(Debug, Default)]
-pub struct Greeting {
+pub struct InitialState {
     /// Whether the other side has just started and knows no server yet.
-    pub has_started: bool,
+    pub peer_is_new: bool,
     /// Of backend servers.
     pub health: Vec<(ServerKey, HealthSnapshot)>,
     /// Of requests under which servers ended.
@@ -71,7 +71,7 @@
 
 impl ActiveLink {
     /// Whether so much is on its way that more would only wait behind it.
-    pub fn is_full(&self) -> bool {
+    pub fn is_window_full(&self) -> bool {
         self.clock.unanswered() >= MOST_UNANSWERED
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// What the other side is to this box, as far as the fleet's view goes.
-    pub fn with(&self) -> PeerRole {
+    pub fn peer_relation(&self) -> PeerRole {
         match (self.opened_as, self.kind) {
             (Some(LinkRole::Member), _) => PeerRole::OwnHub,
             (_, LinkKind::Member) => PeerRole::Member,
@@ -92,14 +92,14 @@
     }
 
     /// Whether a listing is queued that has to wait for its turn.
-    pub fn listing_is_delayed(&self, pacer: &UpdatePacer, now: Instant) -> bool {
+    pub fn is_snapshot_delayed(&self, pacer: &UpdatePacer, now: Instant) -> bool {
         self.catalog.has_listing() && !pacer.snapshot_delay(now).is_zero()
     }
 
     /// Whether what is told of servers means something at the other side: it knows them, or
     /// is sent them first.
     pub fn accepts_server_updates(&self, pacer: &UpdatePacer, now: Instant) -> bool {
-        self.has_catalog || !self.listing_is_delayed(pacer, now)
+        self.has_catalog || !self.is_snapshot_delayed(pacer, now)
     }
 
     /// How long until what is queued of the catalog may go out; none where nothing has to.
@@ -113,7 +113,7 @@
 
     /// The listing that the other side is owed. It leaves out a bundle that the other side
     /// has: a hub that has just taken over would owe each member the whole bundle.
-    pub fn take_listing(&mut self) -> Option<PendingSnapshot> {
+    pub fn take_snapshot(&mut self) -> Option<PendingSnapshot> {
         let listing = self.catalog.take_listing()?;
         self.has_catalog = true;
         Some(PendingSnapshot {
@@ -123,7 +123,7 @@
     }
 
     /// Whether it is the link that was planned.
-    pub fn serves(&self, planned: &PlannedLink) -> bool {
+    pub fn matches_plan(&self, planned: &PlannedLink) -> bool {
         self.peer.id == planned.to.id
             && self.peer.incarnation == planned.to.incarnation
             && self.opened_as == Some(planned.role)
--- a/crates/wingspur-edge/src/admission.rs
+++ b/crates/wingspur-edge/src/admission.rs
@@ -11,24 +11,24 @@
 use wingspur_protocol::ResultCode;
 use wingspur_state::{ClientAccount, KeyDigest};
 
-use crate::given_up::GivenUp;
-use crate::in_force::{ActiveRoute, InForce};
-use crate::shared::Shared;
+use crate::active_bundle::{ActiveBundle, ActiveRoute};
+use crate::edge_state::EdgeState;
+use crate::request_error::RequestError;
 
 /// A request that asks to be let in.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking<'a> {
+pub struct AdmissionRequest<'a> {
     /// Its id, for logs.
     pub id: &'a str,
     /// When it came.
     pub arrived: Instant,
     /// How long its caller waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Whom a request is counted for.
 #[derive(Debug, Clone, Default)]
-pub struct Admitted {
+pub struct Principal {
     /// The key that its caller gave; none where none was given or asked for.
     pub key: Option<KeyDigest>,
     /// The account that the key belonged to when the request came.
@@ -37,57 +37,57 @@
 
 /// Why a request is not sent any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeyTakenAway;
+pub struct KeyRevoked;
 
 /// Finds the route of a request.
 pub async fn find_route(
-    shared: &Shared,
-    asking: &Asking<'_>,
+    shared: &EdgeState,
+    asking: &AdmissionRequest<'_>,
     host: &str,
     path: &str,
-) -> Result<Arc<ActiveRoute>, GivenUp> {
-    let find = |in_force: &InForce| in_force.find(host, path).cloned();
+) -> Result<Arc<ActiveRoute>, RequestError> {
+    let find = |in_force: &ActiveBundle| in_force.find(host, path).cloned();
     find_or_refuse(shared, asking, ResultCode::NoRoute, find).await
 }
 
 /// Finds the account of a request's key; a route that is open to all needs none.
 pub async fn admit(
-    shared: &Shared,
-    asking: &Asking<'_>,
+    shared: &EdgeState,
+    asking: &AdmissionRequest<'_>,
     route: &ActiveRoute,
     headers: &HeaderMap,
-) -> Result<Admitted, GivenUp> {
+) -> Result<Principal, RequestError> {
     let key = key_of(headers);
     let open = route.route.open_to_all;
-    let find = |in_force: &InForce| {
+    let find = |in_force: &ActiveBundle| {
         let Some(accounts) = &in_force.accounts else {
-            return Some(Admitted::default());
+            return Some(Principal::default());
         };
         let account = key.and_then(|key| accounts.find(&key));
         let account = account.cloned();
-        (account.is_some() || open).then_some(Admitted { key, account })
+        (account.is_some() || open).then_some(Principal { key, account })
     };
     find_or_refuse(shared, asking, ResultCode::UnknownKey, find).await
 }
 
-impl Admitted {
+impl Principal {
     /// The account that the request is sent for now; none where none is needed.
     ///
     /// Asked before each attempt: a key that was taken away, or that has gone to another
     /// account, while a request waited or was about to be sent again, counts as it is now.
     pub fn account_now(
         &self,
-        shared: &Shared,
+        shared: &EdgeState,
         route: &ActiveRoute,
-    ) -> Result<Option<Arc<ClientAccount>>, KeyTakenAway> {
-        let in_force = shared.in_force();
+    ) -> Result<Option<Arc<ClientAccount>>, KeyRevoked> {
+        let in_force = shared.active_bundle();
         let accounts = in_force.as_ref().and_then(|now| now.accounts.as_ref());
         let Some(accounts) = accounts else {
             return Ok(None);
         };
         let account = self.key.and_then(|key| accounts.find(&key));
         match account {
-            None if !route.route.open_to_all => Err(KeyTakenAway),
+            None if !route.route.open_to_all => Err(KeyRevoked),
             account => Ok(account.cloned()),
         }
     }
@@ -111,20 +111,20 @@
 /// Finds something in the bundle in force, or refuses by `code` once no newer bundle can be
 /// in force elsewhere.
 async fn find_or_refuse<T>(
-    shared: &Shared,
-    asking: &Asking<'_>,
+    shared: &EdgeState,
+    asking: &AdmissionRequest<'_>,
     code: ResultCode,
-    find: impl Fn(&InForce) -> Option<T>,
-) -> Result<T, GivenUp> {
-    let until = asking.arrived + LONGEST_WAIT.min(asking.patience / 2);
+    find: impl Fn(&ActiveBundle) -> Option<T>,
+) -> Result<T, RequestError> {
+    let until = asking.arrived + LONGEST_WAIT.min(asking.timeout / 2);
     loop {
-        let in_force = shared.in_force();
-        let in_force = in_force.ok_or(GivenUp::plain(ResultCode::NotReady))?;
+        let in_force = shared.active_bundle();
+        let in_force = in_force.ok_or(RequestError::from_code(ResultCode::NotReady))?;
         if let Some(found) = find(&in_force) {
             return Ok(found);
         }
         let now = wingspur_clock::now();
-        let age = shared.links.lock().feed().confirmed_age(now);
+        let age = shared.links.lock().watch_state().confirmed_age(now);
         let is_vouched = age.is_some_and(|age| age <= VOUCHED_FOR);
         if is_vouched || now >= until {
             let code = if is_vouched {
@@ -139,7 +139,7 @@
                 result = code.name(),
                 "admission: refused."
             );
-            return Err(GivenUp::plain(code));
+            return Err(RequestError::from_code(code));
         }
         wingspur_clock::sleep(LOOK_AGAIN).await;
     }
--- a/crates/wingspur-edge/src/announce.rs
+++ b/crates/wingspur-edge/src/announce.rs
@@ -7,12 +7,12 @@
 use wingspur_coordination::{AnnouncementInputs, AnnouncementStep, announcement_step};
 use wingspur_transport::{Announcement, CatalogError, StopSignal};
 
-use crate::feed::pause;
-use crate::shared::Shared;
+use crate::catalog_watch::retry_backoff;
+use crate::edge_state::EdgeState;
 use crate::store_calls::call_store;
 
 /// Announces this box when it should be, and renews its lease, until it stops.
-pub async fn run_announcement(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_announcement(shared: Arc<EdgeState>, stop: StopSignal) {
     let mut told_boxes = 0;
     let mut failures = 0u32;
     while !stop.is_triggered() && !shared.stopping.has_begun() {
@@ -40,7 +40,11 @@
                 failures += 1;
                 tracing::info!(%error, failures, "lease: not renewed.");
                 let holds = announcement(&shared).is_some();
-                if holds { RENEWAL } else { pause(failures) }
+                if holds {
+                    RENEWAL
+                } else {
+                    retry_backoff(failures)
+                }
             }
         };
         shared.announcement_due.wait(wait).await;
@@ -51,7 +55,7 @@
 ///
 /// Removes the announcement itself: the lease's id may be another box's since a restore of the
 /// store that this box has not heard of.
-pub async fn withdraw(shared: &Arc<Shared>, limit: Duration) {
+pub async fn withdraw_announcement(shared: &Arc<EdgeState>, limit: Duration) {
     let Some(held) = shared.announcement.lock().take() else {
         return;
     };
@@ -72,7 +76,7 @@
 
 /// What this box should do about its announcement now; nothing before it knows any other, and
 /// nothing once it stops: one that is announced then is taken for a hub until its lease ends.
-fn next_step(shared: &Shared) -> AnnouncementStep {
+fn next_step(shared: &EdgeState) -> AnnouncementStep {
     let announced = announcement(shared).is_some();
     let mut links = shared.links.lock();
     if links.is_starting() || shared.stopping.has_begun() {
@@ -87,7 +91,7 @@
 
 /// Announces this box at some time within a span, unless it is not needed any more by then.
 async fn announce_within(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     span: Duration,
     told_boxes: &mut u32,
 ) -> Result<Duration, CatalogError> {
@@ -99,14 +103,14 @@
     tracing::info!("lease: announced.");
     if shared.stopping.has_begun() {
         // The stop began while the store was written: it found no lease to end.
-        withdraw(shared, WITHDRAWAL_LIMIT).await;
+        withdraw_announcement(shared, WITHDRAWAL_LIMIT).await;
     }
     Ok(RENEWAL)
 }
 
 /// Renews the lease, and tells the fleet's size anew where it has changed.
 async fn renew(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     held: Announcement,
     told_boxes: &mut u32,
 ) -> Result<Duration, CatalogError> {
@@ -126,7 +130,7 @@
 }
 
 async fn announce(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     held: Option<Announcement>,
     told_boxes: &mut u32,
 ) -> Result<(), CatalogError> {
@@ -145,8 +149,8 @@
 }
 
 /// How this box is announced in the store's present era.
-fn announcement(shared: &Shared) -> Option<Announcement> {
-    let era = shared.links.lock().feed().era();
+fn announcement(shared: &EdgeState) -> Option<Announcement> {
+    let era = shared.links.lock().watch_state().era();
     let held = *shared.announcement.lock();
     held.filter(|held| held.lease.era == era)
 }
--- a/crates/wingspur-edge/src/attempt.rs
+++ b/crates/wingspur-edge/src/attempt.rs
@@ -17,20 +17,22 @@
     SendBody,
 };
 
-use crate::admission::Admitted;
-use crate::exchange::pass_alarm_on;
-use crate::given_up::HeldAnswer;
-use crate::in_force::ActiveRoute;
+use crate::active_bundle::ActiveRoute;
+use crate::admission::Principal;
+use crate::edge_state::EdgeState;
+use crate::in_flight_requests::InFlightGuard;
+use crate::peer_exchange::send_urgent_on_suspect;
+use crate::request_error::BufferedResponse;
 use crate::request_log::id_text;
-use crate::requests_out::Ticket;
 use crate::server_hints::observe_response;
 use crate::services::ServiceState;
-use crate::shared::Shared;
-use crate::suspects::{BrokenOff, note_answered, note_broken_off};
+use crate::suspect_requests::{
+    InterruptedAttempt, check_for_server_crash, record_completed,
+};
 
 /// A request as every attempt sends it, but for the body.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// The method.
     pub method: Method,
     /// Path and query, as the caller wrote them.
@@ -44,17 +46,17 @@
     /// When it came.
     pub arrived: Instant,
     /// When it is given up.
-    pub limit: Instant,
+    pub deadline: Instant,
     /// Whom it is sent for.
-    pub admitted: Admitted,
+    pub admitted: Principal,
     /// Its place among the requests that are not over.
-    pub ticket: Arc<Ticket>,
+    pub ticket: Arc<InFlightGuard>,
 }
 
 /// How an attempt ended.
 pub enum AttemptResult {
     /// The server's answer, whole.
-    Answered(HeldAnswer),
+    Answered(BufferedResponse),
     /// The beginning of an answer that is too long to hold.
     Streaming {
         /// The status and headers.
@@ -77,25 +79,25 @@
     /// What the caller is told if nothing better comes.
     pub code: ResultCode,
     /// The server's own failure, whole; it may be passed on.
-    pub answer: Option<HeldAnswer>,
+    pub answer: Option<BufferedResponse>,
     /// What happened, for the log.
     pub reason: String,
     /// The connection ended before the answer was whole; the server may have ended.
-    pub broken_off: Option<BrokenOff>,
+    pub interrupted: Option<InterruptedAttempt>,
     /// The server, and why it was picked.
     pub pick: Pick,
 }
 
 impl FailedAttempt {
     /// Whether the server has surely had the request.
-    pub fn was_answered(&self) -> bool {
+    pub fn reached_server(&self) -> bool {
         self.answer.is_some() || self.end == AttemptEnd::RefusedBeforeRunning
     }
 }
 
 /// An attempt that is out; dropping it counts it as abandoned.
 pub struct AttemptGuard {
-    shared: Arc<Shared>,
+    shared: Arc<EdgeState>,
     service: Arc<ServiceState>,
     backend: Arc<BackendConnections>,
     server: Arc<ServerRecord>,
@@ -106,9 +108,9 @@
 }
 
 /// What an attempt needs to know.
-pub struct AttemptPlan {
+pub struct UpstreamAttempt {
     /// What all parts of the box share.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<EdgeState>,
     /// The route.
     pub route: Arc<ActiveRoute>,
     /// The service.
@@ -116,10 +118,10 @@
     /// The server that was picked.
     pub pick: Pick,
     /// The request.
-    pub outgoing: Arc<Outgoing>,
+    pub outgoing: Arc<UpstreamRequest>,
 }
 
-impl AttemptPlan {
+impl UpstreamAttempt {
     /// Makes the attempt.
     pub async fn run(self, body: SendBody) -> AttemptResult {
         let backend = self.shared.services.backend(self.pick.server.address);
@@ -155,7 +157,7 @@
         };
         let answering = answering.or(guard.watch_silence(self.expected()));
         let expired = async {
-            wingspur_clock::sleep_until(self.outgoing.limit + LATE_ANSWER).await;
+            wingspur_clock::sleep_until(self.outgoing.deadline + LATE_ANSWER).await;
             None
         };
         let answered = match answering.or(expired).await {
@@ -210,7 +212,7 @@
         }
         self.check_own(&head)?;
         match connection.read_whole(HELD_BYTES).await? {
-            Ok(body) => Ok(Conversed::Whole(HeldAnswer { head, body }, hints)),
+            Ok(body) => Ok(Conversed::Whole(BufferedResponse { head, body }, hints)),
             Err(first) => Ok(Conversed::Longer { head, first }),
         }
     }
@@ -223,7 +225,7 @@
     /// Weighs an answer that is here whole.
     fn weigh(
         &self,
-        answer: HeldAnswer,
+        answer: BufferedResponse,
         hints: &ServerHints,
         connection: BackendConnection,
         mut guard: AttemptGuard,
@@ -270,7 +272,7 @@
                 code: ResultCode::ConnectionLostAfterSend,
                 answer: Some(answer),
                 reason: status.to_string(),
-                broken_off: None,
+                interrupted: None,
                 pick: self.pick.clone(),
             }));
         }
@@ -285,19 +287,19 @@
         if !guard.machine_stood_still() {
             self.learn_from(wingspur_clock::since(began), bytes);
         }
-        guard.close_good(connection);
+        guard.complete(connection);
         AttemptResult::Answered(answer)
     }
 
     /// Learns how long the route's answers take.
     fn learn_from(&self, took: Duration, bytes: u64) {
-        let (metrics, learned) = (&self.shared.metrics, &self.route.learned);
-        metrics.time_server(&self.service.name, took);
+        let (metrics, learned) = (&self.shared.metrics, &self.route.stats);
+        metrics.observe_server_latency(&self.service.name, took);
         // What the queue took is not the route's own time.
-        let typical_ms = learned.typical().as_secs_f64() * 1000.0;
+        let typical_ms = learned.typical_latency().as_secs_f64() * 1000.0;
         let queue = (self.pick.baseline_ms / typical_ms).max(1.0);
-        learned.learn(took.div_f64(queue), bytes);
-        learned.learn_ratio(took.as_secs_f64() * 1000.0 / self.pick.healthy_ms);
+        learned.record_response(took.div_f64(queue), bytes);
+        learned.record_latency_ratio(took.as_secs_f64() * 1000.0 / self.pick.healthy_ms);
     }
 
     /// Checks what an answer must have to be the server's own.
@@ -305,7 +307,7 @@
         if !head.status.is_success() {
             return Ok(());
         }
-        let stamp = self.shared.names.server_stamp;
+        let stamp = self.shared.header_names.server_stamp;
         if stamp.is_some_and(|name| !head.headers.contains_key(name)) {
             let reason = "a success without the server's stamp";
             return Err(ResponseError::Unreadable(reason.to_owned()));
@@ -320,7 +322,7 @@
     }
 
     fn belongs_to_another(&self, head: &ResponseHead) -> bool {
-        let echoed = head.headers.get(self.shared.names.request_id);
+        let echoed = head.headers.get(self.shared.header_names.request_id);
         echoed.is_some_and(|id| Some(id) != self.outgoing.id.as_ref())
     }
 
@@ -344,7 +346,7 @@
             code,
             answer: None,
             reason: reason.to_string(),
-            broken_off: None,
+            interrupted: None,
             pick: self.pick.clone(),
         }))
     }
@@ -355,7 +357,7 @@
         error: &ResponseError,
         backend: Arc<BackendConnections>,
     ) -> AttemptResult {
-        let broken_off = error.is_connection_lost().then(|| BrokenOff {
+        let broken_off = error.is_connection_lost().then(|| InterruptedAttempt {
             request: self.outgoing.fingerprint,
             server: self.pick.server.clone(),
             backend,
@@ -365,7 +367,7 @@
             code: ResultCode::ConnectionLostAfterSend,
             answer: None,
             reason: error.to_string(),
-            broken_off,
+            interrupted: broken_off,
             pick: self.pick.clone(),
         }))
     }
@@ -375,20 +377,20 @@
         ExpectedLatency {
             baseline_ms: self.pick.baseline_ms,
             healthy_ms: self.pick.healthy_ms,
-            service_time: self.route.learned.service_time(),
+            service_time: self.route.stats.service_time(),
         }
     }
 
     fn remaining(&self) -> Duration {
         self.outgoing
-            .limit
+            .deadline
             .saturating_duration_since(wingspur_clock::now())
     }
 
     /// The request's head in bytes.
     fn head_bytes(&self, account: Option<&ClientAccount>, body: &SendBody) -> Vec<u8> {
         let outgoing = &self.outgoing;
-        let names = &self.shared.names;
+        let names = &self.shared.header_names;
         let mut head = Vec::with_capacity(512);
         push(
             &mut head,
@@ -424,7 +426,7 @@
 
 /// What came back on the connection.
 enum Conversed {
-    Whole(HeldAnswer, ServerHints),
+    Whole(BufferedResponse, ServerHints),
     Longer {
         head: ResponseHead,
         first: Vec<Bytes>,
@@ -432,12 +434,12 @@
 }
 
 impl AttemptGuard {
-    fn begin(plan: &AttemptPlan, backend: Arc<BackendConnections>) -> Self {
+    fn begin(plan: &UpstreamAttempt, backend: Arc<BackendConnections>) -> Self {
         let server: &Arc<ServerRecord> = &plan.pick.server;
         let mut balancer = plan.service.balancer.lock();
         let id = balancer.begin(server.key(), plan.expected(), wingspur_clock::now());
         drop(balancer);
-        plan.shared.updates.notify();
+        plan.shared.pending_updates.notify();
         Self {
             shared: plan.shared.clone(),
             service: plan.service.clone(),
@@ -473,7 +475,7 @@
             let told = balancer.update_silence_evidence(id, wingspur_clock::now());
             drop(balancer);
             if told {
-                self.shared.updates.notify();
+                self.shared.pending_updates.notify();
             }
         }
         futures_lite::future::pending().await
@@ -493,27 +495,27 @@
     }
 
     /// Ends the attempt by a good answer, and keeps its connection.
-    pub fn close_good(mut self, connection: BackendConnection) {
+    pub fn complete(mut self, connection: BackendConnection) {
         self.end(HealthOutcome::Good);
-        note_answered(&self.shared, self.request);
+        record_completed(&self.shared, self.request);
         self.backend.release(connection);
     }
 
     /// Ends the attempt by an answer that broke off.
-    pub fn close_failed(mut self, error: &ResponseError) {
+    pub fn fail(mut self, error: &ResponseError) {
         tracing::info!(%error, "attempt: an answer under way broke off.");
         self.end(HealthOutcome::Failed);
         if !error.is_connection_lost() {
             return;
         }
-        let broken = BrokenOff {
+        let broken = InterruptedAttempt {
             request: self.request,
             server: self.server.clone(),
             backend: self.backend.clone(),
         };
         let shared = self.shared.clone();
         let spawner = shared.spawner.clone();
-        spawner.detach(async move { note_broken_off(&shared, &broken).await });
+        spawner.detach(async move { check_for_server_crash(&shared, &broken).await });
     }
 
     fn end(&mut self, ended: HealthOutcome) {
@@ -530,8 +532,8 @@
                 .balancer
                 .lock()
                 .end(id, ended, wingspur_clock::now());
-            self.shared.updates.notify();
-            pass_alarm_on(&self.shared, &self.service);
+            self.shared.pending_updates.notify();
+            send_urgent_on_suspect(&self.shared, &self.service);
         }
     }
 }
--- a/crates/wingspur-edge/src/catalog_state.rs
+++ b/crates/wingspur-edge/src/catalog_state.rs
@@ -9,16 +9,16 @@
 };
 use wingspur_state::{BundlePatch, BundleVersion, ServerId, StorePosition};
 
+use crate::directory_changes::apply_server_changes;
+use crate::edge_state::EdgeState;
 use crate::evacuation::{begin_evacuation, end_evacuation, replace_evacuations};
 use crate::quarantine::{
-    end_quarantine, put_quarantine, quarantine_records, replace_quarantines,
+    apply_quarantine, end_quarantine, quarantine_records, replace_quarantines,
 };
-use crate::server_changes::follow;
-use crate::shared::Shared;
 
 /// Takes in news of the catalog that came by a link, and passes on what was news here.
-pub fn apply_update(
-    shared: &Arc<Shared>,
+pub fn apply_peer_update(
+    shared: &Arc<EdgeState>,
     update: CatalogUpdate,
     from: Option<LinkId>,
     now: Instant,
@@ -33,7 +33,7 @@
 }
 
 fn apply_peer_listing(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     told: Arc<CatalogSnapshotUpdate>,
     from: Option<LinkId>,
     now: Instant,
@@ -50,23 +50,23 @@
     }
     let knows_more = knows_more(shared, bundle_version, &returned);
     if let Some(link) = from.filter(|_| knows_more) {
-        let listing = listing_of(shared, now);
-        shared.links.lock().tell(link, listing);
-        shared.updates.notify();
+        let listing = current_snapshot(shared, now);
+        shared.links.lock().send_update(link, listing);
+        shared.pending_updates.notify();
     }
 }
 
 /// Takes in what counts of a listing whatever its position: what a restored store has lost.
 /// Whether any of it was news.
 fn merge_listing(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     told: &CatalogSnapshotUpdate,
     now: Instant,
 ) -> bool {
     let bundle = told.snapshot.bundle.clone();
-    let is_newer = bundle.is_some_and(|bundle| shared.put_in_force(bundle, "peer"));
+    let is_newer = bundle.is_some_and(|bundle| shared.activate_bundle(bundle, "peer"));
     if is_newer {
-        shared.share_out();
+        shared.update_fleet_shares();
     }
     let is_of_this_era =
         told.snapshot.position.era() == shared.links.lock().position().era();
@@ -74,14 +74,14 @@
         true => shared.directory.lock().suppress_stale(&told.returned, now),
         false => Vec::new(),
     };
-    follow(shared, &gone, "peer");
+    apply_server_changes(shared, &gone, "peer");
     is_newer || !gone.is_empty()
 }
 
 /// Whether this box knows of what a restored store has lost, and the teller of a listing does
 /// not.
 fn knows_more(
-    shared: &Shared,
+    shared: &EdgeState,
     peer_version: Option<BundleVersion>,
     peer_returned: &[ServerId],
 ) -> bool {
@@ -92,7 +92,7 @@
 }
 
 fn apply_peer_changes(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     changes: CatalogChanges,
     doubtful_ms: u32,
     from: Option<LinkId>,
@@ -105,8 +105,8 @@
     if changes.after > known || lacks_base(shared, &changes) {
         // Changes in between never came this way.
         if let Some(link) = from {
-            shared.links.lock().ask_for_listing(link);
-            shared.updates.notify();
+            shared.links.lock().request_snapshot(link);
+            shared.pending_updates.notify();
         }
         return;
     }
@@ -121,15 +121,15 @@
 }
 
 /// Notes for how long what another box has read may be doubted.
-fn read_by_another(shared: &Shared, doubtful_ms: u32, now: Instant) {
+fn read_by_another(shared: &EdgeState, doubtful_ms: u32, now: Instant) {
     let doubtful = Duration::from_millis(doubtful_ms.into());
     shared.directory.lock().store_read_by_peer(doubtful, now);
 }
 
 /// Applies a listing that this box read itself, and spreads it; false where links have told
 /// more while it was on its way.
-pub fn take_listing(
-    shared: &Arc<Shared>,
+pub fn apply_store_snapshot(
+    shared: &Arc<EdgeState>,
     listing: CatalogSnapshot,
     now: Instant,
 ) -> bool {
@@ -162,8 +162,8 @@
 
 /// Applies changes that this box read itself, and spreads them, those that change nothing as
 /// a position only; false where links have told more while they were on their way.
-pub fn take_changes(
-    shared: &Arc<Shared>,
+pub fn apply_store_changes(
+    shared: &Arc<EdgeState>,
     mut changes: CatalogChanges,
     now: Instant,
 ) -> bool {
@@ -196,8 +196,8 @@
 }
 
 /// What a peer lacks that knows all up to a position and has a version in force.
-pub fn update_for(
-    shared: &Shared,
+pub fn catch_up_update(
+    shared: &EdgeState,
     position: StorePosition,
     bundle_version: BundleVersion,
     now: Instant,
@@ -211,7 +211,7 @@
     let knows_gone = shared.directory.lock().suppressed().next().is_some();
     // No change brings what a restored store has lost.
     match knows_gone || (newest > bundle_version && !brought) {
-        true => Some(listing_of(shared, now)),
+        true => Some(current_snapshot(shared, now)),
         false => update,
     }
 }
@@ -230,31 +230,35 @@
 }
 
 /// The changes since a position, or all there is.
-fn update_since(shared: &Shared, position: StorePosition, now: Instant) -> CatalogUpdate {
+fn update_since(
+    shared: &EdgeState,
+    position: StorePosition,
+    now: Instant,
+) -> CatalogUpdate {
     let changes = shared.links.lock().changes_since(position);
     match changes {
         Some(changes) => CatalogUpdate::Changes {
             changes,
             doubtful_ms: doubtful_ms(shared, now),
         },
-        None => listing_of(shared, now),
+        None => current_snapshot(shared, now),
     }
 }
 
 /// All that this box knows, for a peer that is behind.
-pub fn listing_of(shared: &Shared, now: Instant) -> CatalogUpdate {
+pub fn current_snapshot(shared: &EdgeState, now: Instant) -> CatalogUpdate {
     let version = shared.bundle_version();
-    let known = shared.links.lock().listing(version, now);
+    let known = shared.links.lock().cached_snapshot(version, now);
     known.unwrap_or_else(|| fresh_listing(shared, now))
 }
 
 /// Tells the other boxes all that this one knows.
-fn spread_listing(shared: &Shared, from: Option<LinkId>, now: Instant) {
+fn spread_listing(shared: &EdgeState, from: Option<LinkId>, now: Instant) {
     let listing = fresh_listing(shared, now);
     spread(shared, &listing, true, from);
 }
 
-fn fresh_listing(shared: &Shared, now: Instant) -> CatalogUpdate {
+fn fresh_listing(shared: &EdgeState, now: Instant) -> CatalogUpdate {
     let announced = shared.announcement.lock().is_some();
     let (position, boxes) = {
         let mut links = shared.links.lock();
@@ -263,7 +267,7 @@
         let boxes = known.chain(own).collect();
         (links.position(), boxes)
     };
-    let in_force = shared.in_force();
+    let in_force = shared.active_bundle();
     let quarantines = quarantine_records(shared);
     let evacuated = shared.services.evacuated().iter().cloned().collect();
     let directory = shared.directory.lock();
@@ -284,38 +288,38 @@
         returned: returned.collect(),
     });
     drop(directory);
-    shared.links.lock().keep_listing(listing.clone(), now);
+    shared.links.lock().cache_snapshot(listing.clone(), now);
     CatalogUpdate::Snapshot(listing)
 }
 
 fn apply_listing(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     told: CatalogSnapshotUpdate,
     source: &str,
     now: Instant,
 ) {
     let listing = told.snapshot;
     if let Some(bundle) = listing.bundle {
-        shared.put_in_force(bundle, source);
+        shared.activate_bundle(bundle, source);
     }
     let mut directory = shared.directory.lock();
     let mut changes = directory.replace_restored(listing.servers, &told.returned, now);
     let missing = told.missing.into_iter();
     changes.extend(missing.filter_map(|record| directory.put_missing(record, now)));
     drop(directory);
-    follow(shared, &changes, source);
+    apply_server_changes(shared, &changes, source);
     replace_quarantines(shared, listing.position, &listing.quarantines);
     replace_evacuations(shared, listing.evacuated, source);
     let mut links = shared.links.lock();
     links.planner().replace(listing.boxes, now);
-    links.feed().advance_to(listing.position);
+    links.watch_state().advance_to(listing.position);
     drop(links);
-    shared.share_out();
-    shared.replan.notify();
+    shared.update_fleet_shares();
+    shared.link_plan_changed.notify();
 }
 
 fn apply_changes(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     changes: CatalogChanges,
     source: &str,
     now: Instant,
@@ -325,14 +329,16 @@
     for change in changes.changes {
         match change {
             CatalogChange::Bundle(bundle) => {
-                shared.put_in_force(bundle, source);
-                shared.share_out();
+                shared.activate_bundle(bundle, source);
+                shared.update_fleet_shares();
             }
             CatalogChange::BundlePatch(patch) => {
-                let patched = shared.in_force().and_then(|old| patch.apply(&old.bundle));
+                let patched = shared
+                    .active_bundle()
+                    .and_then(|old| patch.apply(&old.bundle));
                 if let Some(bundle) = patched {
-                    shared.put_in_force(Arc::new(bundle), source);
-                    shared.share_out();
+                    shared.activate_bundle(Arc::new(bundle), source);
+                    shared.update_fleet_shares();
                 }
             }
             CatalogChange::Server(record) => {
@@ -349,7 +355,7 @@
                 shared.links.lock().planner().remove(&id, now);
                 boxes_changed = true;
             }
-            CatalogChange::Quarantine(record) => put_quarantine(shared, &record),
+            CatalogChange::Quarantine(record) => apply_quarantine(shared, &record),
             CatalogChange::QuarantineEnded(request) => end_quarantine(shared, request),
             CatalogChange::Evacuated(data_centre) => {
                 begin_evacuation(shared, data_centre, source);
@@ -359,16 +365,20 @@
             }
         }
     }
-    follow(shared, &followed, source);
-    shared.links.lock().feed().advance_to(changes.position);
+    apply_server_changes(shared, &followed, source);
+    shared
+        .links
+        .lock()
+        .watch_state()
+        .advance_to(changes.position);
     if boxes_changed {
-        shared.share_out();
-        shared.replan.notify();
+        shared.update_fleet_shares();
+        shared.link_plan_changed.notify();
     }
 }
 
 /// Whether changes are of a bundle that this box does not have, and needs.
-fn lacks_base(shared: &Shared, changes: &CatalogChanges) -> bool {
+fn lacks_base(shared: &EdgeState, changes: &CatalogChanges) -> bool {
     let mut version = shared.bundle_version();
     for change in &changes.changes {
         match change {
@@ -385,8 +395,10 @@
 }
 
 /// The changes as other boxes are told them: a bundle by what it changes of the one before.
-fn with_patches(shared: &Shared, changes: &CatalogChanges) -> CatalogChanges {
-    let mut before = shared.in_force().map(|in_force| in_force.bundle.clone());
+fn with_patches(shared: &EdgeState, changes: &CatalogChanges) -> CatalogChanges {
+    let mut before = shared
+        .active_bundle()
+        .map(|in_force| in_force.bundle.clone());
     let mut told = changes.clone();
     for change in &mut told.changes {
         let CatalogChange::Bundle(bundle) = change else {
@@ -403,14 +415,19 @@
 }
 
 /// Tells the other boxes news of the catalog, soon where it changes anything.
-fn spread(shared: &Shared, update: &CatalogUpdate, urgent: bool, from: Option<LinkId>) {
-    shared.links.lock().spread(update, urgent, from);
+fn spread(
+    shared: &EdgeState,
+    update: &CatalogUpdate,
+    urgent: bool,
+    from: Option<LinkId>,
+) {
+    shared.links.lock().broadcast(update, urgent, from);
     if urgent {
-        shared.updates.notify();
+        shared.pending_updates.notify();
     }
 }
 
-fn doubtful_ms(shared: &Shared, now: Instant) -> u32 {
+fn doubtful_ms(shared: &EdgeState, now: Instant) -> u32 {
     as_ms(shared.directory.lock().removal_grace_left(now))
 }
 
--- a/crates/wingspur-edge/src/feed.rs
+++ b/crates/wingspur-edge/src/catalog_watch.rs
@@ -8,13 +8,13 @@
 use wingspur_protocol::BoxRecord;
 use wingspur_transport::{CatalogError, StopSignal};
 
-use crate::catalog_state::{take_changes, take_listing};
-use crate::server_changes::settle;
-use crate::shared::Shared;
+use crate::catalog_state::{apply_store_changes, apply_store_snapshot};
+use crate::directory_changes::expire_missing_servers;
+use crate::edge_state::EdgeState;
 use crate::store_calls::call_store;
 
 /// Reads the catalog whenever this box should, until it stops.
-pub async fn run_feed(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_catalog_watch(shared: Arc<EdgeState>, stop: StopSignal) {
     let mut reading = Reading::default();
     let started = wingspur_clock::now();
     wait_for_hub(&shared, started).await;
@@ -22,7 +22,7 @@
         if !should_read(&shared) {
             if reading.active {
                 tracing::info!("store: another box reads it.");
-                shared.links.lock().feed().stop_reading();
+                shared.links.lock().watch_state().stop_reading();
             }
             reading = Reading::default();
             wingspur_clock::sleep(IDLE_CHECK).await;
@@ -41,7 +41,7 @@
                 reading.lists = Some(Listing::Fresh);
                 if gaps > 0 {
                     // Listing did not help: a store that does so all the time is not flooded.
-                    wingspur_clock::sleep(pause(gaps)).await;
+                    wingspur_clock::sleep(retry_backoff(gaps)).await;
                 }
                 reading.gaps += 1;
             }
@@ -50,7 +50,7 @@
                 wait_to_retry(&shared, reading.failures).await;
             }
         }
-        settle(&shared, wingspur_clock::now());
+        expire_missing_servers(&shared, wingspur_clock::now());
     }
 }
 
@@ -58,7 +58,7 @@
 ///
 /// Boxes that start together are bound by the store's link; the last to list would
 /// know a bundle late.
-async fn wait_for_hub(shared: &Arc<Shared>, started: Instant) {
+async fn wait_for_hub(shared: &Arc<EdgeState>, started: Instant) {
     let boxes = find_boxes(shared).await;
     let (own_id, before) = {
         let mut links = shared.links.lock();
@@ -89,7 +89,7 @@
 /// Boxes that all start at once find nobody announced, and each would list all there is: with
 /// hundreds of boxes and thousands of servers that takes the store longer than the strongest
 /// boxes need to list and tell the others.
-async fn wait_for_new_hub(shared: &Arc<Shared>, started: Instant) {
+async fn wait_for_new_hub(shared: &Arc<EdgeState>, started: Instant) {
     loop {
         wingspur_clock::sleep(jittered(HUB_LOOK)).await;
         if waits_for_hub(shared, started) {
@@ -103,21 +103,21 @@
 }
 
 /// Waits for the listing of this box's hub, for as long as it may be waited for.
-async fn wait_for_listing(shared: &Shared, started: Instant) {
+async fn wait_for_listing(shared: &EdgeState, started: Instant) {
     while waits_for_hub(shared, started) {
         wingspur_clock::sleep(HOLD_CHECK).await;
     }
 }
 
 /// Whether this box knows nothing yet, and its hub should send it a listing.
-fn waits_for_hub(shared: &Shared, started: Instant) -> bool {
+fn waits_for_hub(shared: &EdgeState, started: Instant) -> bool {
     let links = shared.links.lock();
     let since_start = wingspur_clock::since(started);
     links.is_starting() && waits_for_hub_snapshot(links.hub_has_catalog(), since_start)
 }
 
 /// Learns from the store which boxes are announced, unless more is known here already.
-async fn find_boxes(shared: &Arc<Shared>) -> Vec<BoxRecord> {
+async fn find_boxes(shared: &Arc<EdgeState>) -> Vec<BoxRecord> {
     match call_store(shared, "list_boxes", (shared.catalog.list_boxes)()).await {
         Ok(listing) => {
             let mut links = shared.links.lock();
@@ -125,7 +125,7 @@
                 links
                     .planner()
                     .replace(listing.boxes.clone(), wingspur_clock::now());
-                shared.replan.notify();
+                shared.link_plan_changed.notify();
             }
             listing.boxes
         }
@@ -157,7 +157,7 @@
 }
 
 impl Reading {
-    fn note_success(&mut self, shared: &Shared) {
+    fn note_success(&mut self, shared: &EdgeState) {
         if self.failures > 0 {
             tracing::info!(failures = self.failures, "store: it answers again.");
         }
@@ -168,19 +168,19 @@
             .store_recovered(wingspur_clock::now());
     }
 
-    fn note_failure(&mut self, shared: &Shared, error: &CatalogError) {
+    fn note_failure(&mut self, shared: &EdgeState, error: &CatalogError) {
         if self.failures == 0 {
             tracing::warn!(%error, "store: lost.");
         }
         self.failures += 1;
-        shared.links.lock().feed().note_no_answer();
+        shared.links.lock().watch_state().note_no_answer();
         shared.directory.lock().store_lost();
     }
 }
 
 /// Lists, or waits for changes.
 async fn step(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     reading: &mut Reading,
     started: Instant,
 ) -> Result<(), CatalogError> {
@@ -205,7 +205,7 @@
             return Ok(());
         };
         reading.lists = None;
-        if take_listing(shared, listing, wingspur_clock::now()) {
+        if apply_store_snapshot(shared, listing, wingspur_clock::now()) {
             note_listing(shared, due);
         }
         if position.is_start() {
@@ -232,7 +232,7 @@
     if let Some(changes) = watched.or(unneeded).await? {
         reading.gaps = 0;
         let brought_any = changes.position > changes.after;
-        if take_changes(shared, changes, wingspur_clock::now()) {
+        if apply_store_changes(shared, changes, wingspur_clock::now()) {
             note_answer(shared);
         }
         if brought_any {
@@ -245,35 +245,39 @@
 
 /// Notes that all that the store had told by now is in. Only the answer of a watch or a
 /// fresh listing says so: another call may be answered while the watch is deaf.
-fn note_answer(shared: &Shared) {
+fn note_answer(shared: &EdgeState) {
     shared
         .links
         .lock()
-        .feed()
+        .watch_state()
         .note_answer(wingspur_clock::now());
 }
 
 /// Notes a listing's answer, a cheap one by what it may lack.
-fn note_listing(shared: &Shared, listing: Listing) {
+fn note_listing(shared: &EdgeState, listing: Listing) {
     let now = wingspur_clock::now();
     let as_of = match listing {
         Listing::Fresh => Some(now),
         Listing::Cheap => now.checked_sub(CHEAP_IS_OLD),
     };
-    shared.links.lock().feed().note_answer(as_of.unwrap_or(now));
+    shared
+        .links
+        .lock()
+        .watch_state()
+        .note_answer(as_of.unwrap_or(now));
 }
 
 /// Whether the store has been restored since what is known here was read.
-fn is_of_older_era(shared: &Shared) -> bool {
-    shared.links.lock().feed().is_of_older_era()
+fn is_of_older_era(shared: &EdgeState) -> bool {
+    shared.links.lock().watch_state().is_of_older_era()
 }
 
-fn should_read(shared: &Shared) -> bool {
+fn should_read(shared: &EdgeState) -> bool {
     let now = wingspur_clock::now();
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(now);
     let rank = links.planner().rank();
-    links.feed().should_watch_store(is_hub, rank, now)
+    links.watch_state().should_watch_store(is_hub, rank, now)
 }
 
 /// Waits before the store is read again.
@@ -281,9 +285,9 @@
 /// While another box tries all the time, now and then is enough here: the store may turn
 /// away some boxes only. A hub tries all the time itself, also one that has just taken over:
 /// two that waited for each other would both be late.
-async fn wait_to_retry(shared: &Shared, failures: u32) {
+async fn wait_to_retry(shared: &EdgeState, failures: u32) {
     let began = wingspur_clock::now();
-    let (own, helper) = (pause(failures), jittered(HELPER_PAUSE));
+    let (own, helper) = (retry_backoff(failures), jittered(HELPER_PAUSE));
     loop {
         let waited = wingspur_clock::since(began);
         let whole = if may_leave_it(shared) { helper } else { own };
@@ -296,14 +300,14 @@
     }
 }
 
-fn may_leave_it(shared: &Shared) -> bool {
+fn may_leave_it(shared: &EdgeState) -> bool {
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(wingspur_clock::now());
-    links.feed().may_defer_read(is_hub)
+    links.watch_state().may_defer_read(is_hub)
 }
 
 /// A pause that doubles up to a second.
-pub fn pause(failures: u32) -> Duration {
+pub fn retry_backoff(failures: u32) -> Duration {
     let whole = FIRST_PAUSE * 2u32.pow(failures.min(4));
     jittered(whole.min(MOST_PAUSE))
 }
--- a/crates/wingspur-edge/src/server_changes.rs
+++ b/crates/wingspur-edge/src/directory_changes.rs
@@ -5,19 +5,25 @@
 
 use wingspur_state::RegistryChange;
 
-use crate::server_hints::note_announced;
-use crate::shared::Shared;
-use crate::suspects::note_gone;
+use crate::edge_state::EdgeState;
+use crate::server_hints::record_announcements;
+use crate::suspect_requests::record_server_crashes;
 
 /// Lets the services follow what became of servers.
-pub fn follow(shared: &Arc<Shared>, changes: &[RegistryChange], source: &str) {
-    note_gone(shared, changes);
-    note_announced(shared, changes);
+pub fn apply_server_changes(
+    shared: &Arc<EdgeState>,
+    changes: &[RegistryChange],
+    source: &str,
+) {
+    record_server_crashes(shared, changes);
+    record_announcements(shared, changes);
     if changes.len() > MOST_SINGLE_LINES {
         // A box that starts would write one for each server that there is.
         let servers = changes.len();
         tracing::info!(servers, source, "server: many have changed.");
-        return shared.services.follow(changes, &shared.standings);
+        return shared
+            .services
+            .apply_directory_changes(changes, &shared.announced_states);
     }
     for change in changes {
         let (event, record) = match change {
@@ -29,17 +35,19 @@
         let (server, service) = (&record.id, &record.service);
         tracing::info!(%server, %service, address = %record.address, source, "server: {event}.");
     }
-    shared.services.follow(changes, &shared.standings);
+    shared
+        .services
+        .apply_directory_changes(changes, &shared.announced_states);
 }
 
 /// Drops servers that have not come back after an outage of the store.
-pub fn settle(shared: &Arc<Shared>, now: Instant) {
-    let age = shared.links.lock().feed().confirmed_age(now);
+pub fn expire_missing_servers(shared: &Arc<EdgeState>, now: Instant) {
+    let age = shared.links.lock().watch_state().confirmed_age(now);
     let Some(as_of) = age.and_then(|age| now.checked_sub(age)) else {
         return;
     };
     let changes = shared.directory.lock().settle(as_of);
-    follow(shared, &changes, "settled");
+    apply_server_changes(shared, &changes, "settled");
 }
 
 /// So many servers that change at once have a log line each; a rack has fewer.
--- a/crates/wingspur-edge/src/edge_box.rs
+++ b/crates/wingspur-edge/src/edge_box.rs
@@ -12,23 +12,25 @@
     Catalog, HttpListener, ListenerOptions, Spawner, StopSignal, StopTrigger, stop_pair,
 };
 
-use crate::announce::{run_announcement, withdraw};
-use crate::exchange::{answer_peer, review, run_exchange, run_links};
-use crate::feed::run_feed;
-use crate::lending::run_lending;
+use crate::announce::{run_announcement, withdraw_announcement};
+use crate::catalog_watch::run_catalog_watch;
+use crate::directory_changes::expire_missing_servers;
+use crate::edge_state::EdgeState;
 use crate::metrics::Metrics;
 use crate::operator::answer_operator;
+use crate::peer_exchange::{
+    handle_peer_request, log_suspicion_changes, run_exchange, run_link_manager,
+};
 use crate::quarantine::run_quarantine;
-use crate::request::answer_caller;
-use crate::server_changes::settle;
+use crate::quota_leases::run_quota_leases;
+use crate::request::handle_request;
 use crate::settings::Settings;
-use crate::shared::Shared;
-use crate::stopping::StopPlan;
+use crate::shutdown::ShutdownSchedule;
 
 /// A running entry box.
 #[derive(Debug)]
 pub struct EdgeBox {
-    shared: Arc<Shared>,
+    shared: Arc<EdgeState>,
     callers: HttpListener,
     peers: HttpListener,
     operators: HttpListener,
@@ -72,16 +74,16 @@
         if let Ok(address) = peer_port.local_addr() {
             settings.peer_address = address;
         }
-        let shared = Shared::new(settings, names, catalog, spawner.clone());
+        let shared = EdgeState::new(settings, names, catalog, spawner.clone());
         let shared = Arc::new(shared);
         let options = ListenerOptions::default();
         let caller_shared = shared.clone();
         let handler =
-            move |request, from| answer_caller(caller_shared.clone(), request, from);
+            move |request, from| handle_request(caller_shared.clone(), request, from);
         let callers = HttpListener::start(caller_port, spawner, options.clone(), handler);
         let callers = callers.map_err(|error| lost("caller_address", error))?;
         let peer_shared = shared.clone();
-        let handler = move |request, _| answer_peer(peer_shared.clone(), request);
+        let handler = move |request, _| handle_peer_request(peer_shared.clone(), request);
         let peers = HttpListener::start(peer_port, spawner, options.clone(), handler);
         let peers = peers.map_err(|error| lost("peer_address", error))?;
         let operator_shared = shared.clone();
@@ -95,11 +97,11 @@
         let collectors = collectors.map_err(|error| lost("metrics_address", error))?;
         let (stop, signal) = stop_pair();
         let tasks = vec![
-            spawner.spawn(run_feed(shared.clone(), signal.clone())),
+            spawner.spawn(run_catalog_watch(shared.clone(), signal.clone())),
             spawner.spawn(run_announcement(shared.clone(), signal.clone())),
-            spawner.spawn(run_links(shared.clone(), signal.clone())),
+            spawner.spawn(run_link_manager(shared.clone(), signal.clone())),
             spawner.spawn(run_exchange(shared.clone(), signal.clone())),
-            spawner.spawn(run_lending(shared.clone(), signal.clone())),
+            spawner.spawn(run_quota_leases(shared.clone(), signal.clone())),
             spawner.spawn(run_quarantine(shared.clone(), signal.clone())),
             spawner.spawn(tidy(shared.clone(), signal)),
         ];
@@ -162,18 +164,22 @@
     /// Stops as planned: no new callers, all requests in flight to their end; returns
     /// how many were cut.
     pub async fn close(mut self) -> usize {
-        let plan = StopPlan::new(&self.shared.settings(), wingspur_clock::now());
+        let plan = ShutdownSchedule::new(&self.shared.settings(), wingspur_clock::now());
         plan.log();
         self.log_out("not ready");
         self.shared.stopping.begin(plan.answer_by);
         self.shared.links.lock().note_own_stop();
-        self.shared.updates.notify();
+        self.shared.pending_updates.notify();
         // The balancer learns of it late, and sends callers until then.
         let accepting = wingspur_clock::sleep_until(plan.accept_until);
         let limit = plan
             .accept_until
             .saturating_duration_since(wingspur_clock::now());
-        zip(withdraw(&self.shared, limit.max(PORT_LIMIT)), accepting).await;
+        zip(
+            withdraw_announcement(&self.shared, limit.max(PORT_LIMIT)),
+            accepting,
+        )
+        .await;
         self.callers.stop_accepting().await;
         self.log_out("listener closed");
         self.finish(plan.answer_by).await;
@@ -209,7 +215,7 @@
     /// Tells which requests have no whole answer now that the box ends; returns how many.
     fn note_cut(&self) -> usize {
         self.log_out("end");
-        let requests = &self.shared.requests_out;
+        let requests = &self.shared.in_flight;
         for row in requests.oldest(MOST_CUT_LINES) {
             tracing::warn!(
                 id = row.id,
@@ -229,11 +235,11 @@
         let read = |count: &AtomicUsize| count.load(Ordering::Acquire);
         tracing::info!(
             step,
-            requests = self.shared.requests_out.count(),
+            requests = self.shared.in_flight.count(),
             connections = read(&counts.connections),
             closed_idle = read(&counts.closed_idle),
             broken = read(&counts.broken),
-            oldest = self.shared.requests_out.oldest_text(wingspur_clock::now()),
+            oldest = self.shared.in_flight.oldest_text(wingspur_clock::now()),
             "stop: what is out."
         );
     }
@@ -241,7 +247,7 @@
 
 /// Logs which servers are suspected and closes connections that have rested, until the box
 /// stops.
-async fn tidy(shared: Arc<Shared>, stop: StopSignal) {
+async fn tidy(shared: Arc<EdgeState>, stop: StopSignal) {
     let mut closed = wingspur_clock::now();
     let mut news_is_late = false;
     while !stop.is_triggered() {
@@ -249,21 +255,24 @@
         let now = wingspur_clock::now();
         news_is_late = watch_news(&shared, news_is_late, now);
         for service in shared.services.all() {
-            review(&service);
+            log_suspicion_changes(&service);
         }
         if now.saturating_duration_since(closed) >= CLOSE_EVERY {
             closed = now;
             shared.services.close_idle(now);
         }
-        settle(&shared, now);
+        expire_missing_servers(&shared, now);
     }
 }
 
 /// Shows how old the newest news of the store is, and tells when it becomes late; whether it
 /// is.
-fn watch_news(shared: &Shared, was_late: bool, now: Instant) -> bool {
+fn watch_news(shared: &EdgeState, was_late: bool, now: Instant) -> bool {
     let mut links = shared.links.lock();
-    let (age, is_late) = (links.feed().staleness(now), links.feed().is_lagging(now));
+    let (age, is_late) = (
+        links.watch_state().staleness(now),
+        links.watch_state().is_lagging(now),
+    );
     let (position, is_hub) = (links.position(), links.is_hub(now));
     drop(links);
     let age_ms = age.as_millis() as u64;
--- a/crates/wingspur-edge/src/refusal.rs
+++ b/crates/wingspur-edge/src/error_response.rs
@@ -12,7 +12,10 @@
 pub const RESULT_HEADER: &str = "wingspur-result";
 
 /// The whole answer for a result code; `retry_after` goes before the code's own.
-pub fn refusal(code: ResultCode, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+pub fn error_response(
+    code: ResultCode,
+    retry_after: Option<Duration>,
+) -> Response<Full<Bytes>> {
     let mut body = RefusalBody::from(code);
     if let Some(after) = retry_after {
         body.retry_after_s = Some(after.as_secs_f64());
--- a/crates/wingspur-edge/src/evacuation.rs
+++ b/crates/wingspur-edge/src/evacuation.rs
@@ -4,31 +4,31 @@
 
 use wingspur_state::DataCentreId;
 
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
 
 /// Stops sending to the servers of a data centre.
-pub fn begin_evacuation(shared: &Shared, data_centre: DataCentreId, source: &str) {
+pub fn begin_evacuation(shared: &EdgeState, data_centre: DataCentreId, source: &str) {
     change(shared, source, |evacuated| {
         evacuated.insert(data_centre);
     });
 }
 
 /// Uses the servers of a data centre again.
-pub fn end_evacuation(shared: &Shared, data_centre: &str, source: &str) {
+pub fn end_evacuation(shared: &EdgeState, data_centre: &str, source: &str) {
     change(shared, source, |evacuated| {
         evacuated.remove(data_centre);
     });
 }
 
 /// Stops sending to the servers of these data centres, and uses all others.
-pub fn replace_evacuations(shared: &Shared, listed: Vec<DataCentreId>, source: &str) {
+pub fn replace_evacuations(shared: &EdgeState, listed: Vec<DataCentreId>, source: &str) {
     change(shared, source, |evacuated| {
         *evacuated = listed.into_iter().collect();
     });
 }
 
 fn change(
-    shared: &Shared,
+    shared: &EdgeState,
     source: &str,
     change: impl FnOnce(&mut BTreeSet<DataCentreId>),
 ) {
--- a/crates/wingspur-edge/src/attempts.rs
+++ b/crates/wingspur-edge/src/forwarding.rs
@@ -15,25 +15,25 @@
 };
 use wingspur_transport::SendBody;
 
-use crate::attempt::{AttemptPlan, AttemptResult, FailedAttempt, Outgoing};
-use crate::given_up::GivenUp;
-use crate::in_force::ActiveRoute;
-use crate::quarantine::{is_quarantined, permission_to_send};
+use crate::active_bundle::ActiveRoute;
+use crate::attempt::{AttemptResult, FailedAttempt, UpstreamAttempt, UpstreamRequest};
+use crate::edge_state::EdgeState;
+use crate::quarantine::{is_quarantined, wait_for_send_permit};
 use crate::quarantine_state::SendPermission;
-use crate::request_log::{id_text, log_give_up, log_pick, rounded};
-use crate::resending::borrow_resend;
-use crate::server_hints::{RANKS_APART, take_place};
+use crate::request_error::RequestError;
+use crate::request_log::{id_text, log_give_up, log_pick, round_for_log};
+use crate::resend_lease_exchange::lease_resend;
+use crate::resend_reservation::ResendReservation;
+use crate::server_hints::{MAX_PRIORITY_LEVEL, acquire_server_quota};
 use crate::services::ServiceState;
-use crate::shared::Shared;
-use crate::suspects::{BrokenOff, note_broken_off};
-use crate::taken_resends::TakenResends;
+use crate::suspect_requests::{InterruptedAttempt, check_for_server_crash};
 
 /// A request under way.
-pub struct Forwarding {
-    shared: Arc<Shared>,
+pub struct RequestForwarder {
+    shared: Arc<EdgeState>,
     route: Arc<ActiveRoute>,
     service: Arc<ServiceState>,
-    outgoing: Arc<Outgoing>,
+    outgoing: Arc<UpstreamRequest>,
     /// The body, for as long as it can be sent.
     body: Option<SendBody>,
     /// Servers that were sent the request.
@@ -58,7 +58,7 @@
     /// When a server with a limit should have a place, where all servers have limits.
     place_in: Option<Duration>,
     /// Dropped after the attempts, so that none goes out once they are counted as arrived.
-    resends: TakenResends,
+    resends: ResendReservation,
 }
 
 type Borrowing = Pin<Box<dyn Future<Output = bool> + Send>>;
@@ -98,17 +98,17 @@
     Lent(bool),
 }
 
-impl Forwarding {
+impl RequestForwarder {
     /// A request that has not been sent yet.
     pub fn new(
-        shared: Arc<Shared>,
+        shared: Arc<EdgeState>,
         route: Arc<ActiveRoute>,
         service: Arc<ServiceState>,
-        outgoing: Outgoing,
+        outgoing: UpstreamRequest,
         body: SendBody,
     ) -> Self {
         Self {
-            resends: TakenResends::none(service.clone()),
+            resends: ResendReservation::new(service.clone()),
             shared,
             route,
             service,
@@ -129,7 +129,7 @@
     }
 
     /// Tries servers until one answers, the rules forbid more, or time is up.
-    pub async fn run(mut self) -> Result<AttemptResult, GivenUp> {
+    pub async fn run(mut self) -> Result<AttemptResult, RequestError> {
         self.service
             .budget
             .lock()
@@ -153,9 +153,9 @@
                     return Ok(answered);
                 }
             };
-            self.resends.answered += u32::from(failed.was_answered());
+            self.resends.answered += u32::from(failed.reached_server());
             self.note_failure(&failed);
-            self.look_for_server(failed.broken_off.take()).await;
+            self.look_for_server(failed.interrupted.take()).await;
             let (code, end, server) = (failed.code, failed.end, failed.pick.server.key());
             self.keep_worst(failed);
             if end == AttemptEnd::NotSent {
@@ -163,7 +163,7 @@
                 self.tried.retain(|tried| *tried != server);
                 self.unreached += 1;
                 self.resends.sent -= 1;
-                self.resends.give_back_unsent();
+                self.resends.release_unsent();
                 self.permit = self.permit.given_back();
             }
             if !self.running.is_empty() {
@@ -188,8 +188,8 @@
         self.wait_for_slot().await?;
         let id = id_text(self.outgoing.id.as_ref());
         let request = self.outgoing.fingerprint;
-        let limit = self.outgoing.limit;
-        match permission_to_send(&self.shared, id, request, limit).await {
+        let limit = self.outgoing.deadline;
+        match wait_for_send_permit(&self.shared, id, request, limit).await {
             SendPermission::Free => Ok(()),
             SendPermission::Once => {
                 self.permit = Permit::Held;
@@ -230,14 +230,14 @@
 
     /// Looks whether the server has ended under an attempt that broke off. A request that
     /// may be sent again waits for that: it must not end the next one unseen.
-    async fn look_for_server(&mut self, broken: Option<BrokenOff>) {
+    async fn look_for_server(&mut self, broken: Option<InterruptedAttempt>) {
         let Some(broken) = broken else { return };
         if self.is_repeatable() {
-            return note_broken_off(&self.shared, &broken).await;
+            return check_for_server_crash(&self.shared, &broken).await;
         }
         let shared = self.shared.clone();
         let spawner = shared.spawner.clone();
-        spawner.detach(async move { note_broken_off(&shared, &broken).await });
+        spawner.detach(async move { check_for_server_crash(&shared, &broken).await });
     }
 
     /// Starts an attempt at the best server.
@@ -268,7 +268,7 @@
         ticket.sent(&pick.server.id, self.outgoing.fingerprint);
         let body = self.take_body();
         self.begun = Some((wingspur_clock::now(), pick.clone()));
-        let plan = AttemptPlan {
+        let plan = UpstreamAttempt {
             shared: self.shared.clone(),
             route: self.route.clone(),
             service: self.service.clone(),
@@ -279,11 +279,11 @@
     }
 
     fn want(&self, now: Instant) -> PickRequest<'_> {
-        let learned = &self.route.learned;
+        let learned = &self.route.stats;
         PickRequest {
             // The last attempt is as good as the only one: a failure is lost.
             retry_safe: self.is_repeatable() && self.has_attempts_beyond_next(),
-            typical_latency: learned.typical(),
+            typical_latency: learned.typical_latency(),
             cross_data_centre_cost: crossing_cost(
                 self.body_bytes() + learned.answer_bytes(),
             ),
@@ -324,8 +324,8 @@
     /// Whether a pick's wait for a slot is worth a server that leaves: the more urgent the
     /// request, the shorter.
     fn waits_long(&self, pick: &Pick) -> bool {
-        let rank = f64::from(self.rank().min(RANKS_APART));
-        let typical_ms = self.route.learned.typical().as_secs_f64() * 1000.0;
+        let rank = f64::from(self.rank().min(MAX_PRIORITY_LEVEL));
+        let typical_ms = self.route.stats.typical_latency().as_secs_f64() * 1000.0;
         pick.wait_ms > typical_ms * (1.0 + rank)
     }
 
@@ -388,7 +388,7 @@
         let rank = self.rank();
         for pick in servers {
             let id = id_text(self.outgoing.id.as_ref());
-            match take_place(&self.shared, id, &pick.server, rank).await {
+            match acquire_server_quota(&self.shared, id, &pick.server, rank).await {
                 Ok(()) => return Some(pick),
                 Err(None) => {}
                 Err(Some(more_in)) => {
@@ -448,7 +448,7 @@
         let after = hedge_delay(&HedgeInputs {
             failure_probability: first.failure_probability,
             expected: Duration::from_secs_f64(first.healthy_ms / 1000.0),
-            service_time: self.route.learned.service_time(),
+            service_time: self.route.stats.service_time(),
             time_to_latency_target: on_target_until.saturating_duration_since(*began),
             budget_used_ratio: spent_share,
         });
@@ -460,7 +460,7 @@
         let hub = self.shared.links.lock().own_hub();
         let service = server_key(&self.service.name);
         let told = hub.and_then(|hub| {
-            let loans = self.shared.resend_loans.lock();
+            let loans = self.shared.resend_leases.lock();
             loans.spent_share(hub, service)
         });
         told.unwrap_or_else(|| {
@@ -471,7 +471,7 @@
 
     /// What this box's own part of the retry budget says now.
     fn ask_budget(&self, use_: ResendKind) -> BudgetDecision {
-        let standing = self.shared.fleet_standing();
+        let standing = self.shared.fleet_membership();
         let mut budget = self.service.budget.lock();
         budget.check(use_, standing, wingspur_clock::now())
     }
@@ -485,7 +485,7 @@
         }
         let (shared, service) = (self.shared.clone(), self.service.clone());
         self.borrowing = Some(Box::pin(async move {
-            borrow_resend(&shared, &service, ResendKind::Hedge).await
+            lease_resend(&shared, &service, ResendKind::Hedge).await
         }));
     }
 
@@ -498,7 +498,7 @@
         let mut budget = self.ask_budget(ResendKind::Hedge);
         budget.allowed = lent;
         if lent {
-            self.resends.note_borrowed();
+            self.resends.record_borrowed();
         }
         self.hedge_within(&budget);
     }
@@ -513,7 +513,7 @@
             } else {
                 "budget_spent"
             };
-            self.resends.give_back_unsent();
+            self.resends.release_unsent();
             self.shared.metrics.count_unhedged(reason);
             self.log_decision("not hedged", reason, self.tried.len(), budget);
             // Once is enough: what does not help now will not help later.
@@ -577,10 +577,10 @@
         let mut budget = self.take_resend(ResendKind::AfterFailure);
         if !budget.allowed {
             let lent =
-                borrow_resend(&self.shared, &self.service, ResendKind::AfterFailure);
+                lease_resend(&self.shared, &self.service, ResendKind::AfterFailure);
             budget.allowed = lent.await;
             if budget.allowed {
-                self.resends.note_borrowed();
+                self.resends.record_borrowed();
             }
         }
         if !budget.allowed {
@@ -590,11 +590,11 @@
             return self.stop(reason, &budget, code);
         }
         if let Err(code) = self.send_next().await {
-            self.resends.give_back_unsent();
+            self.resends.release_unsent();
             self.log_decision("not sent again", code.name(), tried, &budget);
             return Err(code);
         }
-        self.shared.metrics.retry(reason);
+        self.shared.metrics.count_retry(reason);
         self.log_decision("sent again", reason.as_str(), tried, &budget);
         Ok(())
     }
@@ -605,7 +605,7 @@
         budget: &BudgetDecision,
         code: ResultCode,
     ) -> Result<(), ResultCode> {
-        self.shared.metrics.stop(reason);
+        self.shared.metrics.count_retry_stop(reason);
         self.log_decision("not sent again", reason.as_str(), self.tried.len(), budget);
         Err(code)
     }
@@ -634,9 +634,9 @@
             reason,
             tried,
             spent = budget.spent,
-            limit = rounded(budget.limit()),
-            credit = rounded(budget.credit),
-            slack = rounded(budget.slack),
+            limit = round_for_log(budget.limit()),
+            credit = round_for_log(budget.credit),
+            slack = round_for_log(budget.slack),
             boxes = budget.membership.boxes,
             contact = budget.membership.state.as_str(),
             left_ms = self.remaining().as_millis() as u64,
@@ -646,8 +646,8 @@
 
     /// Takes one more resend from the budget, if it is allowed.
     fn take_resend(&mut self, use_: ResendKind) -> BudgetDecision {
-        let standing = self.shared.fleet_standing();
-        self.resends.take(use_, standing)
+        let standing = self.shared.fleet_membership();
+        self.resends.try_reserve(use_, standing)
     }
 
     fn note_failure(&mut self, failed: &FailedAttempt) {
@@ -658,7 +658,7 @@
             route = %self.route.route.name,
             server = %failed.pick.server.id,
             in_flight = failed.pick.in_flight,
-            failure_share = rounded(failed.pick.failure_probability),
+            failure_share = round_for_log(failed.pick.failure_probability),
             end = ?failed.end,
             reason = %failed.reason,
             left_ms = self.remaining().as_millis() as u64,
@@ -674,7 +674,7 @@
         }
     }
 
-    fn give_up(&mut self, code: ResultCode) -> GivenUp {
+    fn give_up(&mut self, code: ResultCode) -> RequestError {
         if !self.was_floor_try() {
             self.service
                 .budget
@@ -695,10 +695,10 @@
         let not_run = !self.in_doubt;
         let (id, left) = (self.outgoing.id.as_ref(), self.remaining());
         log_give_up(id, code, self.tried.len(), self.in_doubt, left);
-        GivenUp {
+        RequestError {
             code,
             retry_after: not_run.then(|| self.come_back(code)),
-            answer,
+            upstream_response: answer,
         }
     }
 
@@ -734,14 +734,14 @@
                 boxes,
             ),
         };
-        let mut returns = self.service.returns.lock();
+        let mut returns = self.service.retry_after_queue.lock();
         let wait = returns.schedule(&inputs, now, &mut rand::rng());
         drop(returns);
         tracing::info!(
             id = id_text(self.outgoing.id.as_ref()),
             priority = inputs.priority,
             least_wait_ms = inputs.min_queue_wait.as_millis() as u64,
-            spare_per_s = rounded(inputs.spare_per_s),
+            spare_per_s = round_for_log(inputs.spare_per_s),
             boxes,
             wait_ms = wait.as_millis() as u64,
             "return: place promised."
@@ -783,7 +783,7 @@
 
     fn remaining(&self) -> Duration {
         self.outgoing
-            .limit
+            .deadline
             .saturating_duration_since(wingspur_clock::now())
     }
 }
--- a/crates/wingspur-edge/src/requests_out.rs
+++ b/crates/wingspur-edge/src/in_flight_requests.rs
@@ -8,26 +8,26 @@
 
 use wingspur_state::RequestFingerprint;
 
-use crate::locks::{Rank, Ranked};
+use crate::locks::{LockRank, RankedMutex};
 
 /// All requests that were taken and are not over.
 #[derive(Debug)]
-pub struct RequestsOut {
-    rows: Ranked<BTreeMap<u64, Row>>,
+pub struct InFlightRequests {
+    rows: RankedMutex<BTreeMap<u64, InFlightRequest>>,
     next: AtomicU64,
 }
 
 /// One request's place among them, until the last holder lets go of it.
 #[derive(Debug)]
-pub struct Ticket {
-    requests: Arc<RequestsOut>,
+pub struct InFlightGuard {
+    requests: Arc<InFlightRequests>,
     number: u64,
     was_sent: AtomicBool,
 }
 
 /// How far a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Its body is still coming, or no server has been picked yet.
     Taken,
     /// A server has it, or had it last.
@@ -38,7 +38,7 @@
 
 /// What is told of a request.
 #[derive(Debug, Clone)]
-pub struct Row {
+pub struct InFlightRequest {
     /// The caller's id for it; empty where there is none.
     pub id: String,
     /// Its route; empty before one was found.
@@ -48,33 +48,33 @@
     /// What tells it from other requests, once it was sent.
     pub fingerprint: Option<RequestFingerprint>,
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: RequestStage,
     /// When its head came.
     pub began: Instant,
 }
 
-impl RequestsOut {
+impl InFlightRequests {
     /// No request yet.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
-            rows: Ranked::new(Rank::RequestsOut, BTreeMap::new()),
+            rows: RankedMutex::new(LockRank::RequestsOut, BTreeMap::new()),
             next: AtomicU64::new(0),
         })
     }
 
     /// Notes a request whose head has come.
-    pub fn enter(self: &Arc<Self>, id: &str, began: Instant) -> Arc<Ticket> {
+    pub fn register(self: &Arc<Self>, id: &str, began: Instant) -> Arc<InFlightGuard> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let row = Row {
+        let row = InFlightRequest {
             id: id.to_owned(),
             route: String::new(),
             server: String::new(),
             fingerprint: None,
-            stage: Stage::Taken,
+            stage: RequestStage::Taken,
             began,
         };
         self.rows.lock().insert(number, row);
-        Arc::new(Ticket {
+        Arc::new(InFlightGuard {
             requests: self.clone(),
             number,
             was_sent: AtomicBool::new(false),
@@ -87,7 +87,7 @@
     }
 
     /// The oldest few, oldest first.
-    pub fn oldest(&self, most: usize) -> Vec<Row> {
+    pub fn oldest(&self, most: usize) -> Vec<InFlightRequest> {
         self.rows.lock().values().take(most).cloned().collect()
     }
 
@@ -96,7 +96,7 @@
         let rows = self.rows.lock();
         let there = rows
             .values()
-            .filter(|row| row.server == server && row.stage != Stage::Taken);
+            .filter(|row| row.server == server && row.stage != RequestStage::Taken);
         there.filter_map(|row| row.fingerprint).collect()
     }
 
@@ -105,7 +105,7 @@
         let mut text = String::new();
         for row in self.oldest(MOST_IN_A_LINE) {
             let age_ms = now.saturating_duration_since(row.began).as_millis();
-            let Row {
+            let InFlightRequest {
                 id,
                 route,
                 server,
@@ -119,7 +119,7 @@
     }
 }
 
-impl Ticket {
+impl InFlightGuard {
     /// Notes the route.
     pub fn routed(&self, route: &str) {
         self.change(|row| row.route = route.to_owned());
@@ -129,7 +129,7 @@
     pub fn sent(&self, server: &str, fingerprint: RequestFingerprint) {
         self.was_sent.store(true, Ordering::Release);
         self.change(|row| {
-            row.stage = Stage::Sent;
+            row.stage = RequestStage::Sent;
             row.fingerprint = Some(fingerprint);
             row.server = server.to_owned();
         });
@@ -137,7 +137,7 @@
 
     /// Notes that the answer is being passed on while it comes.
     pub fn answering(&self) {
-        self.change(|row| row.stage = Stage::Answering);
+        self.change(|row| row.stage = RequestStage::Answering);
     }
 
     /// Whether any server was sent the request, so that it may have run.
@@ -152,14 +152,14 @@
         row.map_or(String::new(), |row| row.server.clone())
     }
 
-    fn change(&self, change: impl FnOnce(&mut Row)) {
+    fn change(&self, change: impl FnOnce(&mut InFlightRequest)) {
         if let Some(row) = self.requests.rows.lock().get_mut(&self.number) {
             change(row);
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.requests.rows.lock().remove(&self.number);
     }
--- a/crates/wingspur-edge/src/lending_frames.rs
+++ b/crates/wingspur-edge/src/lease_messages.rs
@@ -2,12 +2,15 @@
 
 use wingspur_coordination::QuotaMessage;
 
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
 
 /// Sends what there is to ask and to answer.
-pub fn send(shared: &Shared, messages: impl IntoIterator<Item = QuotaMessage>) {
+pub fn send_lease_messages(
+    shared: &EdgeState,
+    messages: impl IntoIterator<Item = QuotaMessage>,
+) {
     for message in messages {
-        let outgoing = shared.links.lock().lending_frame(message);
+        let outgoing = shared.links.lock().lease_frame(message);
         let Some(outgoing) = outgoing else { continue };
         match outgoing.sender.send(&outgoing.frame) {
             Ok(bytes) => shared.metrics.count_frame(bytes),
--- a/crates/wingspur-edge/src/lib.rs
+++ b/crates/wingspur-edge/src/lib.rs
@@ -1,52 +1,52 @@
 //! An entry box over a catalog: the request path and the tasks around it.
 
+mod active_bundle;
 mod active_link;
 mod admission;
 mod announce;
-mod answer_body;
 mod attempt;
-mod attempts;
 mod catalog_state;
+mod catalog_watch;
+mod directory_changes;
 mod edge_box;
+mod edge_state;
+mod error_response;
 mod evacuation;
-mod exchange;
-mod feed;
-mod given_up;
-mod heads;
-mod in_force;
-mod lending;
-mod lending_frames;
+mod forwarding;
+mod headers;
+mod in_flight_requests;
+mod lease_messages;
 mod links;
 mod locks;
 mod metrics;
 mod notify;
 mod operator;
+mod peer_exchange;
 mod quarantine;
 mod quarantine_state;
-mod refusal;
+mod quota_leases;
 mod request;
+mod request_error;
 mod request_log;
-mod requests_out;
-mod resend_loans;
-mod resending;
-mod server_changes;
+mod resend_lease_exchange;
+mod resend_leases;
+mod resend_reservation;
+mod response_body;
 mod server_hints;
 mod services;
 mod settings;
-mod shared;
-mod stopping;
+mod shutdown;
 mod store_calls;
-mod suspects;
-mod taken_resends;
+mod suspect_requests;
 
 pub use edge_box::{EdgeBox, EdgeError};
-pub use heads::{check_framing, strip_hop_by_hop};
-pub use locks::{Rank, Ranked, RankedGuard};
+pub use error_response::{RESULT_HEADER, error_response};
+pub use headers::{check_framing, strip_hop_by_hop};
+pub use locks::{LockRank, RankedMutex, RankedMutexGuard};
 pub use metrics::Metrics;
-pub use operator::OperatorPages;
-pub use refusal::{RESULT_HEADER, refusal};
+pub use operator::OperatorEndpoint;
 pub use settings::{
     CatalogSettings, DrainSettings, LogFormat, LogSettings, OnceOnlySettings, OwnSources,
     Settings, SettingsError, TlsSettings, load_settings, parse_settings,
 };
-pub use stopping::{StopPlan, Stopping, out_of_time};
+pub use shutdown::{Shutdown, ShutdownSchedule, shutdown_result};
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -20,8 +20,8 @@
 };
 use wingspur_transport::LinkSender;
 
-use crate::active_link::{ActiveLink, Greeting};
-use crate::resend_loans::{Lenders, ToldRooms};
+use crate::active_link::{ActiveLink, InitialState};
+use crate::resend_leases::{LeaseSources, ResendBudgetReports};
 
 /// The links of this box, with what is still to be told on each.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 
 /// What a tick has to say on one link.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingFrame {
     /// The link.
     pub link: LinkId,
     /// Where it goes.
@@ -111,7 +111,7 @@
     }
 
     /// How the box stands with the store.
-    pub fn feed(&mut self) -> &mut CatalogFreshnessTracker {
+    pub fn watch_state(&mut self) -> &mut CatalogFreshnessTracker {
         &mut self.feed
     }
 
@@ -155,19 +155,20 @@
             suspects: Vec::new(),
             limits: BTreeMap::new(),
             leaving_servers: BTreeMap::new(),
-            greeting: None,
+            initial_state: None,
             has_catalog: true,
             lending: LeaseMessages::default(),
-            told_leaving: false,
-            told_era: 0,
-            sent: now,
-            told: now,
+            leaving_sent: false,
+            sent_era: 0,
+            last_sent_at: now,
+            updates_sent_at: now,
         };
         let at_other_side = LinkPeer {
             data_centre: link.peer.data_centre.clone(),
             key: hash_of(&link.peer.id),
         };
-        self.fleet.add_link(id, at_other_side, link.with(), now);
+        self.fleet
+            .add_link(id, at_other_side, link.peer_relation(), now);
         self.active.insert(id, link);
         id
     }
@@ -185,11 +186,11 @@
         self.feed.forget(id);
         self.fleet.drop_link(id, wingspur_clock::now());
         self.rollup.drop_link(id);
-        self.take_lost()
+        self.remove_lost_sources()
     }
 
     /// The sources that are not heard any more, forgotten here.
-    pub fn take_lost(&mut self) -> Vec<SourceId> {
+    pub fn remove_lost_sources(&mut self) -> Vec<SourceId> {
         let lost = self.rollup.take_lost_sources();
         for source in &lost {
             self.updates.forget(*source);
@@ -199,10 +200,11 @@
 
     /// Planned links that do not stand yet, and links opened here that are not planned any
     /// more, once the planned ones stand.
-    pub fn differences(&self, now: Instant) -> (Vec<PlannedLink>, Vec<LinkId>) {
+    pub fn diff_plan(&self, now: Instant) -> (Vec<PlannedLink>, Vec<LinkId>) {
         let plan = self.planner.plan(now);
-        let stands =
-            |planned: &PlannedLink| self.active.values().any(|link| link.serves(planned));
+        let stands = |planned: &PlannedLink| {
+            self.active.values().any(|link| link.matches_plan(planned))
+        };
         let missing: Vec<PlannedLink> = plan
             .iter()
             .filter(|planned| !stands(planned))
@@ -212,7 +214,7 @@
             return (missing, Vec::new());
         }
         let unplanned = self.active.iter().filter(|(_, link)| {
-            let planned = plan.iter().any(|planned| link.serves(planned));
+            let planned = plan.iter().any(|planned| link.matches_plan(planned));
             link.opened_as.is_some() && !planned
         });
         (missing, unplanned.map(|(id, _)| *id).collect())
@@ -239,7 +241,11 @@
 
     /// The listing that was put together last, if it is still the present one: many boxes
     /// that link at once are owed the same.
-    pub fn listing(&self, version: BundleVersion, now: Instant) -> Option<CatalogUpdate> {
+    pub fn cached_snapshot(
+        &self,
+        version: BundleVersion,
+        now: Instant,
+    ) -> Option<CatalogUpdate> {
         let (at, listing) = self.listing.as_ref()?;
         let listed = &listing.snapshot;
         let listed_version = listed.bundle.as_ref().map_or(0, |bundle| bundle.version);
@@ -250,19 +256,24 @@
     }
 
     /// Keeps a listing that was just put together.
-    pub fn keep_listing(&mut self, listing: Arc<CatalogSnapshotUpdate>, now: Instant) {
+    pub fn cache_snapshot(&mut self, listing: Arc<CatalogSnapshotUpdate>, now: Instant) {
         self.listing = Some((now, listing));
     }
 
     /// Lets go of a listing that is not the present one any more.
-    pub fn tidy_listing(&mut self, now: Instant) {
+    pub fn expire_snapshot(&mut self, now: Instant) {
         self.listing
             .take_if(|(at, _)| now.saturating_duration_since(*at) >= LISTING_FOR);
     }
 
     /// Queues news of the catalog for all links but the one that it came by; `urgent` where
     /// it changes anything.
-    pub fn spread(&mut self, update: &CatalogUpdate, urgent: bool, from: Option<LinkId>) {
+    pub fn broadcast(
+        &mut self,
+        update: &CatalogUpdate,
+        urgent: bool,
+        from: Option<LinkId>,
+    ) {
         self.recent.put(update);
         for (id, link) in &mut self.active {
             if Some(*id) != from {
@@ -272,7 +283,7 @@
     }
 
     /// Queues news of the catalog for one link.
-    pub fn tell(&mut self, id: LinkId, update: CatalogUpdate) {
+    pub fn send_update(&mut self, id: LinkId, update: CatalogUpdate) {
         if let Some(link) = self.active.get_mut(&id) {
             link.catalog.push(&update, true);
         }
@@ -284,7 +295,7 @@
     }
 
     /// Queues what the other side of a new link should know.
-    pub fn greet(&mut self, id: LinkId, mut greeting: Greeting) {
+    pub fn queue_initial_state(&mut self, id: LinkId, mut greeting: InitialState) {
         if let Some(link) = self.active.get_mut(&id) {
             link.suspects.append(&mut greeting.suspects);
             let limits = greeting.limits.drain(..);
@@ -292,14 +303,14 @@
                 .extend(limits.map(|limit| (limit.server, limit)));
             link.leaving_servers
                 .extend(greeting.leaving_servers.drain(..));
-            link.has_catalog = !greeting.has_started;
-            link.greeting = Some(greeting);
+            link.has_catalog = !greeting.peer_is_new;
+            link.initial_state = Some(greeting);
         }
     }
 
     /// Queues what was seen of a request under which a server ended, for all links that do
     /// not hear it otherwise; whether it came from this box or a member of its own.
-    pub fn spread_suspect(
+    pub fn broadcast_suspect(
         &mut self,
         updates: &SuspectUpdate,
         from: Option<LinkId>,
@@ -314,14 +325,14 @@
 
     /// Queues a changed limit of a server for all links that do not hear it otherwise; the
     /// newest change of a server replaces those before.
-    pub fn spread_limit(&mut self, limit: &ServerLimitChange, from: Option<LinkId>) {
+    pub fn broadcast_limit(&mut self, limit: &ServerLimitChange, from: Option<LinkId>) {
         for link in self.recipients(from) {
             link.limits.insert(limit.server, *limit);
         }
     }
 
     /// Queues that a server leaves for all links that do not hear it otherwise.
-    pub fn spread_leaving(
+    pub fn broadcast_leaving(
         &mut self,
         server: ServerKey,
         since: Instant,
@@ -335,7 +346,7 @@
     /// Whether news came from this box or a member of its own.
     fn is_own_update(&self, from: Option<LinkId>) -> bool {
         let teller = from.and_then(|id| self.active.get(&id));
-        teller.is_none_or(|link| link.with() == PeerRole::Member)
+        teller.is_none_or(|link| link.peer_relation() == PeerRole::Member)
     }
 
     /// The links that do not hear news otherwise: what another hub tells, that one tells all
@@ -350,7 +361,7 @@
             .iter_mut()
             .filter(move |(id, _)| Some(**id) != from);
         others.filter_map(move |(_, link)| {
-            let hears = is_own || link.with() == PeerRole::Member;
+            let hears = is_own || link.peer_relation() == PeerRole::Member;
             hears.then_some(link)
         })
     }
@@ -371,19 +382,19 @@
     }
 
     /// Notes that there is news which should not wait for the next tick.
-    pub fn note_urgent(&mut self) {
+    pub fn mark_urgent(&mut self) {
         self.urgent = true;
     }
 
     /// Asks the other side of a link for a listing.
-    pub fn ask_for_listing(&mut self, id: LinkId) {
+    pub fn request_snapshot(&mut self, id: LinkId) {
         if let Some(link) = self.active.get_mut(&id) {
             link.wants_listing = true;
         }
     }
 
     /// Links on which the other side has not answered for too long.
-    pub fn stuck(&self, now: Instant) -> Vec<LinkId> {
+    pub fn unresponsive(&self, now: Instant) -> Vec<LinkId> {
         let waits_long =
             |link: &ActiveLink| link.clock.oldest_unanswered_age(now) >= MOST_WAIT;
         let stuck = self.active.iter().filter(|(_, link)| waits_long(link));
@@ -395,9 +406,9 @@
     pub fn take_frames(
         &mut self,
         bundle_version: BundleVersion,
-        rooms: &ToldRooms,
+        rooms: &ResendBudgetReports,
         now: Instant,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingFrame> {
         let feed = self.feed.state(now);
         let hurry = std::mem::take(&mut self.urgent);
         let home_gap = self.home_gap();
@@ -407,14 +418,14 @@
         let mut frames = Vec::new();
         // Who was told longest ago goes first, where not all can be told at once.
         let mut links: Vec<_> = self.active.iter_mut().collect();
-        links.sort_by_key(|(_, link)| link.told);
+        links.sort_by_key(|(_, link)| link.updates_sent_at);
         for (id, link) in links {
-            let age = now.saturating_duration_since(link.sent);
+            let age = now.saturating_duration_since(link.last_sent_at);
             let away = link.peer.data_centre != self.own.data_centre;
             let gap = if away { AWAY_GAP } else { home_gap };
             let gap = if hurry { gap / HURRY } else { gap };
-            let full = link.is_full();
-            let listing_is_delayed = link.listing_is_delayed(&self.pacer, now);
+            let full = link.is_window_full();
+            let listing_is_delayed = link.is_snapshot_delayed(&self.pacer, now);
             let accepts_updates = link.accepts_server_updates(&self.pacer, now);
             let updates_due =
                 updates_due_in(*id, link, gap, &self.rollup, &self.pacer, now);
@@ -423,15 +434,15 @@
             let catalog_due = catalog_due.is_some_and(|due| due.is_zero());
             let urgent = catalog_due
                 || link.wants_listing
-                || (link.greeting.is_some() && accepts_updates)
+                || (link.initial_state.is_some() && accepts_updates)
                 || (hurry && !link.suspects.is_empty())
-                || (self.leaving && !link.told_leaving)
-                || link.told_era < feed.era;
+                || (self.leaving && !link.leaving_sent)
+                || link.sent_era < feed.era;
             if !due && (!urgent || full) && age < HEARTBEAT {
                 continue;
             }
-            link.sent = now;
-            link.told_leaving = self.leaving;
+            link.last_sent_at = now;
+            link.leaving_sent = self.leaving;
             // A full link still says what it has had: else two full sides wait for each other.
             let mut listing = None;
             let mut frame = Frame {
@@ -441,9 +452,9 @@
                 leaving: self.leaving,
                 ..Frame::default()
             };
-            frame.resend_budgets = match link.with() {
+            frame.resend_budgets = match link.peer_relation() {
                 PeerRole::OwnHub => rooms.own.clone(),
-                PeerRole::Member | PeerRole::Hub => rooms.sums.clone(),
+                PeerRole::Member | PeerRole::Hub => rooms.aggregate.clone(),
             };
             frame.lease_messages = std::mem::take(&mut link.lending);
             frame.delegated_shares = self.fleet.delegate_shares(*id, &known, now);
@@ -454,21 +465,21 @@
                 };
                 frame.tally_updates = self.rollup.compose_within(*id, most_servers);
                 self.pacer.record_update(&frame.tally_updates, now);
-                link.told = now;
+                link.updates_sent_at = now;
             }
             if !full {
                 // What is held back does not count as told.
                 frame.catalog_freshness = feed.clone();
-                link.told_era = feed.era;
+                link.sent_era = feed.era;
                 if !listing_is_delayed {
-                    listing = link.take_listing();
+                    listing = link.take_snapshot();
                     frame.catalog = link.catalog.take(now);
                 }
                 if let Some(pending) = &listing {
                     self.pacer.record_snapshot(&pending.listing, now);
                 }
                 frame.wants_snapshot = std::mem::take(&mut link.wants_listing);
-                let greeting = link.greeting.take_if(|_| accepts_updates);
+                let greeting = link.initial_state.take_if(|_| accepts_updates);
                 frame.health = greeting.unwrap_or_default().health;
                 frame.membership = self.fleet.census_for(*id);
                 let suspects = link.suspects.drain(..);
@@ -480,7 +491,7 @@
                 let note = |(server, since)| leaving_note(server, since, now);
                 frame.draining_servers = leaving.map(note).collect();
             }
-            frames.push(Outgoing {
+            frames.push(OutgoingFrame {
                 link: *id,
                 sender: link.sender.clone(),
                 listing,
@@ -494,12 +505,12 @@
     pub fn next_tick(&self, now: Instant) -> Duration {
         let home_gap = self.home_gap();
         let due = |(id, link): (&LinkId, &ActiveLink)| {
-            if link.is_full() {
+            if link.is_window_full() {
                 return FULL_CHECK;
             }
             let away = link.peer.data_centre != self.own.data_centre;
             let update_gap = if away { AWAY_GAP } else { home_gap };
-            let mut due = (link.sent + HEARTBEAT).saturating_duration_since(now);
+            let mut due = (link.last_sent_at + HEARTBEAT).saturating_duration_since(now);
             let pacer = &self.pacer;
             let updates_due =
                 updates_due_in(*id, link, update_gap, &self.rollup, pacer, now);
@@ -527,7 +538,11 @@
     }
 
     /// How this box stands with the fleet, as far as what is shared over a window goes.
-    pub fn standing(&mut self, window: Duration, now: Instant) -> FleetMembership {
+    pub fn fleet_membership(
+        &mut self,
+        window: Duration,
+        now: Instant,
+    ) -> FleetMembership {
         let known = self.announced(now);
         self.fleet.membership(window, &known, now)
     }
@@ -563,7 +578,7 @@
     }
 
     /// What this box is among the others, as far as lending goes.
-    pub fn lending_standing(&mut self, now: Instant) -> QuotaTopology {
+    pub fn quota_standing(&mut self, now: Instant) -> QuotaTopology {
         let own_hub = self.own_hub();
         let lenders = own_hub.map_or_else(|| self.other_hubs(), |hub| vec![hub]);
         let known = self.announced(now);
@@ -587,7 +602,7 @@
 
     /// When what a frame of a link says was true at the latest and at the earliest, where it
     /// says that it was so long ago.
-    pub fn told_between(
+    pub fn observation_window(
         &self,
         id: LinkId,
         age: Duration,
@@ -602,10 +617,11 @@
     }
 
     /// Whom this box may ask for a resend.
-    pub fn lenders(&self) -> Lenders {
+    pub fn lease_sources(&self) -> LeaseSources {
         let members = self.active.iter();
-        let members = members.filter(|(_, link)| link.with() == PeerRole::Member);
-        Lenders {
+        let members =
+            members.filter(|(_, link)| link.peer_relation() == PeerRole::Member);
+        LeaseSources {
             own_hub: self.own_hub(),
             members: members.map(|(id, _)| *id).collect(),
             other_hubs: self.other_hubs(),
@@ -614,14 +630,14 @@
 
     /// How old at most the newest is that this box has heard of any other; none if it never
     /// heard one.
-    pub fn heard_age(&self, now: Instant) -> Option<Duration> {
+    pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
         self.fleet.peer_state_age(now)
     }
 
     /// The link with the hub that this box reports to.
     pub fn own_hub(&self) -> Option<LinkId> {
         let mut links = self.active.iter();
-        let own_hub = links.find(|(_, link)| link.with() == PeerRole::OwnHub);
+        let own_hub = links.find(|(_, link)| link.peer_relation() == PeerRole::OwnHub);
         own_hub.map(|(id, _)| *id)
     }
 
@@ -634,7 +650,7 @@
     /// The links with other hubs.
     pub fn other_hubs(&self) -> Vec<LinkId> {
         let hubs = self.active.iter();
-        let hubs = hubs.filter(|(_, link)| link.with() == PeerRole::Hub);
+        let hubs = hubs.filter(|(_, link)| link.peer_relation() == PeerRole::Hub);
         hubs.map(|(id, _)| *id).collect()
     }
 
@@ -643,7 +659,7 @@
     ///
     /// It goes out beside the others and is none of those that the other side must answer:
     /// requests wait for it.
-    pub fn lending_frame(&mut self, message: QuotaMessage) -> Option<Outgoing> {
+    pub fn lease_frame(&mut self, message: QuotaMessage) -> Option<OutgoingFrame> {
         let link = self.active.get_mut(&message.link)?;
         if !message.urgent {
             link.lending.requests.extend(message.lending.requests);
@@ -655,7 +671,7 @@
             content: FrameContent::LeaseMessages,
             ..Frame::default()
         };
-        Some(Outgoing {
+        Some(OutgoingFrame {
             link: message.link,
             sender: link.sender.clone(),
             listing: None,
@@ -695,7 +711,7 @@
 
     /// Takes in that the other side of a link has ended it in order: it uses this box's part
     /// no more.
-    pub fn note_ended(&mut self, id: LinkId, now: Instant) {
+    pub fn record_orderly_close(&mut self, id: LinkId, now: Instant) {
         self.fleet.release_share(id, now);
     }
 
@@ -705,7 +721,7 @@
     }
 
     /// The number of links, and of members among them.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn link_counts(&self) -> (usize, usize) {
         let members = self
             .active
             .values()
@@ -734,7 +750,7 @@
     if !has_updates || !link.accepts_server_updates(pacer, now) {
         return None;
     }
-    let due = (link.told + gap).saturating_duration_since(now);
+    let due = (link.updates_sent_at + gap).saturating_duration_since(now);
     Some(match rollup.has_failures(id) {
         true => due,
         false => due.max(pacer.update_delay(now)),
--- a/crates/wingspur-edge/src/locks.rs
+++ b/crates/wingspur-edge/src/locks.rs
@@ -8,7 +8,7 @@
 
 /// The order in which locks are taken, first to last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum LockRank {
     /// The settings.
     Settings,
     /// The bundle in force.
@@ -63,14 +63,14 @@
 
 /// A mutex with a rank.
 #[derive(Debug)]
-pub struct Ranked<T> {
-    rank: Rank,
+pub struct RankedMutex<T> {
+    rank: LockRank,
     inner: Mutex<T>,
 }
 
-impl<T> Ranked<T> {
+impl<T> RankedMutex<T> {
     /// Wraps a value.
-    pub fn new(rank: Rank, value: T) -> Self {
+    pub fn new(rank: LockRank, value: T) -> Self {
         Self {
             rank,
             inner: Mutex::new(value),
@@ -78,10 +78,10 @@
     }
 
     /// Takes the lock; panics in debug builds when the order is broken.
-    pub fn lock(&self) -> RankedGuard<'_, T> {
+    pub fn lock(&self) -> RankedMutexGuard<'_, T> {
         held::enter(self.rank);
         let guard = self.inner.lock().expect("no holder panics");
-        RankedGuard {
+        RankedMutexGuard {
             rank: self.rank,
             guard,
         }
@@ -90,12 +90,12 @@
 
 /// Holds a ranked lock.
 #[derive(Debug)]
-pub struct RankedGuard<'a, T> {
-    rank: Rank,
+pub struct RankedMutexGuard<'a, T> {
+    rank: LockRank,
     guard: MutexGuard<'a, T>,
 }
 
-impl<T> Deref for RankedGuard<'_, T> {
+impl<T> Deref for RankedMutexGuard<'_, T> {
     type Target = T;
 
     fn deref(&self) -> &T {
@@ -103,13 +103,13 @@
     }
 }
 
-impl<T> DerefMut for RankedGuard<'_, T> {
+impl<T> DerefMut for RankedMutexGuard<'_, T> {
     fn deref_mut(&mut self) -> &mut T {
         &mut self.guard
     }
 }
 
-impl<T> Drop for RankedGuard<'_, T> {
+impl<T> Drop for RankedMutexGuard<'_, T> {
     fn drop(&mut self) {
         held::leave(self.rank);
     }
@@ -119,13 +119,13 @@
 mod held {
     use std::cell::RefCell;
 
-    use super::Rank;
+    use super::LockRank;
 
     thread_local! {
-        static HELD: RefCell<Vec<Rank>> = const { RefCell::new(Vec::new()) };
+        static HELD: RefCell<Vec<LockRank>> = const { RefCell::new(Vec::new()) };
     }
 
-    pub fn enter(rank: Rank) {
+    pub fn enter(rank: LockRank) {
         HELD.with_borrow_mut(|held| {
             if let Some(highest) = held.iter().max() {
                 assert!(*highest < rank, "{rank:?} taken while {highest:?} is held");
@@ -134,7 +134,7 @@
         });
     }
 
-    pub fn leave(rank: Rank) {
+    pub fn leave(rank: LockRank) {
         HELD.with_borrow_mut(|held| {
             if let Some(index) = held.iter().rposition(|other| *other == rank) {
                 held.remove(index);
@@ -145,9 +145,9 @@
 
 #[cfg(not(debug_assertions))]
 mod held {
-    use super::Rank;
+    use super::LockRank;
 
-    pub fn enter(_: Rank) {}
+    pub fn enter(_: LockRank) {}
 
-    pub fn leave(_: Rank) {}
+    pub fn leave(_: LockRank) {}
 }
--- a/crates/wingspur-edge/src/metrics.rs
+++ b/crates/wingspur-edge/src/metrics.rs
@@ -57,7 +57,7 @@
     /// How long calls of the store took, by kind.
     store_seconds: HistogramVec,
     /// Requests whose callers left before the answer.
-    pub callers_gone: IntCounter,
+    pub client_disconnects: IntCounter,
     /// Log lines that were dropped because nobody read the earlier ones.
     pub dropped_log_lines: IntGauge,
     /// Second attempts begun beside a slow first one.
@@ -193,7 +193,7 @@
                 "How long calls of the store took, by kind.",
                 "kind",
             ),
-            callers_gone,
+            client_disconnects: callers_gone,
             dropped_log_lines,
             unhedged: counter(
                 "wingspur_unhedged_total",
@@ -265,7 +265,7 @@
     }
 
     /// Counts an answer of wingspur's own.
-    pub fn refuse(&self, code: ResultCode) {
+    pub fn count_refusal(&self, code: ResultCode) {
         self.refusals
             .with_label_values(&[code.number().to_string().as_str(), code.name()])
             .inc();
@@ -306,7 +306,7 @@
     }
 
     /// Counts a peer's message that was refused.
-    pub fn refuse_peer(&self, reason: &str) {
+    pub fn count_peer_refusal(&self, reason: &str) {
         self.peer_refusals.with_label_values(&[reason]).inc();
     }
 
@@ -322,12 +322,12 @@
     }
 
     /// Counts a request sent again.
-    pub fn retry(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.as_str()]).inc();
     }
 
     /// Counts a request that was not sent again.
-    pub fn stop(&self, reason: StopReason) {
+    pub fn count_retry_stop(&self, reason: StopReason) {
         self.stops.with_label_values(&[reason.as_str()]).inc();
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Notes how long a backend server took for a good answer.
-    pub fn time_server(&self, service: &str, took: Duration) {
+    pub fn observe_server_latency(&self, service: &str, took: Duration) {
         let seconds = self.server_seconds.with_label_values(&[service]);
         seconds.observe(took.as_secs_f64());
     }
@@ -361,7 +361,7 @@
     }
 
     /// Notes how long a call of the store took; a watch waits for news and is not timed.
-    pub fn time_store(&self, kind: &str, took: Duration) {
+    pub fn observe_store_latency(&self, kind: &str, took: Duration) {
         if kind == "watch" {
             return;
         }
--- a/crates/wingspur-edge/src/operator.rs
+++ b/crates/wingspur-edge/src/operator.rs
@@ -7,10 +7,10 @@
 use hyper::{Method, Request, Response, StatusCode};
 use wingspur_protocol::BoxStatus;
 
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
 
 /// What the operator port shows; each page is made when it is asked for.
-pub struct OperatorPages<Metrics, Status> {
+pub struct OperatorEndpoint<Metrics, Status> {
     /// Whether the box takes callers.
     pub is_ready: bool,
     /// Makes the counters, as text.
@@ -19,7 +19,7 @@
     pub status: Status,
 }
 
-impl<Metrics, Status> OperatorPages<Metrics, Status>
+impl<Metrics, Status> OperatorEndpoint<Metrics, Status>
 where
     Metrics: FnOnce() -> Vec<u8>,
     Status: FnOnce() -> BoxStatus,
@@ -48,10 +48,10 @@
 
 /// Answers a request on the operator port of an edge box.
 pub async fn answer_operator(
-    shared: Arc<Shared>,
+    shared: Arc<EdgeState>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let pages = OperatorPages {
+    let pages = OperatorEndpoint {
         is_ready: shared.is_ready(),
         metrics: || shared.metrics.render(),
         status: || status(&shared),
@@ -60,7 +60,7 @@
 }
 
 /// What the box says of itself.
-pub fn status(shared: &Shared) -> BoxStatus {
+pub fn status(shared: &EdgeState) -> BoxStatus {
     let now = wingspur_clock::now();
     let mut out = Vec::new();
     for service in shared.services.all() {
@@ -69,7 +69,7 @@
     }
     out.sort();
     let in_force = shared
-        .in_force()
+        .active_bundle()
         .map(|bundle| wingspur_clock::since(bundle.since));
     BoxStatus {
         id: shared.settings().box_id.clone(),
--- a/crates/wingspur-edge/src/exchange.rs
+++ b/crates/wingspur-edge/src/peer_exchange.rs
@@ -18,24 +18,24 @@
     empty_link_body, open_link,
 };
 
-use crate::active_link::Greeting;
-use crate::catalog_state::{apply_update, listing_of, update_for};
-use crate::lending::take_lending;
-use crate::links::Outgoing;
-use crate::request_log::rounded;
-use crate::resending::told_rooms;
-use crate::server_hints::{take_leaving, take_limits};
+use crate::active_link::InitialState;
+use crate::catalog_state::{apply_peer_update, catch_up_update, current_snapshot};
+use crate::edge_state::EdgeState;
+use crate::links::OutgoingFrame;
+use crate::quota_leases::handle_lease_messages;
+use crate::request_log::round_for_log;
+use crate::resend_lease_exchange::resend_budget_reports;
+use crate::server_hints::{handle_leaving_updates, handle_limit_updates};
 use crate::services::ServiceState;
-use crate::shared::Shared;
-use crate::store_calls::observe_era;
-use crate::suspects::{greeting_notes, take_notes};
+use crate::store_calls::handle_store_era;
+use crate::suspect_requests::{handle_suspect_updates, initial_suspect_updates};
 
 /// Opens and closes links until the box stops.
-pub async fn run_links(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_link_manager(shared: Arc<EdgeState>, stop: StopSignal) {
     let started = wingspur_clock::now();
     while !stop.is_triggered() {
         let (mut missing, unplanned) =
-            shared.links.lock().differences(wingspur_clock::now());
+            shared.links.lock().diff_plan(wingspur_clock::now());
         if shared.links.lock().is_starting() {
             // Nothing is known yet: only a hub has something to tell.
             missing.retain(|planned| planned.role == LinkRole::Member);
@@ -51,15 +51,15 @@
         {
             ask_seeds(&shared).await;
         }
-        shared.share_out();
+        shared.update_fleet_shares();
         // The next best box may do at once.
         let pause = if all_stand { REPLAN_EVERY } else { REPLAN_SOON };
-        shared.replan.wait(pause).await;
+        shared.link_plan_changed.wait(pause).await;
     }
 }
 
 /// Asks the seeds who else is there, until one answers.
-async fn ask_seeds(shared: &Arc<Shared>) {
+async fn ask_seeds(shared: &Arc<EdgeState>) {
     let settings = shared.settings();
     let seeds = settings.catalog.iter().flat_map(|catalog| &catalog.seeds);
     let mut seeds: Vec<_> = seeds.collect();
@@ -80,26 +80,26 @@
 }
 
 /// Sends news over the links until the box stops.
-pub async fn run_exchange(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_exchange(shared: Arc<EdgeState>, stop: StopSignal) {
     let mut listings = SnapshotFrameCache::default();
     while !stop.is_triggered() {
         let pause = shared.links.lock().next_tick(wingspur_clock::now());
-        if shared.updates.wait(pause).await {
+        if shared.pending_updates.wait(pause).await {
             // What happens at about the same time goes in one frame.
             let gap = shared.links.lock().next_tick(wingspur_clock::now());
-            shared.alarm.wait(gap.min(GATHER)).await;
+            shared.urgent_updates.wait(gap.min(GATHER)).await;
         }
         tick(&shared, &mut listings);
     }
 }
 
 /// Answers a request on the peer port.
-pub async fn answer_peer(
-    shared: Arc<Shared>,
+pub async fn handle_peer_request(
+    shared: Arc<EdgeState>,
     request: Request<Incoming>,
 ) -> Response<LinkBody> {
     if request.method() != Method::POST || request.uri().path() != LINK_PATH {
-        shared.metrics.refuse_peer("wrong_path");
+        shared.metrics.count_peer_refusal("wrong_path");
         let mut response = Response::new(empty_link_body());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
@@ -111,7 +111,7 @@
 }
 
 /// Opens a planned link; whether it stands.
-async fn keep_link(shared: &Arc<Shared>, planned: PlannedLink) -> bool {
+async fn keep_link(shared: &Arc<EdgeState>, planned: PlannedLink) -> bool {
     let to = planned.to;
     match open(shared, to.peer_address, planned.role).await {
         Ok(opened) => {
@@ -137,7 +137,7 @@
 type Opened = (LinkSender, LinkReceiver, Hello);
 
 async fn open(
-    shared: &Shared,
+    shared: &EdgeState,
     to: SocketAddr,
     role: LinkRole,
 ) -> Result<Opened, LinkError> {
@@ -159,7 +159,7 @@
 }
 
 /// Takes up a link that was opened here, and reads it in a task of its own.
-fn take_up(shared: &Arc<Shared>, opened: Opened, role: LinkRole) {
+fn take_up(shared: &Arc<EdgeState>, opened: Opened, role: LinkRole) {
     let (sender, receiver, hello) = opened;
     let (peer, now) = (hello.from.clone(), wingspur_clock::now());
     let id = shared.links.lock().add(peer, Some(role), None, sender, now);
@@ -170,17 +170,21 @@
 }
 
 /// Serves a link that another box opened.
-async fn serve_link(shared: Arc<Shared>, sender: LinkSender, mut receiver: LinkReceiver) {
+async fn serve_link(
+    shared: Arc<EdgeState>,
+    sender: LinkSender,
+    mut receiver: LinkReceiver,
+) {
     let hello = match receiver.next::<Hello>(OPEN_TIMEOUT).await {
         Ok(hello) => hello,
         Err(error) => {
             tracing::info!(%error, "peer: a link without a greeting.");
-            return shared.metrics.refuse_peer("no_greeting");
+            return shared.metrics.count_peer_refusal("no_greeting");
         }
     };
     if let Err(error) = check(&shared, &hello) {
         tracing::warn!(peer = %hello.from.id, %error, "peer: a link was refused.");
-        return shared.metrics.refuse_peer("not_admitted");
+        return shared.metrics.count_peer_refusal("not_admitted");
     }
     if sender.send(&own_hello(&shared, LinkRole::Hub)).is_err() {
         return;
@@ -190,7 +194,7 @@
     read_link(shared, id, receiver).await;
 }
 
-fn admit(shared: &Shared, hello: &Hello, sender: LinkSender) -> LinkId {
+fn admit(shared: &EdgeState, hello: &Hello, sender: LinkSender) -> LinkId {
     let mut links = shared.links.lock();
     let role = Some(hello.role);
     links.add(
@@ -203,31 +207,31 @@
 }
 
 /// Brings the other side up to date, if it is behind.
-fn greet(shared: &Arc<Shared>, id: LinkId, hello: &Hello) {
+fn greet(shared: &Arc<EdgeState>, id: LinkId, hello: &Hello) {
     let theirs = hello.position;
     if theirs.era() > 0 {
-        observe_era(shared, theirs.era(), "peer");
+        handle_store_era(shared, theirs.era(), "peer");
     }
     let now = wingspur_clock::now();
-    if let Some(update) = update_for(shared, theirs, hello.bundle_version, now) {
-        shared.links.lock().tell(id, update);
+    if let Some(update) = catch_up_update(shared, theirs, hello.bundle_version, now) {
+        shared.links.lock().send_update(id, update);
     }
     let has_started = theirs.is_start();
     let greeting = greeting(shared, has_started);
-    shared.links.lock().greet(id, greeting);
-    shared.updates.notify();
+    shared.links.lock().queue_initial_state(id, greeting);
+    shared.pending_updates.notify();
 }
 
 /// What a box is told by which this one links; what is made of servers only where it has
 /// just started: the others have heard that, and it is most of a greeting.
-fn greeting(shared: &Shared, has_started: bool) -> Greeting {
+fn greeting(shared: &EdgeState, has_started: bool) -> InitialState {
     let now = wingspur_clock::now();
-    let mut greeting = Greeting {
-        has_started,
-        suspects: greeting_notes(shared),
-        ..Greeting::default()
+    let mut greeting = InitialState {
+        peer_is_new: has_started,
+        suspects: initial_suspect_updates(shared),
+        ..InitialState::default()
     };
-    let standings = shared.standings.lock();
+    let standings = shared.announced_states.lock();
     greeting.limits = standings.limits.current_limits();
     greeting.leaving_servers = standings.draining();
     drop(standings);
@@ -244,7 +248,7 @@
 }
 
 /// Takes over what the other side of a new link knows.
-fn adopt_greeting(shared: &Shared, frame: &Frame, now: Instant) {
+fn adopt_greeting(shared: &EdgeState, frame: &Frame, now: Instant) {
     for (key, note) in &frame.health {
         if let Some(service) = shared.services.of_server(*key) {
             service
@@ -255,14 +259,14 @@
     }
 }
 
-async fn read_link(shared: Arc<Shared>, id: LinkId, mut receiver: LinkReceiver) {
+async fn read_link(shared: Arc<EdgeState>, id: LinkId, mut receiver: LinkReceiver) {
     loop {
         match receiver.next::<Frame>(SILENCE).await {
             Ok(frame) => take_frame(&shared, id, frame),
             Err(error) => {
                 if matches!(error, LinkError::Ended) {
                     let now = wingspur_clock::now();
-                    shared.links.lock().note_ended(id, now);
+                    shared.links.lock().record_orderly_close(id, now);
                 }
                 let opened_here = shared.links.lock().peer(id).cloned();
                 if let (Some(peer), LinkError::Silent(_)) = (opened_here, &error) {
@@ -278,89 +282,89 @@
     }
 }
 
-fn take_frame(shared: &Arc<Shared>, id: LinkId, mut frame: Frame) {
+fn take_frame(shared: &Arc<EdgeState>, id: LinkId, mut frame: Frame) {
     let now = wingspur_clock::now();
     let updates = std::mem::take(&mut frame.catalog);
     match frame.content {
         FrameContent::Snapshot => return apply_updates(shared, id, updates, now),
         FrameContent::LeaseMessages => {
-            return take_lending(shared, id, &frame.lease_messages);
+            return handle_lease_messages(shared, id, &frame.lease_messages);
         }
-        FrameContent::All => take_lending(shared, id, &frame.lease_messages),
+        FrameContent::All => handle_lease_messages(shared, id, &frame.lease_messages),
     }
     if frame.catalog_freshness.era > 0 {
-        observe_era(shared, frame.catalog_freshness.era, "peer");
+        handle_store_era(shared, frame.catalog_freshness.era, "peer");
     }
     apply_updates(shared, id, updates, now);
     shared
-        .resend_loans
+        .resend_leases
         .lock()
-        .receive(id, &frame.resend_budgets);
+        .record_report(id, &frame.resend_budgets);
     let mut links = shared.links.lock();
     links.note_frame(id, &frame, now);
     let updates = links.receive(id, &frame.tally_updates);
-    let lost = links.take_lost();
-    let passes_on = links.counts().0 > 1;
+    let lost = links.remove_lost_sources();
+    let passes_on = links.link_counts().0 > 1;
     drop(links);
     forget_sources(shared, &lost);
     apply_tallies(shared, &updates, now);
     adopt_greeting(shared, &frame, now);
-    take_notes(shared, id, &frame.suspects);
-    take_limits(shared, id, &frame.limits);
-    take_leaving(shared, id, &frame.draining_servers);
+    handle_suspect_updates(shared, id, &frame.suspects);
+    handle_limit_updates(shared, id, &frame.limits);
+    handle_leaving_updates(shared, id, &frame.draining_servers);
     if frame.leaving {
         shared.links.lock().note_peer_stop(id);
-        shared.replan.notify();
+        shared.link_plan_changed.notify();
     }
     if frame.wants_snapshot {
-        let listing = listing_of(shared, now);
-        shared.links.lock().tell(id, listing);
+        let listing = current_snapshot(shared, now);
+        shared.links.lock().send_update(id, listing);
     }
     if passes_on || frame.wants_snapshot {
-        shared.updates.notify();
+        shared.pending_updates.notify();
     }
 }
 
 fn apply_updates(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     id: LinkId,
     updates: Vec<CatalogUpdate>,
     now: Instant,
 ) {
     for update in updates {
-        apply_update(shared, update, Some(id), now);
+        apply_peer_update(shared, update, Some(id), now);
     }
 }
 
-fn drop_link(shared: &Arc<Shared>, id: LinkId, reason: &str) {
+fn drop_link(shared: &Arc<EdgeState>, id: LinkId, reason: &str) {
     let mut links = shared.links.lock();
     let peer = links.peer(id).cloned();
     let lost = links.remove(id);
     let updates = links.own_updates();
     drop(links);
-    shared.resend_loans.lock().forget(id);
+    shared.resend_leases.lock().forget(id);
     if let Some(peer) = peer {
         tracing::info!(%peer, reason, "peer: link ended.");
     }
     forget_sources(shared, &lost);
     apply_tallies(shared, &updates, wingspur_clock::now());
-    shared.replan.notify();
-    shared.updates.notify();
+    shared.link_plan_changed.notify();
+    shared.pending_updates.notify();
 }
 
 /// Gathers what this box has seen, and sends what is due.
-fn tick(shared: &Arc<Shared>, listings: &mut SnapshotFrameCache) {
+fn tick(shared: &Arc<EdgeState>, listings: &mut SnapshotFrameCache) {
     let now = wingspur_clock::now();
     let digest = own_digest(shared);
     let bundle_version = shared.bundle_version();
-    let rooms = told_rooms(shared, now);
+    let rooms = resend_budget_reports(shared, now);
     let mut links = shared.links.lock();
     if !digest.servers.is_empty() || !digest.services.is_empty() {
         links.receive_own(&digest);
     }
     let frames = links.take_frames(bundle_version, &rooms, now);
-    let stuck = links.stuck(now);
-    links.tidy_listing(now);
+    let stuck = links.unresponsive(now);
+    links.expire_snapshot(now);
     drop(links);
     for id in stuck {
         drop_link(shared, id, &LinkError::SendQueueFull.to_string());
@@ -375,8 +379,8 @@
 
 /// Sends a frame, and the listing that goes before it.
 fn send(
-    shared: &Shared,
-    outgoing: &Outgoing,
+    shared: &EdgeState,
+    outgoing: &OutgoingFrame,
     listings: &mut SnapshotFrameCache,
 ) -> Result<(), LinkError> {
     if let Some(pending) = &outgoing.listing {
@@ -389,7 +393,7 @@
     Ok(())
 }
 
-fn own_digest(shared: &Shared) -> TallyUpdate {
+fn own_digest(shared: &EdgeState) -> TallyUpdate {
     let mut digest = TallyUpdate::default();
     for service in shared.services.all() {
         digest
@@ -403,7 +407,7 @@
 }
 
 /// Lets this box's tables take in what others have seen.
-fn apply_tallies(shared: &Shared, updates: &[SourceUpdate], now: Instant) {
+fn apply_tallies(shared: &EdgeState, updates: &[SourceUpdate], now: Instant) {
     for source in updates {
         for (keyed, counts) in &source.servers {
             if let Some(service) = shared.services.of_server(keyed.0) {
@@ -412,7 +416,7 @@
             }
         }
         for service in shared.services.all() {
-            pass_alarm_on(shared, &service);
+            send_urgent_on_suspect(shared, &service);
         }
         for service in shared.services.all() {
             let key = server_key(&service.name);
@@ -427,17 +431,17 @@
 }
 
 /// Lets the news go out at once if a server has turned suspect.
-pub fn pass_alarm_on(shared: &Shared, service: &ServiceState) {
+pub fn send_urgent_on_suspect(shared: &EdgeState, service: &ServiceState) {
     if service.balancer.lock().take_new_suspicion() {
-        review(service);
-        shared.links.lock().note_urgent();
-        shared.alarm.notify();
-        shared.updates.notify();
+        log_suspicion_changes(service);
+        shared.links.lock().mark_urgent();
+        shared.urgent_updates.notify();
+        shared.pending_updates.notify();
     }
 }
 
 /// Logs which servers of a service this box has begun, or ceased, to suspect.
-pub fn review(service: &ServiceState) {
+pub fn log_suspicion_changes(service: &ServiceState) {
     for turned in service
         .balancer
         .lock()
@@ -451,14 +455,14 @@
         tracing::info!(
             server = %turned.server.id,
             service = service.name,
-            failure_share = rounded(turned.failure_probability),
+            failure_share = round_for_log(turned.failure_probability),
             sent_ms_ago = turned.last_request_at.as_millis() as u64,
             "server: {outcome}."
         );
     }
 }
 
-fn forget_sources(shared: &Shared, lost: &[SourceId]) {
+fn forget_sources(shared: &EdgeState, lost: &[SourceId]) {
     for service in shared.services.all() {
         let mut balancer = service.balancer.lock();
         lost.iter()
@@ -466,7 +470,7 @@
     }
 }
 
-fn own_hello(shared: &Shared, role: LinkRole) -> Hello {
+fn own_hello(shared: &EdgeState, role: LinkRole) -> Hello {
     let fleet = shared.settings().fleet.clone();
     let bundle_version = shared.bundle_version();
     let links = shared.links.lock();
@@ -480,7 +484,7 @@
     }
 }
 
-fn check(shared: &Shared, hello: &Hello) -> Result<(), LinkError> {
+fn check(shared: &EdgeState, hello: &Hello) -> Result<(), LinkError> {
     let ours = hello.protocol == LINK_PROTOCOL_VERSION;
     match ours && hello.fleet == shared.settings().fleet {
         true => Ok(()),
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -18,9 +18,9 @@
 };
 use wingspur_transport::{CatalogError, ConditionalWriteResult, StopSignal};
 
-use crate::lending_frames::send;
+use crate::edge_state::EdgeState;
+use crate::lease_messages::send_lease_messages;
 use crate::quarantine_state::SendPermission;
-use crate::shared::Shared;
 use crate::store_calls::call_store;
 
 /// Waits until a request may be sent, or it is known that it may not before `limit`.
@@ -28,8 +28,8 @@
 /// While another box tries it, the outcome is worth waiting for: a request that is well is
 /// answered in a third of a second, and all that wait go on. Where no try is left it is
 /// refused at once.
-pub async fn permission_to_send(
-    shared: &Arc<Shared>,
+pub async fn wait_for_send_permit(
+    shared: &Arc<EdgeState>,
     id: &str,
     request: RequestFingerprint,
     limit: Instant,
@@ -64,22 +64,23 @@
 }
 
 /// Whether a request may be sent with a permit only.
-pub fn is_quarantined(shared: &Shared, request: RequestFingerprint) -> bool {
-    let suspects = shared.suspects.lock();
+pub fn is_quarantined(shared: &EdgeState, request: RequestFingerprint) -> bool {
+    let suspects = shared.suspect_requests.lock();
     !suspects.is_empty() && suspects.is_quarantined(request, wingspur_clock::now())
 }
 
 /// Writes to the store that a request is in quarantine, where this box is the hub of the one
 /// that has seen it, so that boxes that start know it.
-pub fn open_quarantine(shared: &Arc<Shared>, request: RequestFingerprint) {
+pub fn store_quarantine(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     if shared.links.lock().own_hub().is_some() || !is_quarantined(shared, request) {
         return;
     }
-    let known = shared.suspects.lock().quarantine(request);
+    let known = shared.suspect_requests.lock().quarantine(request);
     let mut state = shared.quarantine.lock();
-    let due = state
-        .desk
-        .begin_quarantine(request, known.as_ref(), wingspur_clock::now());
+    let due =
+        state
+            .permits
+            .begin_quarantine(request, known.as_ref(), wingspur_clock::now());
     drop(state);
     let Some(count) = due else { return };
     let shared = shared.clone();
@@ -88,16 +89,16 @@
         let outcome = write(&shared, request, count).await;
         let mut state = shared.quarantine.lock();
         state
-            .desk
+            .permits
             .quarantine_recorded(request, outcome, wingspur_clock::now());
     });
 }
 
 /// Takes in what the catalog says of a request in quarantine.
-pub fn put_quarantine(shared: &Shared, record: &QuarantineRecord) {
+pub fn apply_quarantine(shared: &EdgeState, record: &QuarantineRecord) {
     let known = known_at(record, wingspur_clock::now());
     shared
-        .suspects
+        .suspect_requests
         .lock()
         .apply_quarantine(record.request, known);
     tracing::info!(
@@ -109,15 +110,15 @@
 }
 
 /// Takes in that a request is in quarantine no more.
-pub fn end_quarantine(shared: &Shared, request: RequestFingerprint) {
-    shared.suspects.lock().remove_quarantine(request);
-    shared.quarantine.lock().desk.forget(request);
+pub fn end_quarantine(shared: &EdgeState, request: RequestFingerprint) {
+    shared.suspect_requests.lock().remove_quarantine(request);
+    shared.quarantine.lock().permits.forget(request);
     tracing::info!(fingerprint = %request, "quarantine: ended.");
 }
 
 /// Takes in all requests that are in quarantine, as a listing at a position has them.
 pub fn replace_quarantines(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     position: StorePosition,
     records: &[QuarantineRecord],
 ) {
@@ -127,25 +128,28 @@
     let listed = |request: &RequestFingerprint| {
         records.iter().any(|record| record.request == *request)
     };
-    let known: Vec<_> = shared.suspects.lock().quarantines().collect();
+    let known: Vec<_> = shared.suspect_requests.lock().quarantines().collect();
     for (request, _) in known {
         if !listed(&request) {
             end_quarantine(shared, request);
         }
     }
     for record in records {
-        put_quarantine(shared, record);
+        apply_quarantine(shared, record);
     }
 }
 
 /// Takes in what a restored store holds; a hub writes again what it has lost.
-fn take_restored(shared: &Arc<Shared>, era: StoreEra, records: &[QuarantineRecord]) {
+fn take_restored(shared: &Arc<EdgeState>, era: StoreEra, records: &[QuarantineRecord]) {
     let now = wingspur_clock::now();
     let listed: Vec<_> = records
         .iter()
         .map(|r| (r.request, known_at(r, now)))
         .collect();
-    let lost = shared.suspects.lock().reconcile_restored(era, &listed);
+    let lost = shared
+        .suspect_requests
+        .lock()
+        .reconcile_restored(era, &listed);
     tracing::info!(
         era,
         listed = listed.len(),
@@ -179,8 +183,8 @@
 }
 
 /// All requests that are in quarantine, for a box that is behind.
-pub fn quarantine_records(shared: &Shared) -> Vec<QuarantineRecord> {
-    let suspects = shared.suspects.lock();
+pub fn quarantine_records(shared: &EdgeState) -> Vec<QuarantineRecord> {
+    let suspects = shared.suspect_requests.lock();
     let records = suspects
         .quarantines()
         .map(|(request, known)| QuarantineRecord {
@@ -193,7 +197,11 @@
 }
 
 /// Answers another box that asks whether it may send a request, once that is decided.
-pub fn answer_permit(shared: &Arc<Shared>, link: LinkId, asked: &QuotaLeaseRequest) {
+pub fn handle_permit_request(
+    shared: &Arc<EdgeState>,
+    link: LinkId,
+    asked: &QuotaLeaseRequest,
+) {
     let LeasedResource::Permit(request) = asked.resource else {
         return;
     };
@@ -214,13 +222,13 @@
             renewed: false,
             retry_after_ms: Some(more_in.as_millis() as u32),
         };
-        send(&shared, vec![QuotaMessage::reply(link, answer, true)]);
+        send_lease_messages(&shared, vec![QuotaMessage::reply(link, answer, true)]);
     });
 }
 
 /// Takes in the hub's answer to a question of this box.
-pub fn take_permit_answer(shared: &Shared, answer: &QuotaLeaseReply) {
-    let asked = shared.quarantine.lock().asked.remove(&answer.request_id);
+pub fn handle_permit_response(shared: &EdgeState, answer: &QuotaLeaseReply) {
+    let asked = shared.quarantine.lock().pending.remove(&answer.request_id);
     if let Some(asked) = asked {
         // One that has given up does not listen any more.
         let _ = asked.try_send(*answer);
@@ -229,7 +237,7 @@
 
 /// Ends in the store what whole answers have cleared, and forgets what is too old, until the
 /// box stops.
-pub async fn run_quarantine(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_quarantine(shared: Arc<EdgeState>, stop: StopSignal) {
     while !stop.is_triggered() {
         wingspur_clock::sleep(TIDY_EVERY).await;
         let now = wingspur_clock::now();
@@ -244,13 +252,13 @@
 }
 
 /// Forgets what is too old; returns what the store still holds of cleared requests.
-fn tidy(shared: &Shared, now: Instant) -> Vec<(RequestFingerprint, StoredQuarantine)> {
-    let mut suspects = shared.suspects.lock();
+fn tidy(shared: &EdgeState, now: Instant) -> Vec<(RequestFingerprint, StoredQuarantine)> {
+    let mut suspects = shared.suspect_requests.lock();
     suspects.evict_expired(now);
     let outlived = suspects.cleared_quarantines();
     shared.metrics.suspects.set(suspects.len() as i64);
     drop(suspects);
-    shared.quarantine.lock().desk.evict_idle(now);
+    shared.quarantine.lock().permits.evict_idle(now);
     outlived
 }
 
@@ -262,7 +270,7 @@
 
 /// Decides here, after counting in the store what is let through; where the store cannot be
 /// had, the hub decides.
-async fn decide(shared: &Arc<Shared>, request: RequestFingerprint) -> Step {
+async fn decide(shared: &Arc<EdgeState>, request: RequestFingerprint) -> Step {
     let hub = shared.links.lock().own_hub();
     match (decide_here(shared, request, hub.is_none()).await, hub) {
         (TrialDecision::Lend, _) => Step::Lend,
@@ -272,13 +280,17 @@
     }
 }
 
-async fn ask_hub(shared: &Arc<Shared>, request: RequestFingerprint, hub: LinkId) -> Step {
+async fn ask_hub(
+    shared: &Arc<EdgeState>,
+    request: RequestFingerprint,
+    hub: LinkId,
+) -> Step {
     let (tell, told) = async_channel::bounded(1);
     let number = {
         let mut state = shared.quarantine.lock();
         state.last_number = state.last_number.wrapping_add(1);
         let number = state.last_number;
-        state.asked.insert(number, tell);
+        state.pending.insert(number, tell);
         number
     };
     let question = QuotaLeaseRequest {
@@ -289,14 +301,14 @@
         reserve: 0.0,
         wanted: 0.0,
     };
-    send(shared, vec![QuotaMessage::request(hub, question)]);
+    send_lease_messages(shared, vec![QuotaMessage::request(hub, question)]);
     let told = async { told.recv().await.ok() };
     let expired = async {
         wingspur_clock::sleep(ANSWER_LOST).await;
         None
     };
     let answer = told.or(expired).await;
-    shared.quarantine.lock().asked.remove(&number);
+    shared.quarantine.lock().pending.remove(&number);
     match answer {
         Some(answer) if answer.on_demand_granted > 0 => Step::Lend,
         Some(answer) => {
@@ -310,7 +322,7 @@
 
 /// Decides after counting in the store what is let through.
 async fn decide_here(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     request: RequestFingerprint,
     nobody_else: bool,
 ) -> TrialDecision {
@@ -318,10 +330,10 @@
         return TrialDecision::Lend;
     }
     let (known, step) = {
-        let suspects = shared.suspects.lock();
+        let suspects = shared.suspect_requests.lock();
         let mut state = shared.quarantine.lock();
         let step = state
-            .desk
+            .permits
             .request_trial(request, &suspects, wingspur_clock::now());
         (suspects.quarantine(request), step)
     };
@@ -331,7 +343,7 @@
             let mut state = shared.quarantine.lock();
             let now = wingspur_clock::now();
             state
-                .desk
+                .permits
                 .trial_recorded(request, outcome, nobody_else, now)
         }
         step => step,
@@ -348,7 +360,7 @@
 
 /// Writes how often a request was let through, and takes in what stands then.
 async fn write(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     request: RequestFingerprint,
     count: TrialRecord,
 ) -> RecordOutcome {
@@ -363,15 +375,15 @@
     log_write(&record, &written);
     match written {
         Ok(ConditionalWriteResult::Written(position)) => {
-            put_quarantine(shared, &QuarantineRecord { position, ..record });
+            apply_quarantine(shared, &QuarantineRecord { position, ..record });
             RecordOutcome::Stands
         }
         Ok(ConditionalWriteResult::Conflict(Some(found))) => {
-            put_quarantine(shared, &found);
+            apply_quarantine(shared, &found);
             RecordOutcome::Overtaken
         }
         Ok(ConditionalWriteResult::Conflict(None)) => {
-            shared.suspects.lock().remove_quarantine(request);
+            shared.suspect_requests.lock().remove_quarantine(request);
             RecordOutcome::Overtaken
         }
         Err(_) => look_whether_written(shared, &record).await,
@@ -381,7 +393,7 @@
 /// What became of a write whose answer is lost: it may have been done, and a try that is
 /// counted but not made is one less for a request that is well.
 async fn look_whether_written(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     record: &QuarantineRecord,
 ) -> RecordOutcome {
     let call = (shared.catalog.read_quarantine)(record.request);
@@ -389,14 +401,17 @@
     let (fingerprint, tries) = (record.request, record.tries);
     match read {
         Ok(Some(found)) => {
-            put_quarantine(shared, &found);
+            apply_quarantine(shared, &found);
             match (found.tries, found.counted_by) == (tries, record.counted_by) {
                 true => RecordOutcome::Stands,
                 false => RecordOutcome::Overtaken,
             }
         }
         Ok(None) => {
-            shared.suspects.lock().remove_quarantine(record.request);
+            shared
+                .suspect_requests
+                .lock()
+                .remove_quarantine(record.request);
             RecordOutcome::Overtaken
         }
         Err(error) => {
@@ -408,7 +423,7 @@
 
 /// Ends in the store the quarantine of a request that was answered whole.
 async fn end_in_store(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     request: RequestFingerprint,
     known: StoredQuarantine,
 ) {
@@ -429,7 +444,7 @@
         }
         // Someone else has written since: the catalog tells.
         Ok(ConditionalWriteResult::Conflict(Some(found))) => {
-            put_quarantine(shared, &found)
+            apply_quarantine(shared, &found)
         }
         // It is tried again with the next round.
         Err(_) => {}
@@ -453,7 +468,11 @@
 }
 
 /// Waits until a request is cleared, at most until `until`.
-async fn wait_for_updates(shared: &Shared, request: RequestFingerprint, until: Instant) {
+async fn wait_for_updates(
+    shared: &EdgeState,
+    request: RequestFingerprint,
+    until: Instant,
+) {
     while wingspur_clock::now() < until && is_quarantined(shared, request) {
         wingspur_clock::sleep(LOOK_AGAIN).await;
     }
--- a/crates/wingspur-edge/src/quarantine_state.rs
+++ b/crates/wingspur-edge/src/quarantine_state.rs
@@ -11,9 +11,9 @@
 #[derive(Debug)]
 pub struct QuarantineState {
     /// Who may send, and when.
-    pub desk: QuarantineRegistry,
+    pub permits: QuarantineRegistry,
     /// This box's own questions, with who waits for each answer.
-    pub asked: HashMap<u32, async_channel::Sender<QuotaLeaseReply>>,
+    pub pending: HashMap<u32, async_channel::Sender<QuotaLeaseReply>>,
     /// The number of the last question.
     pub last_number: u32,
 }
@@ -22,15 +22,15 @@
     /// A box that starts now, and counts under a name of its own.
     pub fn new(own: SourceId) -> Self {
         Self {
-            desk: QuarantineRegistry::new(own),
-            asked: HashMap::new(),
+            permits: QuarantineRegistry::new(own),
+            pending: HashMap::new(),
             last_number: 0,
         }
     }
 
     /// Notes the store's era.
     pub fn note_era(&mut self, era: StoreEra) {
-        self.desk.note_era(era);
+        self.permits.note_era(era);
     }
 }
 
--- a/crates/wingspur-edge/src/lending.rs
+++ b/crates/wingspur-edge/src/quota_leases.rs
@@ -15,12 +15,14 @@
 };
 use wingspur_transport::StopSignal;
 
-use crate::given_up::GivenUp;
-use crate::lending_frames::send;
-use crate::quarantine::{answer_permit, take_permit_answer};
-use crate::request_log::rounded;
-use crate::resending::{answer_resend, take_resend_answer};
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
+use crate::lease_messages::send_lease_messages;
+use crate::quarantine::{handle_permit_request, handle_permit_response};
+use crate::request_error::RequestError;
+use crate::request_log::round_for_log;
+use crate::resend_lease_exchange::{
+    handle_resend_lease_reply, handle_resend_lease_request,
+};
 
 /// Lets a request of an account through, or refuses it: by 429 what is over its limit, by 503
 /// what nobody could tell in time.
@@ -28,18 +30,18 @@
 /// Each request is paid for by what boxes have minted of the account's limit: none goes
 /// through on the strength of news, which other boxes may not hear. `docs/design/allowances.md`
 /// proves what that bounds.
-pub async fn admit_within_limit(
-    shared: &Shared,
+pub async fn enforce_account_limit(
+    shared: &EdgeState,
     id: &str,
     account: &ClientAccount,
     patience: Duration,
-) -> Result<(), GivenUp> {
+) -> Result<(), RequestError> {
     if !account.is_limited() {
         return Ok(());
     }
     let began = wingspur_clock::now();
     let of = LeasedResource::Account(account.allowance());
-    let outcome = want(shared, of, 0.0, LONGEST_WAIT.min(patience / 2)).await;
+    let outcome = acquire_quota(shared, of, 0.0, LONGEST_WAIT.min(patience / 2)).await;
     let (code, more_in) = match outcome {
         AcquireOutcome::Acquired => return Ok(()),
         AcquireOutcome::Refused(more_in) => (ResultCode::AccountLimit, more_in),
@@ -57,14 +59,18 @@
         result = code.name(),
         "allowance: refused."
     );
-    Err(GivenUp {
+    Err(RequestError {
         retry_after: Some(retry_after),
-        ..GivenUp::plain(code)
+        ..RequestError::from_code(code)
     })
 }
 
 /// Takes in what another box asks for and answers.
-pub fn take_lending(shared: &Arc<Shared>, link: LinkId, lending: &LeaseMessages) {
+pub fn handle_lease_messages(
+    shared: &Arc<EdgeState>,
+    link: LinkId,
+    lending: &LeaseMessages,
+) {
     if *lending == LeaseMessages::default() {
         return;
     }
@@ -78,7 +84,7 @@
         | LeasedResource::Hedge(_)
         | LeasedResource::Permit(_) => false,
     };
-    let mut state = shared.lending.lock();
+    let mut state = shared.quota_leases.lock();
     state.update_shares(&standing, now);
     let mut messages = QuotaMessages::new();
     for request in lending
@@ -96,20 +102,20 @@
     drop(state);
     take_permits(shared, link, lending);
     messages.extend(take_resend_loans(shared, link, lending));
-    send(shared, messages);
+    send_lease_messages(shared, messages);
     if is_busy {
-        shared.lending_notify.notify();
+        shared.quota_lease_pending.notify();
     }
 }
 
 /// Keeps the part's clock, and goes on with what waits, until the box stops.
-pub async fn run_lending(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_quota_leases(shared: Arc<EdgeState>, stop: StopSignal) {
     let (mut tidied, mut told_part) = (wingspur_clock::now(), 0.0);
     while !stop.is_triggered() {
-        if shared.lending.lock().has_pending() {
+        if shared.quota_leases.lock().has_pending() {
             wingspur_clock::sleep(GO_ON_EVERY).await;
         } else {
-            shared.lending_notify.wait(CLOCK_EVERY).await;
+            shared.quota_lease_pending.wait(CLOCK_EVERY).await;
         }
         let now = wingspur_clock::now();
         let standing = standing(&shared, now);
@@ -118,12 +124,12 @@
         if (standing.share - told_part).abs() > told_part / TOLD_PART {
             told_part = standing.share;
             tracing::info!(
-                part = rounded(told_part),
+                part = round_for_log(told_part),
                 is_member = standing.own_hub.is_some(),
                 "allowance: this box has another part."
             );
         }
-        let mut state = shared.lending.lock();
+        let mut state = shared.quota_leases.lock();
         state.update_shares(&standing, now);
         let messages = state.poll(&standing, &find, now);
         if now.saturating_duration_since(tidied) >= TIDY_EVERY {
@@ -131,13 +137,13 @@
             state.evict_idle(&find, now);
         }
         drop(state);
-        send(&shared, messages);
+        send_lease_messages(&shared, messages);
     }
 }
 
 /// Wants one of an allowance; what came of it within a time.
-pub async fn want(
-    shared: &Shared,
+pub async fn acquire_quota(
+    shared: &EdgeState,
     of: LeasedResource,
     reserve: ReserveShare,
     patience: Duration,
@@ -150,7 +156,7 @@
 
 /// Wants one of an allowance: what came of it, or where that will be told.
 fn begin_to_want(
-    shared: &Shared,
+    shared: &EdgeState,
     of: LeasedResource,
     reserve: ReserveShare,
 ) -> Result<AcquireOutcome, PendingGrant> {
@@ -158,13 +164,13 @@
     let standing = standing(shared, now);
     let allowances = Allowances::now(shared);
     let find = |of| allowances.find(shared, of);
-    let mut state = shared.lending.lock();
+    let mut state = shared.quota_leases.lock();
     state.update_shares(&standing, now);
     let (outcome, messages) = state.acquire(of, reserve, &standing, &find, now);
     drop(state);
-    send(shared, messages);
+    send_lease_messages(shared, messages);
     if outcome.is_err() {
-        shared.lending_notify.notify();
+        shared.quota_lease_pending.notify();
     }
     outcome
 }
@@ -180,7 +186,7 @@
 
 /// Takes in what is asked and answered of resends.
 fn take_resend_loans(
-    shared: &Shared,
+    shared: &EdgeState,
     link: LinkId,
     lending: &LeaseMessages,
 ) -> QuotaMessages {
@@ -193,29 +199,29 @@
         .filter(|ask| of_resends(&ask.resource));
     let answers = lending.replies.iter();
     let answers = answers.filter(|answer| of_resends(&answer.resource));
-    let answered = asks.flat_map(|ask| answer_resend(shared, link, ask));
-    let passed = answers.flat_map(|answer| take_resend_answer(shared, answer));
+    let answered = asks.flat_map(|ask| handle_resend_lease_request(shared, link, ask));
+    let passed = answers.flat_map(|answer| handle_resend_lease_reply(shared, answer));
     answered.chain(passed).collect()
 }
 
 /// Takes in what is asked and answered of requests in quarantine.
-fn take_permits(shared: &Arc<Shared>, link: LinkId, lending: &LeaseMessages) {
+fn take_permits(shared: &Arc<EdgeState>, link: LinkId, lending: &LeaseMessages) {
     let of_permits = |of: &LeasedResource| matches!(of, LeasedResource::Permit(_));
     for ask in lending
         .requests
         .iter()
         .filter(|ask| of_permits(&ask.resource))
     {
-        answer_permit(shared, link, ask);
+        handle_permit_request(shared, link, ask);
     }
     let answers = lending.replies.iter();
     for answer in answers.filter(|answer| of_permits(&answer.resource)) {
-        take_permit_answer(shared, answer);
+        handle_permit_response(shared, answer);
     }
 }
 
-fn standing(shared: &Shared, now: Instant) -> QuotaTopology {
-    shared.links.lock().lending_standing(now)
+fn standing(shared: &EdgeState, now: Instant) -> QuotaTopology {
+    shared.links.lock().quota_standing(now)
 }
 
 /// What allowances are reckoned by: the bundle in force, the settings and servers' limits.
@@ -225,14 +231,14 @@
 }
 
 impl Allowances {
-    fn now(shared: &Shared) -> Self {
+    fn now(shared: &EdgeState) -> Self {
         Self {
-            accounts: shared.in_force().and_then(|now| now.accounts.clone()),
+            accounts: shared.active_bundle().and_then(|now| now.accounts.clone()),
             quota: shared.settings().quota,
         }
     }
 
-    fn find(&self, shared: &Shared, of: LeasedResource) -> Option<Quota> {
+    fn find(&self, shared: &EdgeState, of: LeasedResource) -> Option<Quota> {
         match of {
             LeasedResource::Account(key) => {
                 let account = self.accounts.as_ref()?.of_allowance(key)?;
@@ -250,7 +256,7 @@
 }
 
 /// What a server takes, held by the hub of its data centre.
-fn of_server(shared: &Shared, server: ServerKey) -> Option<Quota> {
+fn of_server(shared: &EdgeState, server: ServerKey) -> Option<Quota> {
     let service = shared.services.of_server(server)?;
     let balancer = service.balancer.lock();
     let limit_per_s = balancer.limit(server, wingspur_clock::now())?;
--- a/crates/wingspur-edge/src/request.rs
+++ b/crates/wingspur-edge/src/request.rs
@@ -16,46 +16,48 @@
 use wingspur_state::{RequestFingerprint, RequestParts};
 use wingspur_transport::{ResponseHead, SendBody};
 
-use crate::admission::{Admitted, Asking, admit, find_route, strip_credentials};
-use crate::answer_body::{AnswerBody, StreamBody};
-use crate::attempt::{AttemptResult, Outgoing};
-use crate::attempts::Forwarding;
-use crate::given_up::{GivenUp, HeldAnswer};
-use crate::heads::{check_framing, strip_hop_by_hop};
-use crate::in_force::ActiveRoute;
-use crate::lending::admit_within_limit;
-use crate::refusal::refusal;
+use crate::active_bundle::ActiveRoute;
+use crate::admission::{
+    AdmissionRequest, Principal, admit, find_route, strip_credentials,
+};
+use crate::attempt::{AttemptResult, UpstreamRequest};
+use crate::edge_state::EdgeState;
+use crate::error_response::error_response;
+use crate::forwarding::RequestForwarder;
+use crate::headers::{check_framing, strip_hop_by_hop};
+use crate::in_flight_requests::InFlightGuard;
+use crate::quota_leases::enforce_account_limit;
+use crate::request_error::{BufferedResponse, RequestError};
 use crate::request_log::RequestLog;
-use crate::requests_out::Ticket;
-use crate::shared::Shared;
-use crate::stopping::out_of_time;
+use crate::response_body::{ResponseBody, StreamBody};
+use crate::shutdown::shutdown_result;
 
 /// Answers a caller: a backend server's whole answer, or an honest refusal.
-pub async fn answer_caller(
-    shared: Arc<Shared>,
+pub async fn handle_request(
+    shared: Arc<EdgeState>,
     request: Request<Incoming>,
     _from: SocketAddr,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let old_version = request.version() < Version::HTTP_11;
     let arrived = wingspur_clock::now();
-    let id = request.headers().get(shared.names.request_id);
+    let id = request.headers().get(shared.header_names.request_id);
     let mut log = RequestLog::begin(id, &shared, arrived);
     let forwarded = async { Some(forward(&shared, request, arrived, &mut log).await) };
     let stopped = async {
-        shared.stopping.out_of_time().await;
+        shared.stopping.drain_expired().await;
         None
     };
     let forwarded = forwarded.or(stopped).await;
     let mut response = match forwarded {
         Some(Ok(response)) => {
-            log.passed_on(&response);
+            log.log_forwarded(&response);
             response
         }
         Some(Err(given_up)) => refuse(&shared, given_up, log),
         None => {
             // Whatever it waits for, it has its answer before the box ends.
             let sent = log.ticket().was_sent();
-            refuse(&shared, GivenUp::plain(out_of_time(sent)), log)
+            refuse(&shared, RequestError::from_code(shutdown_result(sent)), log)
         }
     };
     if shared.stopping.has_begun() || old_version {
@@ -67,36 +69,36 @@
 }
 
 async fn forward(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     request: Request<Incoming>,
     arrived: Instant,
     log: &mut RequestLog,
-) -> Result<Response<AnswerBody>, GivenUp> {
+) -> Result<Response<ResponseBody>, RequestError> {
     let (parts, body) = request.into_parts();
-    check_framing(&parts.headers).map_err(GivenUp::plain)?;
-    let host = host_of(&parts).ok_or(GivenUp::plain(ResultCode::BadFraming))?;
+    check_framing(&parts.headers).map_err(RequestError::from_code)?;
+    let host = host_of(&parts).ok_or(RequestError::from_code(ResultCode::BadFraming))?;
     let patience = patience(shared, &parts.headers);
-    let asking = Asking {
+    let asking = AdmissionRequest {
         id: log.id(),
         arrived,
-        patience,
+        timeout: patience,
     };
     let route = find_route(shared, &asking, host, parts.uri.path()).await?;
     let admitted = admit(shared, &asking, &route, &parts.headers).await?;
-    let in_force = shared.in_force();
-    let in_force = in_force.ok_or(GivenUp::plain(ResultCode::NotReady))?;
+    let in_force = shared.active_bundle();
+    let in_force = in_force.ok_or(RequestError::from_code(ResultCode::NotReady))?;
     let service = route.next_service().clone();
     log.routed(&route, &service.name, in_force.version());
     log.admitted(&admitted);
     let limit = arrived + patience.min(route.timeout());
-    let limit = shared.stopping.limit(limit);
+    let limit = shared.stopping.cap_deadline(limit);
     let limits = in_force.bundle.caller_limits;
     let kept_bytes = shared.settings().kept_body_bytes;
     let body = receive_body(body, limits.max_body_bytes, kept_bytes, limit);
-    let body = body.await.map_err(GivenUp::plain)?;
+    let body = body.await.map_err(RequestError::from_code)?;
     if let Some(account) = &admitted.account {
         // Once its body is in: it reaches a server right after it was counted.
-        let within = admit_within_limit(shared, log.id(), account, patience).await;
+        let within = enforce_account_limit(shared, log.id(), account, patience).await;
         within.inspect_err(|_| count_unserved(&route))?;
     }
     let class = route.route.class.as_str();
@@ -104,14 +106,15 @@
     shared.metrics.requests.with_label_values(&labels).inc();
     let ticket = log.ticket().clone();
     let fingerprint = fingerprint(&parts, &admitted, &body);
-    log.recognised(fingerprint);
+    log.set_fingerprint(fingerprint);
     let taken = Taken {
         arrived,
         limit,
         fingerprint,
     };
     let outgoing = outgoing(shared, parts, admitted, taken, ticket.clone());
-    let forwarding = Forwarding::new(shared.clone(), route, service, outgoing, body);
+    let forwarding =
+        RequestForwarder::new(shared.clone(), route, service, outgoing, body);
     match forwarding.run().await? {
         AttemptResult::Answered(answer) => Ok(whole(answer)),
         AttemptResult::Streaming {
@@ -122,9 +125,9 @@
         } => {
             let length = head.body_bytes;
             let body = StreamBody::new(first, *connection, guard, length, ticket);
-            Ok(with_head(head, AnswerBody::Stream(body)))
+            Ok(with_head(head, ResponseBody::Stream(body)))
         }
-        AttemptResult::Failed(failed) => Err(GivenUp::plain(failed.code)),
+        AttemptResult::Failed(failed) => Err(RequestError::from_code(failed.code)),
     }
 }
 
@@ -138,19 +141,20 @@
 }
 
 fn refuse(
-    shared: &Shared,
-    mut given_up: GivenUp,
+    shared: &EdgeState,
+    mut given_up: RequestError,
     log: RequestLog,
-) -> Response<AnswerBody> {
-    let answer = given_up.answer.take();
+) -> Response<ResponseBody> {
+    let answer = given_up.upstream_response.take();
     let response = match answer {
         Some(answer) => whole(answer),
         None => {
-            shared.metrics.refuse(given_up.code);
-            refusal(given_up.code, given_up.retry_after).map(AnswerBody::Whole)
+            shared.metrics.count_refusal(given_up.code);
+            error_response(given_up.code, given_up.retry_after)
+                .map(ResponseBody::Buffered)
         }
     };
-    log.given_up(&given_up, &response);
+    log.log_error(&given_up, &response);
     response
 }
 
@@ -163,17 +167,17 @@
 
 /// Turns a caller's head into what every attempt sends.
 fn outgoing(
-    shared: &Shared,
+    shared: &EdgeState,
     parts: Parts,
-    admitted: Admitted,
+    admitted: Principal,
     taken: Taken,
-    ticket: Arc<Ticket>,
-) -> Outgoing {
-    let names = &shared.names;
+    ticket: Arc<InFlightGuard>,
+) -> UpstreamRequest {
+    let names = &shared.header_names;
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
     let id = headers.get(names.request_id).cloned();
-    let in_force = shared.in_force();
+    let in_force = shared.active_bundle();
     let has_keys = in_force.is_some_and(|in_force| in_force.accounts.is_some());
     strip_credentials(&mut headers, names.account, has_keys);
     headers.remove(names.deadline_ms);
@@ -182,14 +186,14 @@
         headers.remove(name);
     }
     let target = parts.uri.path_and_query();
-    Outgoing {
+    UpstreamRequest {
         method: parts.method,
         target: target.map_or("/", |target| target.as_str()).to_owned(),
         fingerprint: taken.fingerprint,
         headers,
         id,
         arrived: taken.arrived,
-        limit: taken.limit,
+        deadline: taken.limit,
         admitted,
         ticket,
     }
@@ -200,7 +204,7 @@
 /// The address that it comes from is no part of it: callers come again from others.
 fn fingerprint(
     parts: &Parts,
-    admitted: &Admitted,
+    admitted: &Principal,
     body: &SendBody,
 ) -> RequestFingerprint {
     let target = parts.uri.path_and_query();
@@ -228,8 +232,8 @@
 }
 
 /// How long the caller says that it waits.
-fn patience(shared: &Shared, headers: &HeaderMap) -> Duration {
-    let told = headers.get(shared.names.deadline_ms);
+fn patience(shared: &EdgeState, headers: &HeaderMap) -> Duration {
+    let told = headers.get(shared.header_names.deadline_ms);
     let told = told.and_then(|value| value.to_str().ok()?.parse().ok());
     told.map_or(Duration::MAX, Duration::from_millis)
 }
@@ -269,12 +273,12 @@
     authority.or(header)
 }
 
-fn whole(answer: HeldAnswer) -> Response<AnswerBody> {
-    let body = AnswerBody::Whole(Full::new(answer.body));
+fn whole(answer: BufferedResponse) -> Response<ResponseBody> {
+    let body = ResponseBody::Buffered(Full::new(answer.body));
     with_head(answer.head, body)
 }
 
-fn with_head(head: ResponseHead, body: AnswerBody) -> Response<AnswerBody> {
+fn with_head(head: ResponseHead, body: ResponseBody) -> Response<ResponseBody> {
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
     let mut response = Response::new(body);
--- a/crates/wingspur-edge/src/request_log.rs
+++ b/crates/wingspur-edge/src/request_log.rs
@@ -8,20 +8,20 @@
 use wingspur_protocol::ResultCode;
 use wingspur_state::{BundleVersion, ClientAccount, Pick, RequestFingerprint};
 
-use crate::admission::Admitted;
-use crate::given_up::GivenUp;
-use crate::in_force::ActiveRoute;
+use crate::active_bundle::ActiveRoute;
+use crate::admission::Principal;
+use crate::edge_state::EdgeState;
+use crate::error_response::RESULT_HEADER;
+use crate::in_flight_requests::InFlightGuard;
 use crate::metrics::Metrics;
-use crate::refusal::RESULT_HEADER;
-use crate::requests_out::Ticket;
-use crate::shared::Shared;
+use crate::request_error::RequestError;
 
 /// One request, from its head to its outcome.
 ///
 /// A request that is dropped without one was left by its caller, or its task panicked.
 pub struct RequestLog {
     metrics: Metrics,
-    ticket: Arc<Ticket>,
+    ticket: Arc<InFlightGuard>,
     id: String,
     began: Instant,
     routed: Option<Routed>,
@@ -39,11 +39,11 @@
 
 impl RequestLog {
     /// A request whose head has come.
-    pub fn begin(id: Option<&HeaderValue>, shared: &Shared, began: Instant) -> Self {
+    pub fn begin(id: Option<&HeaderValue>, shared: &EdgeState, began: Instant) -> Self {
         let id = id_text(id).to_owned();
         Self {
             metrics: shared.metrics.clone(),
-            ticket: shared.requests_out.enter(&id, began),
+            ticket: shared.in_flight.register(&id, began),
             id,
             began,
             routed: None,
@@ -69,12 +69,12 @@
     }
 
     /// Notes whom the request is counted for.
-    pub fn admitted(&mut self, admitted: &Admitted) {
+    pub fn admitted(&mut self, admitted: &Principal) {
         self.account = admitted.account.clone();
     }
 
     /// Notes what tells the request from any other.
-    pub fn recognised(&mut self, fingerprint: RequestFingerprint) {
+    pub fn set_fingerprint(&mut self, fingerprint: RequestFingerprint) {
         self.fingerprint = Some(fingerprint);
     }
 
@@ -84,23 +84,28 @@
     }
 
     /// The request's place among those that are not over.
-    pub fn ticket(&self) -> &Arc<Ticket> {
+    pub fn ticket(&self) -> &Arc<InFlightGuard> {
         &self.ticket
     }
 
     /// Tells that a server's answer is passed on; a long one may still break off.
-    pub fn passed_on<B>(mut self, response: &Response<B>) {
+    pub fn log_forwarded<B>(mut self, response: &Response<B>) {
         self.end("passed on", response.status(), None);
     }
 
     /// Tells that the box answers itself, or passes on the last server's failure.
-    pub fn given_up<B>(mut self, given_up: &GivenUp, response: &Response<B>) {
+    pub fn log_error<B>(mut self, given_up: &RequestError, response: &Response<B>) {
         let own = response.headers().contains_key(RESULT_HEADER);
         let outcome = if own { "refused" } else { "failure passed on" };
         self.end(outcome, response.status(), Some(given_up));
     }
 
-    fn end(&mut self, outcome: &str, status: StatusCode, given_up: Option<&GivenUp>) {
+    fn end(
+        &mut self,
+        outcome: &str,
+        status: StatusCode,
+        given_up: Option<&RequestError>,
+    ) {
         self.told = true;
         let took = wingspur_clock::since(self.began);
         let (route, service, class, version) = self.labels();
@@ -157,7 +162,7 @@
             true => "its task panicked",
             false => "its caller has gone",
         };
-        self.metrics.callers_gone.inc();
+        self.metrics.client_disconnects.inc();
         tracing::info!(
             id = self.id,
             fingerprint = self.fingerprint_text(),
@@ -183,7 +188,7 @@
         candidates = pick.candidates,
         drawn_among = pick.choice_set_size,
         in_flight = pick.in_flight,
-        failure_share = rounded(pick.failure_probability),
+        failure_share = round_for_log(pick.failure_probability),
         expected_ms = pick.expected_ms as u64,
         wait_ms = pick.wait_ms as u64,
         heard_ms = pick.last_report_age.map(|age| age.as_millis() as u64),
@@ -217,6 +222,6 @@
 }
 
 /// Three digits are enough for a share in a log line.
-pub fn rounded(share: f64) -> f64 {
+pub fn round_for_log(share: f64) -> f64 {
     (share * 1000.0).round() / 1000.0
 }
--- a/crates/wingspur-edge/src/resend_loans.rs
+++ b/crates/wingspur-edge/src/resend_leases.rs
@@ -13,20 +13,20 @@
 
 /// Who has room for resends, and which loans are under way.
 #[derive(Debug, Default)]
-pub struct ResendLoans {
+pub struct ResendLeases {
     rooms: HashMap<LinkId, HashMap<ServerKey, ResendBudgetUsage>>,
     /// This box's own questions, with who waits for each answer.
-    pub asked: HashMap<u32, async_channel::Sender<bool>>,
+    pub pending: HashMap<u32, async_channel::Sender<bool>>,
     /// Questions of other boxes that were passed on.
-    pub passed_on: HashMap<u32, PassedOn>,
+    pub forwarded: HashMap<u32, ForwardedRequest>,
     next_number: u32,
     /// What was told last, and when it was put together.
-    pub told: Option<(Instant, ToldRooms)>,
+    pub last_report: Option<(Instant, ResendBudgetReports)>,
 }
 
 /// A question that was passed on to a box with room.
 #[derive(Debug)]
-pub struct PassedOn {
+pub struct ForwardedRequest {
     /// Who asked.
     pub from: LinkId,
     /// The number of its question.
@@ -37,16 +37,16 @@
 
 /// How the retry budgets stand, as it is told to other boxes.
 #[derive(Debug, Clone, Default)]
-pub struct ToldRooms {
+pub struct ResendBudgetReports {
     /// At this box.
     pub own: Vec<ResendBudgetUsage>,
     /// Over this box and its members.
-    pub sums: Vec<ResendBudgetUsage>,
+    pub aggregate: Vec<ResendBudgetUsage>,
 }
 
 /// Whom a box may ask.
 #[derive(Debug, Default)]
-pub struct Lenders {
+pub struct LeaseSources {
     /// The hub that this box reports to.
     pub own_hub: Option<LinkId>,
     /// The boxes that report to this one.
@@ -55,9 +55,9 @@
     pub other_hubs: Vec<LinkId>,
 }
 
-impl ResendLoans {
+impl ResendLeases {
     /// Takes in how the budgets stand at the other side of a link.
-    pub fn receive(&mut self, link: LinkId, rooms: &[ResendBudgetUsage]) {
+    pub fn record_report(&mut self, link: LinkId, rooms: &[ResendBudgetUsage]) {
         if !rooms.is_empty() {
             let rooms = rooms.iter().map(|room| (room.service, *room));
             self.rooms.insert(link, rooms.collect());
@@ -76,7 +76,7 @@
     }
 
     /// How the budgets stand at this box and some others together.
-    pub fn sums(
+    pub fn aggregate_with(
         &self,
         own: &[ResendBudgetUsage],
         members: &[LinkId],
@@ -96,13 +96,13 @@
 
     /// Whom to ask for a resend: the member with the most room, or else the hub of another
     /// data centre with it, which asks its own members. None where nobody has room.
-    pub fn choose(
+    pub fn choose_lender(
         &mut self,
-        lenders: &Lenders,
+        lenders: &LeaseSources,
         of: LeasedResource,
         asker: Option<LinkId>,
     ) -> Option<LinkId> {
-        let (service, use_) = resend_of(of)?;
+        let (service, use_) = resend_kind(of)?;
         let from_hub = asker.is_some_and(|link| lenders.other_hubs.contains(&link));
         let here = self.with_most_room(&lenders.members, service, use_, asker);
         let chosen = match here {
@@ -136,14 +136,14 @@
     }
 
     /// The number of the next question.
-    pub fn number(&mut self) -> u32 {
+    pub fn next_request_number(&mut self) -> u32 {
         self.next_number = self.next_number.wrapping_add(1);
         self.next_number
     }
 }
 
 /// The service that a resend is for, and how sure it is; none for what is no resend.
-pub fn resend_of(of: LeasedResource) -> Option<(ServerKey, ResendKind)> {
+pub fn resend_kind(of: LeasedResource) -> Option<(ServerKey, ResendKind)> {
     match of {
         LeasedResource::Resend(service) => Some((service, ResendKind::AfterFailure)),
         LeasedResource::Hedge(service) => Some((service, ResendKind::Hedge)),
--- a/crates/wingspur-edge/src/taken_resends.rs
+++ b/crates/wingspur-edge/src/resend_reservation.rs
@@ -7,7 +7,7 @@
 use crate::services::ServiceState;
 
 /// What a request has taken from the retry budget; counts as arrived when it is dropped.
-pub struct TakenResends {
+pub struct ResendReservation {
     service: Arc<ServiceState>,
     /// Of this box's own part.
     count: u32,
@@ -20,9 +20,9 @@
     pub answered: u32,
 }
 
-impl TakenResends {
+impl ResendReservation {
     /// Nothing taken yet.
-    pub fn none(service: Arc<ServiceState>) -> Self {
+    pub fn new(service: Arc<ServiceState>) -> Self {
         Self {
             service,
             count: 0,
@@ -34,7 +34,7 @@
     }
 
     /// Takes one more of this box's own part, if that has room.
-    pub fn take(
+    pub fn try_reserve(
         &mut self,
         use_: ResendKind,
         standing: FleetMembership,
@@ -47,14 +47,14 @@
     }
 
     /// Notes that another box has lent one.
-    pub fn note_borrowed(&mut self) {
+    pub fn record_borrowed(&mut self) {
         self.borrowed += 1;
         self.last_is_borrowed = true;
     }
 
     /// Gives back what was taken for attempts that were not sent: the first needs none. What
     /// was borrowed ends by itself.
-    pub fn give_back_unsent(&mut self) {
+    pub fn release_unsent(&mut self) {
         let taken = self.count + self.borrowed;
         let unused = taken.saturating_sub(self.sent.saturating_sub(1));
         if unused == 0 {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for TakenResends {
+impl Drop for ResendReservation {
     fn drop(&mut self) {
         let mut budget = self.service.budget.lock();
         let unanswered = self.sent.saturating_sub(self.answered);
--- a/crates/wingspur-edge/src/answer_body.rs
+++ b/crates/wingspur-edge/src/response_body.rs
@@ -10,12 +10,12 @@
 use wingspur_transport::{BackendConnection, BodyError, poll_buffered};
 
 use crate::attempt::AttemptGuard;
-use crate::requests_out::Ticket;
+use crate::in_flight_requests::InFlightGuard;
 
 /// The body of any answer to a caller.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it is here.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// It is still coming from the server.
     Stream(StreamBody),
 }
@@ -26,7 +26,7 @@
     /// The length, where the head told it.
     length: Option<u64>,
     /// The request is not over before its answer is.
-    _ticket: Arc<Ticket>,
+    _ticket: Arc<InFlightGuard>,
 }
 
 impl StreamBody {
@@ -36,7 +36,7 @@
         connection: BackendConnection,
         guard: Box<AttemptGuard>,
         length: Option<u64>,
-        ticket: Arc<Ticket>,
+        ticket: Arc<InFlightGuard>,
     ) -> Self {
         ticket.answering();
         let state = (first.into_iter(), Some((connection, guard)));
@@ -49,18 +49,18 @@
                 match connection.next_chunk().await {
                     // The listener does not ask again after the last byte of a known length.
                     Ok(Some(piece)) if connection.is_read() => {
-                        guard.close_good(connection);
+                        guard.complete(connection);
                         Some((Ok(piece), (first, None)))
                     }
                     Ok(Some(piece)) => {
                         Some((Ok(piece), (first, Some((connection, guard)))))
                     }
                     Ok(None) => {
-                        guard.close_good(connection);
+                        guard.complete(connection);
                         None
                     }
                     Err(error) => {
-                        guard.close_failed(&error);
+                        guard.fail(&error);
                         Some((Err(BodyError::Stalled), (first, None)))
                     }
                 }
@@ -73,7 +73,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -82,7 +82,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(body) => poll_buffered(body, context),
+            Self::Buffered(body) => poll_buffered(body, context),
             Self::Stream(body) => {
                 let polled = body.pieces.as_mut().poll_next(context);
                 polled.map(|piece| piece.map(|piece| piece.map(Frame::data)))
@@ -92,14 +92,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Stream(body) => body
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -12,21 +12,21 @@
 };
 use wingspur_transport::ResponseHead;
 
-use crate::lending::want;
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
+use crate::quota_leases::acquire_quota;
 
 /// Takes in what the head of an answer says of the server that was asked, whatever becomes
 /// of the answer.
 ///
 /// All heads of servers' answers come by here, so that no path of a request can miss a word.
 pub fn observe_response(
-    shared: &Shared,
+    shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
     head: &ResponseHead,
 ) -> ServerHints {
     let now = wingspur_clock::now();
-    let hints = head.hints(&shared.names, SystemTime::now());
+    let hints = head.hints(&shared.header_names, SystemTime::now());
     if hints.is_other_instance {
         // What it says of itself is not of the run that was asked.
         receive_replaced(shared, id, server);
@@ -46,15 +46,18 @@
 }
 
 /// Stops sending to a run whose address is another's now.
-fn receive_replaced(shared: &Shared, id: &str, server: &ServerRecord) {
-    shared.standings.lock().receive_replaced(server.key());
+fn receive_replaced(shared: &EdgeState, id: &str, server: &ServerRecord) {
+    shared
+        .announced_states
+        .lock()
+        .receive_replaced(server.key());
     adopt(shared, server.key());
     shared.metrics.count_server_hint("replaced");
     tracing::warn!(id, server = %server.id, address = %server.address, "server: its address is another's now.");
 }
 
 fn note_unreadable(
-    shared: &Shared,
+    shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
     hints: &ServerHints,
@@ -76,12 +79,12 @@
 }
 
 fn receive_limit(
-    shared: &Shared,
+    shared: &EdgeState,
     server: &ServerRecord,
     per_s: Option<f64>,
     at: Instant,
 ) {
-    let mut standings = shared.standings.lock();
+    let mut standings = shared.announced_states.lock();
     let change = standings.limits.receive_answer(server.key(), per_s, at);
     drop(standings);
     if let Some(change) = change {
@@ -89,22 +92,25 @@
     }
 }
 
-fn receive_leaving(shared: &Shared, id: &str, server: &ServerRecord, now: Instant) {
-    let is_new = shared.standings.lock().record_draining(server.key(), now);
+fn receive_leaving(shared: &EdgeState, id: &str, server: &ServerRecord, now: Instant) {
+    let is_new = shared
+        .announced_states
+        .lock()
+        .record_draining(server.key(), now);
     if is_new {
         apply_leaving(shared, id, server.key(), now, None);
     }
 }
 
 fn receive_backoff(
-    shared: &Shared,
+    shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
     rest: Duration,
     now: Instant,
 ) {
     let is_new = shared
-        .standings
+        .announced_states
         .lock()
         .receive_backoff(server.key(), now + rest);
     if is_new {
@@ -121,12 +127,16 @@
 }
 
 /// Takes in what another box tells of servers' limits.
-pub fn take_limits(shared: &Shared, link: LinkId, notes: &[ServerLimitUpdate]) {
+pub fn handle_limit_updates(
+    shared: &EdgeState,
+    link: LinkId,
+    notes: &[ServerLimitUpdate],
+) {
     let now = wingspur_clock::now();
     for note in notes {
         let age = Duration::from_millis(note.age_ms.into());
-        let told = shared.links.lock().told_between(link, age, now);
-        let mut standings = shared.standings.lock();
+        let told = shared.links.lock().observation_window(link, age, now);
+        let mut standings = shared.announced_states.lock();
         let change = standings
             .limits
             .receive_updates(note.server, note.per_s, told);
@@ -138,13 +148,17 @@
 }
 
 /// Takes in that other boxes have heard servers say that they leave.
-pub fn take_leaving(shared: &Shared, link: LinkId, notes: &[ServerDrainingUpdate]) {
+pub fn handle_leaving_updates(
+    shared: &EdgeState,
+    link: LinkId,
+    notes: &[ServerDrainingUpdate],
+) {
     let now = wingspur_clock::now();
     for note in notes {
         let age = Duration::from_millis(note.age_ms.into());
-        let (earliest, _) = shared.links.lock().told_between(link, age, now);
+        let (earliest, _) = shared.links.lock().observation_window(link, age, now);
         let is_new = shared
-            .standings
+            .announced_states
             .lock()
             .record_draining(note.server, earliest);
         if is_new {
@@ -155,9 +169,9 @@
 
 /// Notes what the catalog says of servers before their services follow it: what they have
 /// said stands for as long as their run does, also while it is not announced.
-pub fn note_announced(shared: &Shared, changes: &[RegistryChange]) {
+pub fn record_announcements(shared: &EdgeState, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
-    let mut standings = shared.standings.lock();
+    let mut standings = shared.announced_states.lock();
     let mut note_put = |record: &ServerRecord| {
         standings.announce(record.key());
         if record.leaving {
@@ -182,25 +196,25 @@
 }
 
 /// Lets this box's picks go by how a server stands now; the server, if it is announced.
-fn adopt(shared: &Shared, server: ServerKey) -> Option<Arc<ServerRecord>> {
+fn adopt(shared: &EdgeState, server: ServerKey) -> Option<Arc<ServerRecord>> {
     let service = shared.services.of_server(server)?;
     let mut balancer = service.balancer.lock();
-    let standing = shared.standings.lock().state(server);
+    let standing = shared.announced_states.lock().state(server);
     balancer.set_announced_state(server, standing);
     balancer.record(server).cloned()
 }
 
 /// Lets this box's picks go by a server that leaves, and tells the others.
 fn apply_leaving(
-    shared: &Shared,
+    shared: &EdgeState,
     id: &str,
     key: ServerKey,
     since: Instant,
     from: Option<LinkId>,
 ) {
     let record = adopt(shared, key);
-    shared.links.lock().spread_leaving(key, since, from);
-    shared.updates.notify();
+    shared.links.lock().broadcast_leaving(key, since, from);
+    shared.pending_updates.notify();
     shared.metrics.count_server_hint("leaving");
     tracing::info!(
         id,
@@ -214,14 +228,14 @@
 
 /// Lets this box's picks go by a changed limit, and tells the others.
 fn apply(
-    shared: &Shared,
+    shared: &EdgeState,
     change: &ServerLimitChange,
     source: &str,
     from: Option<LinkId>,
 ) {
     let record = adopt(shared, change.server);
-    shared.links.lock().spread_limit(change, from);
-    shared.updates.notify();
+    shared.links.lock().broadcast_limit(change, from);
+    shared.pending_updates.notify();
     let outcome = match (change.before, change.per_s) {
         (_, None) => "ended",
         (None, Some(_)) => "named",
@@ -241,15 +255,15 @@
 
 /// Asks for a place at a server that takes so many requests only; none where it has none left,
 /// with when there should be one, if that is known.
-pub async fn take_place(
-    shared: &Shared,
+pub async fn acquire_server_quota(
+    shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
     rank: Priority,
 ) -> Result<(), Option<Duration>> {
     let began = wingspur_clock::now();
     let of = LeasedResource::Server(server.key());
-    let outcome = want(shared, of, reserve_of(rank), PLACE_PATIENCE).await;
+    let outcome = acquire_quota(shared, of, reserve_of(rank), PLACE_PATIENCE).await;
     let (told, more_in) = match outcome {
         AcquireOutcome::Acquired => ("place taken", None),
         AcquireOutcome::Refused(more_in) => ("no place", Some(more_in)),
@@ -275,12 +289,12 @@
 /// The share of the room beyond one place that a request leaves to more urgent ones: places
 /// that come while there are none to spare go to those first, whoever asked before.
 fn reserve_of(rank: Priority) -> ReserveShare {
-    f32::from(rank.min(RANKS_APART)) * RESERVE_PER_RANK
+    f32::from(rank.min(MAX_PRIORITY_LEVEL)) * RESERVE_PER_RANK
 }
 
 /// The holder of a server's limit answers within some milliseconds; meanwhile a request could
 /// go elsewhere.
 const PLACE_PATIENCE: Duration = Duration::from_millis(40);
 /// Ranks beyond this count as this one.
-pub const RANKS_APART: Priority = 3;
+pub const MAX_PRIORITY_LEVEL: Priority = 3;
 const RESERVE_PER_RANK: f32 = 0.25;
--- a/crates/wingspur-edge/src/services.rs
+++ b/crates/wingspur-edge/src/services.rs
@@ -12,7 +12,7 @@
 };
 use wingspur_transport::BackendConnections;
 
-use crate::locks::{Rank, Ranked};
+use crate::locks::{LockRank, RankedMutex};
 
 /// One service as this box sees it; outlives the bundles that name it.
 #[derive(Debug)]
@@ -20,11 +20,11 @@
     /// The name.
     pub name: String,
     /// Its backend servers.
-    pub balancer: Ranked<Balancer>,
+    pub balancer: RankedMutex<Balancer>,
     /// Its retry budget.
-    pub budget: Ranked<FleetRetryBudget>,
+    pub budget: RankedMutex<FleetRetryBudget>,
     /// What refused callers were promised.
-    pub returns: Ranked<RetryAfterSchedule>,
+    pub retry_after_queue: RankedMutex<RetryAfterSchedule>,
 }
 
 /// All services, and the connections to their servers.
@@ -32,13 +32,13 @@
 pub struct Services {
     home: DataCentreId,
     regions: Arc<Regions>,
-    budget: Ranked<RetryBudgetSettings>,
-    by_name: Ranked<HashMap<String, Arc<ServiceState>>>,
+    budget: RankedMutex<RetryBudgetSettings>,
+    by_name: RankedMutex<HashMap<String, Arc<ServiceState>>>,
     /// The service of each announced server.
-    by_server: Ranked<HashMap<ServerKey, Arc<ServiceState>>>,
-    backends: Ranked<HashMap<SocketAddr, Arc<BackendConnections>>>,
+    by_server: RankedMutex<HashMap<ServerKey, Arc<ServiceState>>>,
+    backends: RankedMutex<HashMap<SocketAddr, Arc<BackendConnections>>>,
     /// The data centres whose servers get nothing more.
-    evacuated: Ranked<Arc<BTreeSet<DataCentreId>>>,
+    evacuated: RankedMutex<Arc<BTreeSet<DataCentreId>>>,
 }
 
 impl Services {
@@ -51,11 +51,11 @@
         Self {
             home,
             regions: Arc::new(regions),
-            budget: Ranked::new(Rank::BudgetSettings, budget),
-            by_name: Ranked::new(Rank::Services, HashMap::new()),
-            by_server: Ranked::new(Rank::ServersByKey, HashMap::new()),
-            backends: Ranked::new(Rank::Backends, HashMap::new()),
-            evacuated: Ranked::new(Rank::Evacuated, Arc::default()),
+            budget: RankedMutex::new(LockRank::BudgetSettings, budget),
+            by_name: RankedMutex::new(LockRank::Services, HashMap::new()),
+            by_server: RankedMutex::new(LockRank::ServersByKey, HashMap::new()),
+            backends: RankedMutex::new(LockRank::Backends, HashMap::new()),
+            evacuated: RankedMutex::new(LockRank::Evacuated, Arc::default()),
         }
     }
 
@@ -71,9 +71,12 @@
         balancer.set_evacuated(self.evacuated());
         let service = Arc::new(ServiceState {
             name: name.to_owned(),
-            balancer: Ranked::new(Rank::Balancer, balancer),
-            budget: Ranked::new(Rank::Budget, FleetRetryBudget::new(budget)),
-            returns: Ranked::new(Rank::Returns, RetryAfterSchedule::default()),
+            balancer: RankedMutex::new(LockRank::Balancer, balancer),
+            budget: RankedMutex::new(LockRank::Budget, FleetRetryBudget::new(budget)),
+            retry_after_queue: RankedMutex::new(
+                LockRank::Returns,
+                RetryAfterSchedule::default(),
+            ),
         });
         services.insert(name.to_owned(), service.clone());
         service
@@ -132,10 +135,10 @@
     }
 
     /// Takes in what became of servers, each with how it stands by what it has said.
-    pub fn follow(
+    pub fn apply_directory_changes(
         &self,
         changes: &[RegistryChange],
-        standings: &Ranked<AnnouncedStates>,
+        standings: &RankedMutex<AnnouncedStates>,
     ) {
         let now = wingspur_clock::now();
         let put = |record: &ServerRecord| {
@@ -168,7 +171,7 @@
     }
 
     /// Divides each service's connections and budget among the boxes.
-    pub fn share(&self, bundle: &Bundle, division: FleetSize) {
+    pub fn apply_fleet_shares(&self, bundle: &Bundle, division: FleetSize) {
         for declared in &bundle.services {
             let service = self.get(&declared.name);
             let mut balancer = service.balancer.lock();
--- a/crates/wingspur-edge/src/settings.rs
+++ b/crates/wingspur-edge/src/settings.rs
@@ -218,7 +218,7 @@
     }
 
     /// Fields that differ and that only a restart can change.
-    pub fn fixed_differences(&self, other: &Self) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, other: &Self) -> Vec<&'static str> {
         let store = |settings: &Self| settings.catalog.as_ref().map(|c| c.store_address);
         let pairs = [
             ("box_id", self.box_id != other.box_id),
@@ -252,7 +252,7 @@
     }
 
     /// How much of that is for writing the answers to requests that were not over by then.
-    pub fn last_answers(&self) -> Duration {
+    pub fn final_response_time(&self) -> Duration {
         LAST_ANSWERS.min(self.drain_limit() / 2)
     }
 
--- a/crates/wingspur-edge/src/stopping.rs
+++ b/crates/wingspur-edge/src/shutdown.rs
@@ -10,13 +10,13 @@
 
 /// Whether the box is stopping, and by when all requests must have their answers.
 #[derive(Debug)]
-pub struct Stopping {
+pub struct Shutdown {
     answer_by: OnceLock<Instant>,
     trigger: StopTrigger,
     signal: StopSignal,
 }
 
-impl Stopping {
+impl Shutdown {
     /// A box that nobody has told to stop.
     pub fn new() -> Self {
         let (trigger, signal) = stop_pair();
@@ -41,7 +41,7 @@
 
     /// When a request is given up that would otherwise be given up at `limit`: servers are
     /// told no more time than the box will be there to pass their answers on.
-    pub fn limit(&self, limit: Instant) -> Instant {
+    pub fn cap_deadline(&self, limit: Instant) -> Instant {
         let answer_by = self.answer_by.get();
         answer_by.map_or(limit, |answer_by| limit.min(*answer_by))
     }
@@ -52,12 +52,12 @@
     }
 
     /// Returns once all requests are to end.
-    pub async fn out_of_time(&self) {
+    pub async fn drain_expired(&self) {
         self.signal.wait().await;
     }
 }
 
-impl Default for Stopping {
+impl Default for Shutdown {
     fn default() -> Self {
         Self::new()
     }
@@ -67,7 +67,7 @@
 /// long moves the end: that is half a second before the platform kills, and the ports that are
 /// closed after it take 0.2 s.
 #[derive(Debug, Clone, Copy)]
-pub struct StopPlan {
+pub struct ShutdownSchedule {
     /// Until then callers are accepted.
     pub accept_until: Instant,
     /// Then all requests that are not over are answered as they stand.
@@ -76,14 +76,14 @@
     pub end: Instant,
 }
 
-impl StopPlan {
+impl ShutdownSchedule {
     /// The plan of a stop that the box was told of just now.
     pub fn new(settings: &Settings, told: Instant) -> Self {
         let accept_until = told + settings.balancer_lag();
         let end = accept_until + settings.drain_limit();
         Self {
             accept_until,
-            answer_by: end - settings.last_answers(),
+            answer_by: end - settings.final_response_time(),
             end,
         }
     }
@@ -102,7 +102,7 @@
 }
 
 /// What a caller is told when the box ends before its request is over.
-pub fn out_of_time(sent: bool) -> ResultCode {
+pub fn shutdown_result(sent: bool) -> ResultCode {
     match sent {
         true => ResultCode::DeadlineAfterSend,
         false => ResultCode::DeadlineBeforeSend,
--- a/crates/wingspur-edge/src/store_calls.rs
+++ b/crates/wingspur-edge/src/store_calls.rs
@@ -6,13 +6,13 @@
 use wingspur_state::StoreEra;
 use wingspur_transport::{CatalogError, CatalogFuture, ReportedEra};
 
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
 
 /// Awaits a call of the store, and takes in the era that its answer names.
 ///
 /// An answer of an era that is over is an error, however late it comes.
 pub async fn call_store<T>(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     kind: &'static str,
     call: CatalogFuture<T>,
 ) -> Result<T, CatalogError> {
@@ -22,7 +22,7 @@
     if answer.outcome.is_ok() {
         shared
             .metrics
-            .time_store(kind, wingspur_clock::since(began));
+            .observe_store_latency(kind, wingspur_clock::since(began));
     }
     check_era(shared, kind, &answer.era)?;
     answer.outcome
@@ -31,14 +31,14 @@
 /// Takes in what an answer of the store says of its era; an error where the answer cannot be
 /// of the store's present history.
 fn check_era(
-    shared: &Arc<Shared>,
+    shared: &Arc<EdgeState>,
     kind: &'static str,
     reading: &ReportedEra,
 ) -> Result<(), CatalogError> {
-    let known = shared.links.lock().feed().era();
+    let known = shared.links.lock().watch_state().era();
     let outcome = match reading {
         ReportedEra::NoAnswer => return Ok(()),
-        ReportedEra::Named(era) => match observe_era(shared, *era, kind) {
+        ReportedEra::Named(era) => match handle_store_era(shared, *era, kind) {
             EraChange::Older => {
                 shared.metrics.count_era("older");
                 tracing::info!(era, known, kind, "store: an answer of an older era.");
@@ -67,8 +67,12 @@
 ///
 /// Every era comes by here. When the store has been restored, what was held in the era
 /// before by a lease or a revision is given up, and a listing is due.
-pub fn observe_era(shared: &Arc<Shared>, era: StoreEra, source: &str) -> EraChange {
-    let change = shared.links.lock().feed().note_era(era);
+pub fn handle_store_era(
+    shared: &Arc<EdgeState>,
+    era: StoreEra,
+    source: &str,
+) -> EraChange {
+    let change = shared.links.lock().watch_state().note_era(era);
     match change {
         EraChange::Same | EraChange::Older => {}
         EraChange::First => {
@@ -92,7 +96,7 @@
             );
             shared.store_restored.notify();
             shared.announcement_due.notify();
-            shared.updates.notify();
+            shared.pending_updates.notify();
         }
     }
     change
--- a/crates/wingspur-edge/src/suspects.rs
+++ b/crates/wingspur-edge/src/suspect_requests.rs
@@ -10,11 +10,11 @@
 };
 use wingspur_transport::{BackendConnections, ConnectError};
 
-use crate::quarantine::{is_quarantined, open_quarantine};
-use crate::shared::Shared;
+use crate::edge_state::EdgeState;
+use crate::quarantine::{is_quarantined, store_quarantine};
 
 /// An attempt that broke off before its answer was whole.
-pub struct BrokenOff {
+pub struct InterruptedAttempt {
     /// The request.
     pub request: RequestFingerprint,
     /// The server.
@@ -25,7 +25,10 @@
 
 /// Finds out whether the server has ended under an attempt that broke off there: nobody
 /// listens at its address any more, or its entry goes within some seconds.
-pub async fn note_broken_off(shared: &Arc<Shared>, broken: &BrokenOff) {
+pub async fn check_for_server_crash(
+    shared: &Arc<EdgeState>,
+    broken: &InterruptedAttempt,
+) {
     let (request, server) = (broken.request, broken.server.key());
     let at = wingspur_clock::now();
     let checked = broken.backend.check(CHECK_TIMEOUT).await;
@@ -42,7 +45,7 @@
     );
     if !has_ended {
         return shared
-            .suspects
+            .suspect_requests
             .lock()
             .record_broken_attempt(request, server, at);
     }
@@ -52,9 +55,13 @@
 
 /// Notes that a request was answered whole, which clears it where servers have ended under
 /// it.
-pub fn note_answered(shared: &Arc<Shared>, request: RequestFingerprint) {
+pub fn record_completed(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     let at = wingspur_clock::now();
-    if !shared.suspects.lock().record_complete_answer(request, at) {
+    if !shared
+        .suspect_requests
+        .lock()
+        .record_complete_answer(request, at)
+    {
         return;
     }
     let seen = SuspectEvent::AnsweredWhole;
@@ -63,7 +70,7 @@
 
 /// Takes in which servers have ended, as the catalog tells: what was out there, or broke off
 /// there a moment ago, was out when they did.
-pub fn note_gone(shared: &Arc<Shared>, changes: &[RegistryChange]) {
+pub fn record_server_crashes(shared: &Arc<EdgeState>, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
     for change in changes {
         let ended = match change {
@@ -75,8 +82,11 @@
             continue;
         }
         let server = ended.key();
-        let mut updates = shared.suspects.lock().take_broken_attempts(server, now);
-        let out = shared.requests_out.sent_to(&ended.id);
+        let mut updates = shared
+            .suspect_requests
+            .lock()
+            .take_broken_attempts(server, now);
+        let out = shared.in_flight.sent_to(&ended.id);
         updates.extend(out.into_iter().map(|request| SuspectUpdate {
             request,
             seen: SuspectEvent::ServerEnded(server),
@@ -89,58 +99,62 @@
 }
 
 /// Takes in what another box tells, and passes on what was news here.
-pub fn take_notes(shared: &Arc<Shared>, link: LinkId, notes: &[SuspectMessage]) {
+pub fn handle_suspect_updates(
+    shared: &Arc<EdgeState>,
+    link: LinkId,
+    notes: &[SuspectMessage],
+) {
     let now = wingspur_clock::now();
     for note in notes {
         let updates = note.to_update(now);
         let was_quarantined = is_quarantined(shared, updates.request);
-        if !shared.suspects.lock().apply_update(&updates, now) {
+        if !shared.suspect_requests.lock().apply_update(&updates, now) {
             continue;
         }
         if is_quarantined(shared, updates.request) != was_quarantined {
             // Who has seen it tells of each: this box tells what it changes here.
             log_update(shared, &updates, "peer");
         }
-        let is_members = shared.links.lock().spread_suspect(&updates, Some(link));
-        shared.updates.notify();
+        let is_members = shared.links.lock().broadcast_suspect(&updates, Some(link));
+        shared.pending_updates.notify();
         if is_members {
-            open_quarantine(shared, updates.request);
+            store_quarantine(shared, updates.request);
         }
         vouch_soon(shared, updates.request);
     }
 }
 
 /// What a box that has just linked with this one should hear.
-pub fn greeting_notes(shared: &Shared) -> Vec<SuspectUpdate> {
+pub fn initial_suspect_updates(shared: &EdgeState) -> Vec<SuspectUpdate> {
     shared
-        .suspects
+        .suspect_requests
         .lock()
         .initial_updates(wingspur_clock::now())
 }
 
 /// Takes in what this box has seen, and tells the others without delay.
-fn take_in_own(shared: &Arc<Shared>, updates: SuspectUpdate) {
+fn take_in_own(shared: &Arc<EdgeState>, updates: SuspectUpdate) {
     let now = wingspur_clock::now();
-    if !shared.suspects.lock().apply_update(&updates, now) {
+    if !shared.suspect_requests.lock().apply_update(&updates, now) {
         return;
     }
     shared.metrics.count_suspect(updates.seen);
     log_update(shared, &updates, "own");
     let mut links = shared.links.lock();
-    links.spread_suspect(&updates, None);
-    links.note_urgent();
+    links.broadcast_suspect(&updates, None);
+    links.mark_urgent();
     drop(links);
-    shared.alarm.notify();
-    shared.updates.notify();
-    open_quarantine(shared, updates.request);
+    shared.urgent_updates.notify();
+    shared.pending_updates.notify();
+    store_quarantine(shared, updates.request);
     vouch_soon(shared, updates.request);
 }
 
 /// Tells the others that this box has answered a request in quarantine a moment before, at
 /// some time in the next moments: where many boxes could, the first ones spare the rest.
-fn vouch_soon(shared: &Arc<Shared>, request: RequestFingerprint) {
+fn vouch_soon(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     let due = shared
-        .suspects
+        .suspect_requests
         .lock()
         .answered_before(request, wingspur_clock::now());
     if due.is_none() {
@@ -151,7 +165,7 @@
     spawner.detach(async move {
         wingspur_clock::sleep(VOUCH_WITHIN.mul_f64(rand::random())).await;
         let answered = shared
-            .suspects
+            .suspect_requests
             .lock()
             .answered_before(request, wingspur_clock::now());
         let Some(at) = answered else { return };
@@ -160,9 +174,9 @@
     });
 }
 
-fn log_update(shared: &Shared, updates: &SuspectUpdate, source: &str) {
+fn log_update(shared: &EdgeState, updates: &SuspectUpdate, source: &str) {
     let now = wingspur_clock::now();
-    let suspects = shared.suspects.lock();
+    let suspects = shared.suspect_requests.lock();
     let endings = suspects.endings(updates.request, now);
     let is_quarantined = suspects.is_quarantined(updates.request, now);
     let known = suspects.len();
--- a/crates/wingspur-entry/src/entry_box.rs
+++ b/crates/wingspur-entry/src/entry_box.rs
@@ -7,7 +7,7 @@
 
 use smol::net::TcpListener;
 use wingspur_coordination::MembershipSettings;
-use wingspur_edge::{Metrics, Settings, StopPlan};
+use wingspur_edge::{Metrics, Settings, ShutdownSchedule};
 use wingspur_transport::{
     FaultInjector, HttpListener, ListenerOptions, Spawner, StopTrigger, TlsError,
     TlsFiles, TlsIdentity, stop_pair,
@@ -162,7 +162,7 @@
 
     /// Stops as planned: no new callers, all requests in flight to their end.
     pub async fn close(mut self) -> StopReport {
-        let plan = StopPlan::new(&self.shared.settings, wingspur_clock::now());
+        let plan = ShutdownSchedule::new(&self.shared.settings, wingspur_clock::now());
         plan.log();
         self.shared.stopping.begin(plan.answer_by);
         beat(&self.shared);
--- a/crates/wingspur-entry/src/in_force.rs
+++ b/crates/wingspur-entry/src/in_force.rs
@@ -12,7 +12,7 @@
 use wingspur_transport::{BackendPool, Spawner};
 
 use crate::concern::Concern;
-use wingspur_edge::{Rank, Ranked};
+use wingspur_edge::{LockRank, RankedMutex};
 
 /// A bundle in force; swapped whole for the next one.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     /// The service as the bundle declares it.
     pub service: Arc<Service>,
     /// Its table.
-    pub table: Ranked<ServiceTable>,
+    pub table: RankedMutex<ServiceTable>,
     /// The connections to each server.
     pub pools: Vec<Arc<BackendPool>>,
     concerns: HashMap<RouteClass, Concern>,
@@ -121,7 +121,7 @@
         let classes = [RouteClass::Read, RouteClass::OnceOnly, RouteClass::Download];
         let concerns = classes.map(|class| (class, Concern::new(&service.limits)));
         Self {
-            table: Ranked::new(Rank::ServiceTable, table),
+            table: RankedMutex::new(LockRank::ServiceTable, table),
             pools,
             concerns: concerns.into(),
             service,
--- a/crates/wingspur-entry/src/operator.rs
+++ b/crates/wingspur-entry/src/operator.rs
@@ -5,7 +5,7 @@
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response};
-use wingspur_edge::OperatorPages;
+use wingspur_edge::OperatorEndpoint;
 use wingspur_protocol::BoxStatus;
 use wingspur_state::EjectionState;
 
@@ -16,7 +16,7 @@
     shared: Arc<Shared>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let pages = OperatorPages {
+    let pages = OperatorEndpoint {
         is_ready: shared.is_ready(),
         metrics: || {
             shared.metrics.set_exchanges("peers", shared.peers.totals());
