--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -25,7 +25,7 @@
 use crate::in_force::ServiceHandle;
 use crate::relay::{AnswerBody, AttemptGuard, CutRule, RelayBody};
 use crate::shared::Shared;
-use wingspur_edge::{check_framing, out_of_time, refusal, strip_hop_by_hop};
+use wingspur_edge::{check_framing, error_response, shutdown_result, strip_hop_by_hop};
 
 /// Answers callers' requests.
 #[derive(Debug, Clone)]
@@ -98,15 +98,15 @@
         let sent = Arc::new(AtomicBool::new(false));
         let answering = self.try_answer(request, from, sent.clone());
         let stopped = async {
-            self.shared.stopping.out_of_time().await;
+            self.shared.stopping.drain_expired().await;
             // Whatever it waits for, it has its answer before the box ends.
-            Err(out_of_time(sent.load(Ordering::Acquire)))
+            Err(shutdown_result(sent.load(Ordering::Acquire)))
         };
         let mut response = match answering.or(stopped).await {
             Ok(response) => response,
             Err(code) => {
-                self.shared.metrics.refuse(code);
-                refusal(code, None).map(AnswerBody::own)
+                self.shared.metrics.count_refusal(code);
+                error_response(code, None).map(AnswerBody::own)
             }
         };
         if http1 && self.shared.stopping.has_begun() {
@@ -132,7 +132,10 @@
         let target = target.ok_or(ResultCode::MethodNotAllowed)?;
         let handle = bundle.services[target.service].clone();
         let route = &handle.service.routes[target.route];
-        let deadline = self.shared.stopping.limit(arrived + route.deadline());
+        let deadline = self
+            .shared
+            .stopping
+            .cap_deadline(arrived + route.deadline());
         let class = route.class;
         let labels = [handle.service.name.as_str(), class.as_str()];
         self.shared
@@ -337,12 +340,12 @@
             in_budget,
         ) {
             RetryDecision::Stop(reason) => {
-                self.shared.metrics.stop(reason);
+                self.shared.metrics.count_retry_stop(reason);
                 false
             }
             RetryDecision::Retry(reason) => {
                 budget.spend();
-                self.shared.metrics.retry(reason);
+                self.shared.metrics.count_retry(reason);
                 true
             }
         }
--- a/crates/wingspur-entry/src/shards.rs
+++ b/crates/wingspur-entry/src/shards.rs
@@ -7,7 +7,7 @@
 use wingspur_protocol::{ClaimReply, ClaimRequest, OutcomeReport};
 
 use wingspur_edge::Settings;
-use wingspur_edge::{Rank, Ranked};
+use wingspur_edge::{LockRank, RankedMutex};
 
 /// The once-only shards of a fleet, each with a log that is open where it is owned.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct ShardSeat {
     /// The log.
-    pub state: Ranked<SeatState>,
+    pub state: RankedMutex<SeatState>,
     wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
@@ -48,7 +48,7 @@
                 waiting: HashMap::new(),
                 next_ticket: 1,
             };
-            let state = Ranked::new(Rank::Shards, state);
+            let state = RankedMutex::new(LockRank::Shards, state);
             ShardSeat {
                 state,
                 wake: async_channel::bounded(1),
--- a/crates/wingspur-entry/src/shared.rs
+++ b/crates/wingspur-entry/src/shared.rs
@@ -12,7 +12,7 @@
 use wingspur_state::{AccountLimiter, BoxId};
 use wingspur_transport::{FaultInjector, HttpClient, Spawner, StoreClient, TlsIdentity};
 
-use wingspur_edge::{Metrics, OwnSources, Rank, Ranked, Settings, Stopping};
+use wingspur_edge::{LockRank, Metrics, OwnSources, RankedMutex, Settings, Shutdown};
 
 use crate::in_force::InForce;
 use crate::judges::Judges;
@@ -42,22 +42,22 @@
     /// The store's keys of this fleet.
     pub keys: StoreKeys,
     /// Who lives.
-    pub membership: Ranked<Membership>,
+    pub membership: RankedMutex<Membership>,
     /// The judges that this box holds.
-    pub judges: Ranked<Judges>,
+    pub judges: RankedMutex<Judges>,
     /// The once-only shards that this box holds.
     pub shards: Shards,
     /// The buckets of caller accounts.
-    pub accounts: Ranked<AccountLimiter>,
+    pub accounts: RankedMutex<AccountLimiter>,
     /// Drawn anew at each start: the time of the start in microseconds.
     pub incarnation: u64,
     /// Ends of once-only operations that no owner has taken yet.
     pub untold: AtomicUsize,
     /// Whether the box is stopping, and by when.
-    pub stopping: Stopping,
+    pub stopping: Shutdown,
     /// Whether the box has started up.
     pub started: AtomicBool,
-    in_force: Ranked<Option<Arc<InForce>>>,
+    in_force: RankedMutex<Option<Arc<InForce>>>,
     sequence: AtomicU64,
     fetching: AtomicU64,
 }
@@ -97,15 +97,15 @@
             store,
             keys: StoreKeys::new(&settings.fleet),
             metrics: Metrics::new(),
-            membership: Ranked::new(Rank::Membership, membership),
-            judges: Ranked::new(Rank::Judges, Judges::default()),
+            membership: RankedMutex::new(LockRank::Membership, membership),
+            judges: RankedMutex::new(LockRank::Judges, Judges::default()),
             shards: Shards::new(&settings, incarnation),
-            accounts: Ranked::new(Rank::Accounts, AccountLimiter::default()),
+            accounts: RankedMutex::new(LockRank::Accounts, AccountLimiter::default()),
             incarnation,
             untold: AtomicUsize::new(0),
-            stopping: Stopping::new(),
+            stopping: Shutdown::new(),
             started: AtomicBool::new(false),
-            in_force: Ranked::new(Rank::InForce, None),
+            in_force: RankedMutex::new(LockRank::InForce, None),
             sequence: AtomicU64::new(0),
             fetching: AtomicU64::new(0),
             settings,
--- a/tests/tests/words_table.rs
+++ b/tests/tests/words_table.rs
@@ -8,9 +8,9 @@
 const READERS: [&str; 8] = [
     "crates/wingspur-edge/src/admission.rs",
     "crates/wingspur-edge/src/attempt.rs",
-    "crates/wingspur-edge/src/heads.rs",
+    "crates/wingspur-edge/src/headers.rs",
     "crates/wingspur-edge/src/request.rs",
-    "crates/wingspur-transport/src/answer_head.rs",
+    "crates/wingspur-transport/src/response_head.rs",
     "crates/wingspur-transport/src/backend.rs",
     "crates/wingspur-transport/src/server_hints.rs",
     "platform/src/store.rs",
