--- a/crates/wingspur-bench/src/demo.rs
+++ b/crates/wingspur-bench/src/demo.rs
@@ -152,7 +152,7 @@
             .boxes
             .iter()
             .flatten()
-            .map(|running| running.servers_out())
+            .map(|running| running.restricted_servers())
             .collect();
         for name in out.iter().flatten() {
             if *name != sick_full || !stalled {
--- a/crates/wingspur-entry/src/in_force.rs
+++ b/crates/wingspur-entry/src/active_bundle.rs
@@ -11,12 +11,12 @@
 };
 use wingspur_transport::{BackendPool, Spawner};
 
-use crate::concern::Concern;
+use crate::concurrency_limiter::ConcurrencyLimiter;
 use wingspur_edge::{LockRank, RankedMutex};
 
 /// A bundle in force; swapped whole for the next one.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveBundle {
     /// The bundle as it was signed.
     pub signed: SignedBundle,
     /// Its manifest.
@@ -30,7 +30,7 @@
     /// The services, in the bundle's order.
     pub services: Vec<Arc<ServiceHandle>>,
     /// Since when it is in force.
-    pub since: Instant,
+    pub activated_at: Instant,
 }
 
 /// A service in force.
@@ -42,21 +42,21 @@
     pub table: RankedMutex<ServiceTable>,
     /// The connections to each server.
     pub pools: Vec<Arc<BackendPool>>,
-    concerns: HashMap<RouteClass, Concern>,
+    concerns: HashMap<RouteClass, ConcurrencyLimiter>,
 }
 
-impl InForce {
+impl ActiveBundle {
     /// Puts a checked bundle together; learns from the one before it.
     pub fn new(
         signed: SignedBundle,
         manifest: Manifest,
         parts: HashMap<String, Vec<u8>>,
         bundle: Bundle,
-        before: Option<&InForce>,
-        place: &Place<'_>,
+        before: Option<&ActiveBundle>,
+        place: &BoxContext<'_>,
     ) -> Result<Self, RouteConflict> {
         let routes = RouteTable::new(&bundle)?;
-        let mut pools = before.map(InForce::pools).unwrap_or_default();
+        let mut pools = before.map(ActiveBundle::pools).unwrap_or_default();
         let mut services = Vec::with_capacity(bundle.services.len());
         for (service, part) in bundle.services.into_iter().zip(&manifest.parts) {
             let tag = tag_of(&part.digest);
@@ -71,7 +71,7 @@
             account_header: bundle.account_header,
             routes,
             services,
-            since: wingspur_clock::now(),
+            activated_at: wingspur_clock::now(),
         })
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Finds the route of a request.
-    pub fn find(&self, method: &str, path: &str) -> Option<Option<RouteMatch>> {
+    pub fn match_route(&self, method: &str, path: &str) -> Option<Option<RouteMatch>> {
         self.routes.find(method, path)
     }
 
@@ -104,7 +104,7 @@
         tag: u64,
         old: Option<&Arc<ServiceHandle>>,
         pools: &mut HashMap<SocketAddr, Arc<BackendPool>>,
-        place: &Place<'_>,
+        place: &BoxContext<'_>,
     ) -> Self {
         let service = Arc::new(service);
         let mut table =
@@ -119,7 +119,8 @@
         };
         let pools = service.servers.iter().map(pool_of).collect();
         let classes = [RouteClass::Read, RouteClass::OnceOnly, RouteClass::Download];
-        let concerns = classes.map(|class| (class, Concern::new(&service.limits)));
+        let concerns =
+            classes.map(|class| (class, ConcurrencyLimiter::new(&service.limits)));
         Self {
             table: RankedMutex::new(LockRank::ServiceTable, table),
             pools,
@@ -129,14 +130,14 @@
     }
 
     /// The places of one class of work.
-    pub fn concern(&self, class: RouteClass) -> &Concern {
+    pub fn limiter(&self, class: RouteClass) -> &ConcurrencyLimiter {
         &self.concerns[&class]
     }
 }
 
 /// Where the box stands, and how many share the servers.
 #[derive(Debug, Clone, Copy)]
-pub struct Place<'a> {
+pub struct BoxContext<'a> {
     /// The box's data centre.
     pub data_centre: &'a str,
     /// Boxes in the list.
--- a/crates/wingspur-entry/src/bundles.rs
+++ b/crates/wingspur-entry/src/bundles.rs
@@ -15,8 +15,8 @@
     PublishError, StopSignal, StoreError, assemble_bundle, load_bundle, load_pointer,
 };
 
-use crate::in_force::{InForce, Place};
-use crate::shared::Shared;
+use crate::active_bundle::{ActiveBundle, BoxContext};
+use crate::entry_state::EntryState;
 
 /// Why a bundle was not put in force.
 #[derive(Debug, thiserror::Error)]
@@ -51,7 +51,7 @@
 }
 
 /// Fetches a version from a peer if it is newer and nobody has told of it just now.
-pub fn fetch_newer(shared: &Arc<Shared>, version: BundleVersion, peer: PeerView) {
+pub fn fetch_if_newer(shared: &Arc<EntryState>, version: BundleVersion, peer: PeerView) {
     if version <= shared.bundle_version() || !shared.begin_fetch(version) {
         return;
     }
@@ -64,7 +64,7 @@
 }
 
 /// Takes a peer's offer if it is newer, and spreads it on.
-async fn take_offer(shared: &Arc<Shared>, offer: BundleOffer, from: &PeerView) {
+async fn take_offer(shared: &Arc<EntryState>, offer: BundleOffer, from: &PeerView) {
     let taken = async {
         let manifest = accept_manifest(shared, &offer.signed)?;
         let parts = fetch_parts(shared, &manifest, from).await?;
@@ -74,9 +74,9 @@
 }
 
 /// Asks a peer that has a newer bundle for it.
-async fn fetch_from(shared: &Arc<Shared>, peer: &PeerView) {
+async fn fetch_from(shared: &Arc<EntryState>, peer: &PeerView) {
     let reply = shared
-        .ask(peer, PeerMessage::FetchBundle, FETCH_TIMEOUT)
+        .request_peer(peer, PeerMessage::FetchBundle, FETCH_TIMEOUT)
         .await;
     if let Some(PeerReply::Bundle(Some(offer))) = reply {
         take_offer(shared, offer, peer).await;
@@ -84,7 +84,7 @@
 }
 
 /// Looks into the store for a newer bundle.
-pub async fn fetch_from_store(shared: &Arc<Shared>) -> Result<i64, StoreError> {
+pub async fn fetch_from_store(shared: &Arc<EntryState>) -> Result<i64, StoreError> {
     shared.count_store_call("pointer_read");
     let pointer = match load_pointer(&shared.store, &shared.keys).await {
         Ok(pointer) => pointer,
@@ -117,7 +117,7 @@
 
 /// Finds the first bundle: the store's, or with the store down the greatest that the
 /// peers have.
-pub async fn find_first(shared: &Arc<Shared>, stop: &StopSignal) {
+pub async fn load_initial_bundle(shared: &Arc<EntryState>, stop: &StopSignal) {
     while shared.bundle_version() == 0 && !stop.is_triggered() {
         if let Err(error) = fetch_from_store(shared).await {
             tracing::warn!("bundle: the store has none for us: {error}.");
@@ -132,7 +132,7 @@
 }
 
 /// Watches the pointer for as long as this box is a reader of its data centre.
-pub async fn run_reader(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_pointer_watch(shared: Arc<EntryState>, stop: StopSignal) {
     let mut failures = 0u32;
     while !stop.is_triggered() {
         if !is_reader(&shared) {
@@ -158,7 +158,10 @@
         .mul_f64(0.5 + rand::random::<f64>() / 2.0)
 }
 
-async fn watch_once(shared: &Arc<Shared>, stop: &StopSignal) -> Result<(), StoreError> {
+async fn watch_once(
+    shared: &Arc<EntryState>,
+    stop: &StopSignal,
+) -> Result<(), StoreError> {
     let revision = fetch_from_store(shared).await?;
     let key = shared.keys.pointer();
     shared.count_store_call("watch");
@@ -175,7 +178,7 @@
     Ok(())
 }
 
-fn is_reader(shared: &Shared) -> bool {
+fn is_reader(shared: &EntryState) -> bool {
     let home = &shared.settings.data_centre;
     let own = &shared.settings.box_id;
     let others = shared
@@ -187,7 +190,7 @@
     inside.is_in_top(&format!("reader/{home}"), READERS, own)
 }
 
-async fn ask_peers(shared: &Arc<Shared>) {
+async fn ask_peers(shared: &Arc<EntryState>) {
     for peer in random_peers(shared, START_PEERS) {
         fetch_from(shared, &peer).await;
     }
@@ -195,7 +198,7 @@
 
 /// Checks a manifest's sign-off, fleet and version.
 fn accept_manifest(
-    shared: &Shared,
+    shared: &EntryState,
     signed: &SignedBundle,
 ) -> Result<Manifest, BundleRefusal> {
     let manifest =
@@ -210,7 +213,7 @@
 }
 
 fn put_in_force(
-    shared: &Arc<Shared>,
+    shared: &Arc<EntryState>,
     signed: SignedBundle,
     manifest: Manifest,
     parts: HashMap<String, Vec<u8>>,
@@ -220,17 +223,17 @@
     if let Some(finding) = check_bundle(&bundle).first() {
         return Err(BundleRefusal::Unsound(finding.to_string()));
     }
-    let before = shared.in_force();
+    let before = shared.active_bundle();
     let boxes = shared.membership.lock().size() as u32;
-    let place = Place {
+    let place = BoxContext {
         data_centre: &shared.settings.data_centre,
         boxes,
         spawner: &shared.spawner,
     };
     let in_force =
-        InForce::new(signed, manifest, parts, bundle, before.as_deref(), &place)
+        ActiveBundle::new(signed, manifest, parts, bundle, before.as_deref(), &place)
             .map_err(|clash| BundleRefusal::Unsound(clash.to_string()))?;
-    if !shared.swap_in(in_force) {
+    if !shared.activate_if_newer(in_force) {
         return Err(BundleRefusal::NotNewer(version));
     }
     tracing::info!("bundle: version {version} is in force.");
@@ -239,7 +242,7 @@
 }
 
 /// Tells some peers of a bundle that has just come in force; they do the same.
-async fn spread(shared: Arc<Shared>, version: BundleVersion) {
+async fn spread(shared: Arc<EntryState>, version: BundleVersion) {
     // Random boxes make it fast, the next ones on the ring make it sure.
     let mut peers = shared.membership.lock().next_on_ring(SPREAD_ON_RING);
     peers.extend(random_peers(&shared, SPREAD_AT_RANDOM));
@@ -248,14 +251,14 @@
         let spawner = shared.spawner.clone();
         spawner.detach(async move {
             let message = PeerMessage::Newer(version);
-            shared.ask(&peer, message, FETCH_TIMEOUT).await;
+            shared.request_peer(&peer, message, FETCH_TIMEOUT).await;
         });
     }
 }
 
 /// Gets the parts that no bundle in force has had from the peer that offered.
 async fn fetch_parts(
-    shared: &Shared,
+    shared: &EntryState,
     manifest: &Manifest,
     from: &PeerView,
 ) -> Result<HashMap<String, Vec<u8>>, BundleRefusal> {
@@ -266,7 +269,7 @@
         .collect();
     for some in missing.chunks(PARTS_AT_ONCE) {
         let message = PeerMessage::FetchParts(some.to_vec());
-        let reply = shared.ask(from, message, FETCH_TIMEOUT).await;
+        let reply = shared.request_peer(from, message, FETCH_TIMEOUT).await;
         let Some(PeerReply::Parts(given)) = reply else {
             return Err(BundleRefusal::PartsMissing);
         };
@@ -285,22 +288,22 @@
     Ok(parts)
 }
 
-fn known_parts(shared: &Shared) -> HashMap<String, Vec<u8>> {
+fn known_parts(shared: &EntryState) -> HashMap<String, Vec<u8>> {
     shared
-        .in_force()
+        .active_bundle()
         .map(|bundle| bundle.parts.clone())
         .unwrap_or_default()
 }
 
-fn random_peers(shared: &Shared, count: usize) -> Vec<PeerView> {
-    let live = shared.live();
+fn random_peers(shared: &EntryState, count: usize) -> Vec<PeerView> {
+    let live = shared.live_boxes();
     let ids: Vec<&BoxId> = live.ids().collect();
     // One more than wanted: this box itself may be among those drawn.
     let drawn = ids.sample(&mut rand::rng(), count + 1);
     drawn.filter_map(|id| shared.peer(id)).take(count).collect()
 }
 
-fn note_refusal(shared: &Shared, taken: Result<(), BundleRefusal>) {
+fn note_refusal(shared: &EntryState, taken: Result<(), BundleRefusal>) {
     let Err(refusal) = taken else { return };
     shared
         .metrics
--- a/crates/wingspur-entry/src/claims.rs
+++ b/crates/wingspur-entry/src/claims.rs
@@ -10,12 +10,12 @@
     PeerReply, ResultCode,
 };
 
-use crate::shards::CLAIM_PATIENCE;
-use crate::shared::Shared;
+use crate::entry_state::EntryState;
+use crate::shards::CLAIM_TIMEOUT;
 
 /// Asks the owner for leave to run an operation; gives the claim's nonce.
 pub async fn claim(
-    shared: &Arc<Shared>,
+    shared: &Arc<EntryState>,
     operation: OperationId,
     remaining: Duration,
 ) -> Result<u64, ResultCode> {
@@ -28,7 +28,7 @@
     };
     let asking = ask_owner(shared, request);
     let expired = async {
-        wingspur_clock::sleep(CLAIM_PATIENCE.min(remaining)).await;
+        wingspur_clock::sleep(CLAIM_TIMEOUT.min(remaining)).await;
         ClaimReply::Unavailable
     };
     match asking.or(expired).await {
@@ -51,14 +51,14 @@
     }
 }
 
-async fn ask_owner(shared: &Arc<Shared>, request: ClaimRequest) -> ClaimReply {
+async fn ask_owner(shared: &Arc<EntryState>, request: ClaimRequest) -> ClaimReply {
     let shard = request.operation.shard(shared.shards.count());
     let owner = owner(shared, shard);
     let Some(peer) = shared.peer(&owner) else {
         return shared.shards.claim(request).await;
     };
     match shared
-        .ask(&peer, PeerMessage::Claim(request), CLAIM_PATIENCE)
+        .request_peer(&peer, PeerMessage::Claim(request), CLAIM_TIMEOUT)
         .await
     {
         Some(PeerReply::Claim(reply)) => reply,
@@ -67,30 +67,32 @@
 }
 
 /// Tells the owner how an operation ended, a few times if need be.
-async fn tell_outcome(shared: Arc<Shared>, note: OutcomeReport) {
-    shared.untold.fetch_add(1, Ordering::AcqRel);
+async fn tell_outcome(shared: Arc<EntryState>, note: OutcomeReport) {
+    shared.undelivered_outcomes.fetch_add(1, Ordering::AcqRel);
     tell_until_taken(&shared, &note).await;
-    shared.untold.fetch_sub(1, Ordering::AcqRel);
+    shared.undelivered_outcomes.fetch_sub(1, Ordering::AcqRel);
 }
 
 /// Waits until the ends of all operations are told and written, at most so long.
-pub async fn settle(shared: &Shared, patience: Duration) {
+pub async fn flush_outcomes(shared: &EntryState, patience: Duration) {
     let end = wingspur_clock::now() + patience;
-    let open =
-        || shared.untold.load(Ordering::Acquire) > 0 || shared.shards.has_pending();
+    let open = || {
+        shared.undelivered_outcomes.load(Ordering::Acquire) > 0
+            || shared.shards.has_pending()
+    };
     while open() && wingspur_clock::now() < end {
         wingspur_clock::sleep(SETTLE_POLL).await;
     }
 }
 
-async fn tell_until_taken(shared: &Arc<Shared>, note: &OutcomeReport) {
+async fn tell_until_taken(shared: &Arc<EntryState>, note: &OutcomeReport) {
     for pause in OUTCOME_PAUSES {
         let owner = owner(shared, note.operation.shard(shared.shards.count()));
         let taken = match shared.peer(&owner) {
-            None => shared.shards.outcome(note),
+            None => shared.shards.record_outcome(note),
             Some(peer) => {
                 let message = PeerMessage::Outcome(note.clone());
-                let reply = shared.ask(&peer, message, PEER_PATIENCE).await;
+                let reply = shared.request_peer(&peer, message, PEER_PATIENCE).await;
                 matches!(reply, Some(PeerReply::Done))
             }
         };
@@ -112,8 +114,8 @@
     tracing::debug!("claims: an outcome stays unrecorded: {outcome}.");
 }
 
-fn owner(shared: &Shared, shard: u32) -> wingspur_state::BoxId {
-    let live = shared.live();
+fn owner(shared: &EntryState, shard: u32) -> wingspur_state::BoxId {
+    let live = shared.live_boxes();
     let owner = live.owner(&format!("once/{shard}"));
     owner.unwrap_or(&shared.settings.box_id).clone()
 }
@@ -121,7 +123,7 @@
 /// A granted claim; dropping it without an end records it as unknown.
 #[derive(Debug)]
 pub struct ClaimGuard {
-    shared: Arc<Shared>,
+    shared: Arc<EntryState>,
     operation: OperationId,
     nonce: u64,
     told: bool,
@@ -129,7 +131,7 @@
 
 impl ClaimGuard {
     /// Guards a granted claim.
-    pub fn new(shared: Arc<Shared>, operation: OperationId, nonce: u64) -> Self {
+    pub fn new(shared: Arc<EntryState>, operation: OperationId, nonce: u64) -> Self {
         Self {
             shared,
             operation,
@@ -139,7 +141,7 @@
     }
 
     /// Records how the operation ended.
-    pub fn close(&mut self, outcome: OperationOutcome) {
+    pub fn record_outcome(&mut self, outcome: OperationOutcome) {
         if std::mem::replace(&mut self.told, true) {
             return;
         }
@@ -155,7 +157,7 @@
 
 impl Drop for ClaimGuard {
     fn drop(&mut self) {
-        self.close(OperationOutcome::Unknown);
+        self.record_outcome(OperationOutcome::Unknown);
     }
 }
 
--- a/crates/wingspur-entry/src/concern.rs
+++ b/crates/wingspur-entry/src/concurrency_limiter.rs
@@ -11,16 +11,16 @@
 
 /// Lets so many requests through at once, and so many wait.
 #[derive(Debug)]
-pub struct Concern {
+pub struct ConcurrencyLimiter {
     places: Arc<Semaphore>,
     waiting: AtomicUsize,
     queue: usize,
 }
 
 /// A place in a concern; dropping it gives the place back.
-pub type Place = SemaphoreGuardArc;
+pub type ConcurrencyPermit = SemaphoreGuardArc;
 
-impl Concern {
+impl ConcurrencyLimiter {
     /// An idle concern.
     pub fn new(limits: &Limits) -> Self {
         Self {
@@ -31,7 +31,10 @@
     }
 
     /// Takes a place, waiting at most `patience`; a full queue refuses at once.
-    pub async fn enter(&self, patience: Duration) -> Result<Place, ResultCode> {
+    pub async fn acquire(
+        &self,
+        patience: Duration,
+    ) -> Result<ConcurrencyPermit, ResultCode> {
         if let Some(place) = self.places.try_acquire_arc() {
             return Ok(place);
         }
--- a/crates/wingspur-entry/src/detection.rs
+++ b/crates/wingspur-entry/src/detection.rs
@@ -12,18 +12,18 @@
 };
 use wingspur_transport::{StopSignal, StoreError, WriteOutcome};
 
+use crate::active_bundle::{ActiveBundle, ServiceHandle};
 use crate::bundles::backoff;
-use crate::in_force::{InForce, ServiceHandle};
-use crate::judges::JudgeSeat;
-use crate::shared::Shared;
+use crate::entry_state::EntryState;
+use crate::hosted_detectors::HostedDetector;
 
 /// Weighs, reports and judges until the box stops.
-pub async fn run_detection(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_detection(shared: Arc<EntryState>, stop: StopSignal) {
     let mut idle = true;
     while !stop.is_triggered() {
         // Waking up is what an idle box spends most on.
         wingspur_clock::sleep(if idle { IDLE_TICK } else { EVIDENCE_TICK }).await;
-        let Some(bundle) = shared.in_force() else {
+        let Some(bundle) = shared.active_bundle() else {
             continue;
         };
         idle = report(&shared, &bundle) & judge(&shared, &bundle);
@@ -32,19 +32,19 @@
 
 /// Adds a peer's evidence to the judges held here, and gives their verdicts.
 pub fn receive_evidence(
-    shared: &Shared,
+    shared: &EntryState,
     reports: &[EvidenceReport],
     from: &PeerView,
 ) -> Vec<Verdict> {
-    let Some(bundle) = shared.in_force() else {
+    let Some(bundle) = shared.active_bundle() else {
         return Vec::new();
     };
     receive(shared, &bundle, reports, &from.id, &from.data_centre)
 }
 
 /// Puts verdicts in force here.
-pub fn apply_verdicts(shared: &Shared, verdicts: &[Verdict]) {
-    let Some(bundle) = shared.in_force() else {
+pub fn apply_verdicts(shared: &EntryState, verdicts: &[Verdict]) {
+    let Some(bundle) = shared.active_bundle() else {
         return;
     };
     let now = wingspur_clock::now();
@@ -59,7 +59,7 @@
 
 /// Sends what was seen to each service's judge, one message a box; true when no service
 /// had any work.
-fn report(shared: &Arc<Shared>, bundle: &InForce) -> bool {
+fn report(shared: &Arc<EntryState>, bundle: &ActiveBundle) -> bool {
     let now = wingspur_clock::now();
     let mut idle = true;
     let mut by_judge: HashMap<BoxId, Vec<EvidenceReport>> = HashMap::new();
@@ -71,7 +71,7 @@
             table.tick(now)
         };
         let Some(report) = report else { continue };
-        let live = live.get_or_insert_with(|| shared.live());
+        let live = live.get_or_insert_with(|| shared.live_boxes());
         let role = format!("judge/{}", handle.service.name);
         let holder = live.owner(&role);
         let holder = holder.unwrap_or(&shared.settings.box_id).clone();
@@ -87,7 +87,7 @@
         let asking = shared.clone();
         shared.spawner.detach(async move {
             let message = PeerMessage::Evidence(reports);
-            let reply = asking.ask(&peer, message, REPORT_TIMEOUT).await;
+            let reply = asking.request_peer(&peer, message, REPORT_TIMEOUT).await;
             if let Some(PeerReply::Verdicts(verdicts)) = reply {
                 apply_verdicts(&asking, &verdicts);
             }
@@ -97,14 +97,14 @@
 }
 
 fn receive(
-    shared: &Shared,
-    bundle: &InForce,
+    shared: &EntryState,
+    bundle: &ActiveBundle,
     reports: &[EvidenceReport],
     from: &BoxId,
     data_centre: &DataCentreId,
 ) -> Vec<Verdict> {
     let now = wingspur_clock::now();
-    let mut judges = shared.judges.lock();
+    let mut judges = shared.outlier_detectors.lock();
     let mut verdicts = Vec::with_capacity(reports.len());
     for report in reports {
         let tagged = |handle: &&Arc<ServiceHandle>| handle.table.lock().tag();
@@ -114,22 +114,22 @@
             continue;
         };
         let seat = judges
-            .seats
+            .by_service_tag
             .entry(tag)
-            .or_insert_with(|| JudgeSeat::new(handle, tag, now));
-        seat.heard = now;
-        seat.judge.record_report(from, data_centre, report, now);
+            .or_insert_with(|| HostedDetector::new(handle, tag, now));
+        seat.last_report_at = now;
+        seat.detector.record_report(from, data_centre, report, now);
         // Without the agreed record a judge cannot say who is out, and says nothing.
         if seat.revision.is_some() {
-            verdicts.push(seat.judge.verdict(data_centre));
+            verdicts.push(seat.detector.verdict(data_centre));
         }
     }
     verdicts
 }
 
 /// Steps the judges held here, and carries out what follows; true when none is held.
-fn judge(shared: &Arc<Shared>, bundle: &InForce) -> bool {
-    if shared.judges.lock().seats.is_empty() {
+fn judge(shared: &Arc<EntryState>, bundle: &ActiveBundle) -> bool {
+    if shared.outlier_detectors.lock().by_service_tag.is_empty() {
         return true;
     }
     let now = wingspur_clock::now();
@@ -140,17 +140,18 @@
         .lock()
         .data_centres(&shared.settings.data_centre);
     {
-        let mut judges = shared.judges.lock();
-        judges
-            .seats
-            .retain(|_, seat| now.saturating_duration_since(seat.heard) < SEAT_TTL);
-        for (tag, seat) in &mut judges.seats {
-            seat.follow_leaving(bundle);
-            for event in seat.judge.tick(now) {
+        let mut judges = shared.outlier_detectors.lock();
+        judges.by_service_tag.retain(|_, seat| {
+            now.saturating_duration_since(seat.last_report_at) < SEAT_TTL
+        });
+        for (tag, seat) in &mut judges.by_service_tag {
+            seat.sync_leaving_servers(bundle);
+            for event in seat.detector.tick(now) {
                 note(shared, &seat.service, &event);
             }
-            changed.extend(seat.take_changes(&data_centres));
-            let wanted = seat.revision.is_none() || seat.judge.pending_record().is_some();
+            changed.extend(seat.take_changed_verdicts(&data_centres));
+            let wanted =
+                seat.revision.is_none() || seat.detector.pending_record().is_some();
             if wanted && !seat.syncing {
                 seat.syncing = true;
                 to_sync.push(*tag);
@@ -165,13 +166,13 @@
 }
 
 /// Brings a judge and the agreed record in the store together.
-async fn sync_record(shared: Arc<Shared>, tag: u64) {
+async fn sync_record(shared: Arc<EntryState>, tag: u64) {
     let pause = match sync_once(&shared, tag).await {
         Ok(()) => Duration::ZERO,
         Err(error) => {
             tracing::debug!("judge: the record cannot be had: {error}.");
-            let mut judges = shared.judges.lock();
-            let Some(seat) = judges.seats.get_mut(&tag) else {
+            let mut judges = shared.outlier_detectors.lock();
+            let Some(seat) = judges.by_service_tag.get_mut(&tag) else {
                 return;
             };
             seat.failures = seat.failures.saturating_add(1);
@@ -179,15 +180,18 @@
         }
     };
     wingspur_clock::sleep(pause).await;
-    if let Some(seat) = shared.judges.lock().seats.get_mut(&tag) {
+    if let Some(seat) = shared.outlier_detectors.lock().by_service_tag.get_mut(&tag) {
         seat.syncing = false;
     }
 }
 
-async fn sync_once(shared: &Shared, tag: u64) -> Result<(), StoreError> {
+async fn sync_once(shared: &EntryState, tag: u64) -> Result<(), StoreError> {
     let Some((service, revision, proposal)) = ({
-        let judges = shared.judges.lock();
-        judges.seats.get(&tag).map(JudgeSeat::wish)
+        let judges = shared.outlier_detectors.lock();
+        judges
+            .by_service_tag
+            .get(&tag)
+            .map(HostedDetector::pending_write)
     }) else {
         return Ok(());
     };
@@ -208,17 +212,17 @@
         Some(pair) => serde_json::from_slice(&pair.value)?,
         None => EjectionRecord::default(),
     };
-    let mut judges = shared.judges.lock();
-    if let Some(seat) = judges.seats.get_mut(&tag) {
+    let mut judges = shared.outlier_detectors.lock();
+    if let Some(seat) = judges.by_service_tag.get_mut(&tag) {
         seat.failures = 0;
         seat.revision = Some(revision);
-        seat.judge.apply_record(record, wingspur_clock::now());
+        seat.detector.apply_record(record, wingspur_clock::now());
     }
     Ok(())
 }
 
 /// Tells every box of each data centre what has changed.
-fn send_changes(shared: &Arc<Shared>, changes: Vec<(DataCentreId, Verdict)>) {
+fn send_changes(shared: &Arc<EntryState>, changes: Vec<(DataCentreId, Verdict)>) {
     let mut by_data_centre: HashMap<DataCentreId, Vec<Verdict>> = HashMap::new();
     for (data_centre, verdict) in changes {
         by_data_centre.entry(data_centre).or_default().push(verdict);
@@ -235,13 +239,13 @@
             let (telling, message) =
                 (shared.clone(), PeerMessage::Verdicts(verdicts.clone()));
             shared.spawner.detach(async move {
-                telling.ask(&peer, message, REPORT_TIMEOUT).await;
+                telling.request_peer(&peer, message, REPORT_TIMEOUT).await;
             });
         }
     }
 }
 
-fn note(shared: &Shared, service: &str, event: &OutlierEvent) {
+fn note(shared: &EntryState, service: &str, event: &OutlierEvent) {
     let (name, server) = match event {
         OutlierEvent::Suspected(server) => ("suspected", server),
         OutlierEvent::OnTrial(server) => ("on_trial", server),
--- a/crates/wingspur-entry/src/entry_box.rs
+++ b/crates/wingspur-entry/src/entry_box.rs
@@ -13,19 +13,21 @@
     TlsFiles, TlsIdentity, stop_pair,
 };
 
-use crate::bundles::{find_first, run_reader};
-use crate::claims::settle;
+use crate::bundles::{load_initial_bundle, run_pointer_watch};
+use crate::claims::flush_outcomes;
 use crate::detection::run_detection;
-use crate::operator::{answer_operator, status};
-use crate::peers::{answer_peer, beat, read_box_list, run_box_list, run_heartbeats};
+use crate::entry_state::{Addresses, EntryState};
+use crate::operator::{handle_operator_request, status};
+use crate::peers::{
+    handle_peer_request, read_box_list, run_box_list, run_heartbeats, send_heartbeats,
+};
 use crate::proxy::Proxy;
-use crate::shard_driver::drive_shard;
-use crate::shared::{Addresses, Shared};
+use crate::shard_driver::run_shard_log;
 
 /// A running entry box.
 #[derive(Debug)]
 pub struct EntryBox {
-    shared: Arc<Shared>,
+    shared: Arc<EntryState>,
     callers: HttpListener,
     peers: HttpListener,
     operators: HttpListener,
@@ -56,7 +58,7 @@
 
 /// How a stop went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StopReport {
+pub struct ShutdownReport {
     /// Requests that were cut because the limit was reached.
     pub cut_requests: usize,
 }
@@ -74,7 +76,7 @@
         let operator_port = bind("operator_address", settings.operator_address).await?;
         let files = settings.tls.as_ref().map(TlsFiles::from);
         let identity = files.map(TlsIdentity::load).transpose()?.map(Arc::new);
-        let shared = Shared::new(
+        let shared = EntryState::new(
             settings,
             sources,
             spawner.clone(),
@@ -87,14 +89,15 @@
         let handler = move |request, from| proxy.clone().answer(request, from);
         let callers = listen(caller_port, spawner, options.clone(), handler)?;
         let peer_shared = shared.clone();
-        let handler = move |request, _| answer_peer(peer_shared.clone(), request);
+        let handler = move |request, _| handle_peer_request(peer_shared.clone(), request);
         let proven = ListenerOptions {
             identity,
             ..options.clone()
         };
         let peers = listen(peer_port, spawner, proven, handler)?;
         let operator_shared = shared.clone();
-        let handler = move |request, _| answer_operator(operator_shared.clone(), request);
+        let handler =
+            move |request, _| handle_operator_request(operator_shared.clone(), request);
         let operators = listen(operator_port, spawner, options, handler)?;
         let (stop, _) = stop_pair();
         let mut entry_box = Self {
@@ -129,7 +132,7 @@
     }
 
     /// Servers that it gives no work, or less, as `service/server`.
-    pub fn servers_out(&self) -> Vec<String> {
+    pub fn restricted_servers(&self) -> Vec<String> {
         status(&self.shared).out
     }
 
@@ -140,7 +143,7 @@
 
     /// Once-only shards owned, and operations remembered.
     pub fn once_only_totals(&self) -> (usize, usize) {
-        self.shared.shards.owned()
+        self.shared.shards.owned_totals()
     }
 
     /// Waits until the box takes callers; false when `patience` is over before.
@@ -161,11 +164,11 @@
     }
 
     /// Stops as planned: no new callers, all requests in flight to their end.
-    pub async fn close(mut self) -> StopReport {
+    pub async fn close(mut self) -> ShutdownReport {
         let plan = ShutdownSchedule::new(&self.shared.settings, wingspur_clock::now());
         plan.log();
         self.shared.stopping.begin(plan.answer_by);
-        beat(&self.shared);
+        send_heartbeats(&self.shared);
         // The balancer learns of it late, and sends callers until then.
         wingspur_clock::sleep_until(plan.accept_until).await;
         self.callers.stop_accepting().await;
@@ -173,7 +176,7 @@
         self.shared.stopping.end_requests();
         self.callers.drain(plan.end).await;
         let cut_requests = self.callers.counts().requests.load(Ordering::Acquire);
-        settle(&self.shared, SETTLE_LIMIT).await;
+        flush_outcomes(&self.shared, SETTLE_LIMIT).await;
         self.stop.close();
         for task in self.tasks {
             task.cancel().await;
@@ -181,7 +184,7 @@
         self.peers.close(PORT_LIMIT).await;
         self.operators.close(PORT_LIMIT).await;
         tracing::info!("stop: done, {cut_requests} requests cut.");
-        StopReport { cut_requests }
+        ShutdownReport { cut_requests }
     }
 
     /// Ends at once, as a crash would: nothing is told, nothing finished.
@@ -204,13 +207,13 @@
             spawner.spawn(async move { start_up(&starting.0, &starting.1).await }),
             spawner.spawn(run_box_list(shared.clone(), signal.clone())),
             spawner.spawn(run_heartbeats(shared.clone(), every, signal.clone())),
-            spawner.spawn(run_reader(shared.clone(), signal.clone())),
+            spawner.spawn(run_pointer_watch(shared.clone(), signal.clone())),
             spawner.spawn(run_detection(shared.clone(), signal.clone())),
             spawner.spawn(keep_warm(shared.clone())),
             spawner.spawn(keep_identity(shared.clone())),
         ];
         for shard in 0..shared.shards.count() {
-            let driving = drive_shard(shared.clone(), shard, signal.clone());
+            let driving = run_shard_log(shared.clone(), shard, signal.clone());
             tasks.push(spawner.spawn(driving));
         }
         self.tasks = tasks;
@@ -218,15 +221,15 @@
 }
 
 /// Finds the first bundle and warms the connections; then the box is ready.
-async fn start_up(shared: &Arc<Shared>, stop: &wingspur_transport::StopSignal) {
+async fn start_up(shared: &Arc<EntryState>, stop: &wingspur_transport::StopSignal) {
     read_box_list(shared, &mut None).await;
-    find_first(shared, stop).await;
+    load_initial_bundle(shared, stop).await;
     warm(shared).await;
     shared.started.store(true, Ordering::Release);
     tracing::info!("start: ready.");
 }
 
-async fn keep_warm(shared: Arc<Shared>) {
+async fn keep_warm(shared: Arc<EntryState>) {
     loop {
         wingspur_clock::sleep(WARM_EVERY).await;
         warm(&shared).await;
@@ -234,7 +237,7 @@
 }
 
 /// Takes up a new certificate or authority when its file is replaced.
-async fn keep_identity(shared: Arc<Shared>) {
+async fn keep_identity(shared: Arc<EntryState>) {
     let Some(identity) = &shared.identity else {
         return;
     };
@@ -248,8 +251,8 @@
     }
 }
 
-async fn warm(shared: &Shared) {
-    let Some(bundle) = shared.in_force() else {
+async fn warm(shared: &EntryState) {
+    let Some(bundle) = shared.active_bundle() else {
         return;
     };
     for handle in &bundle.services {
--- a/crates/wingspur-entry/src/shared.rs
+++ b/crates/wingspur-entry/src/entry_state.rs
@@ -14,13 +14,13 @@
 
 use wingspur_edge::{LockRank, Metrics, OwnSources, RankedMutex, Settings, Shutdown};
 
-use crate::in_force::InForce;
-use crate::judges::Judges;
+use crate::active_bundle::ActiveBundle;
+use crate::hosted_detectors::HostedDetectors;
 use crate::shards::Shards;
 
 /// What all parts of a box share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct EntryState {
     /// The box's settings.
     pub settings: Settings,
     /// Where bundles and lists of boxes are found.
@@ -30,9 +30,9 @@
     /// Counters and gauges.
     pub metrics: Metrics,
     /// Connections to peers.
-    pub peers: HttpClient,
+    pub peer_client: HttpClient,
     /// Connections to the box list.
-    pub box_list: HttpClient,
+    pub box_list_client: HttpClient,
     /// Who the box is towards its peers.
     pub identity: Option<Arc<TlsIdentity>>,
     /// Connections to the store.
@@ -44,7 +44,7 @@
     /// Who lives.
     pub membership: RankedMutex<Membership>,
     /// The judges that this box holds.
-    pub judges: RankedMutex<Judges>,
+    pub outlier_detectors: RankedMutex<HostedDetectors>,
     /// The once-only shards that this box holds.
     pub shards: Shards,
     /// The buckets of caller accounts.
@@ -52,12 +52,12 @@
     /// Drawn anew at each start: the time of the start in microseconds.
     pub incarnation: u64,
     /// Ends of once-only operations that no owner has taken yet.
-    pub untold: AtomicUsize,
+    pub undelivered_outcomes: AtomicUsize,
     /// Whether the box is stopping, and by when.
     pub stopping: Shutdown,
     /// Whether the box has started up.
     pub started: AtomicBool,
-    in_force: RankedMutex<Option<Arc<InForce>>>,
+    in_force: RankedMutex<Option<Arc<ActiveBundle>>>,
     sequence: AtomicU64,
     fetching: AtomicU64,
 }
@@ -73,7 +73,7 @@
     pub operator: SocketAddr,
 }
 
-impl Shared {
+impl EntryState {
     /// A box that has not started yet.
     pub fn new(
         settings: Settings,
@@ -89,20 +89,23 @@
             Membership::new(settings.box_id.clone(), MembershipSettings::default());
         let incarnation = unix_time().as_micros() as u64;
         Self {
-            peers: HttpClient::new(spawner.clone(), faults.clone())
+            peer_client: HttpClient::new(spawner.clone(), faults.clone())
                 .with_identity(identity.clone()),
-            box_list: HttpClient::new(spawner.clone(), faults.clone()),
+            box_list_client: HttpClient::new(spawner.clone(), faults.clone()),
             identity,
             store_exchange,
             store,
             keys: StoreKeys::new(&settings.fleet),
             metrics: Metrics::new(),
             membership: RankedMutex::new(LockRank::Membership, membership),
-            judges: RankedMutex::new(LockRank::Judges, Judges::default()),
+            outlier_detectors: RankedMutex::new(
+                LockRank::Judges,
+                HostedDetectors::default(),
+            ),
             shards: Shards::new(&settings, incarnation),
             accounts: RankedMutex::new(LockRank::Accounts, AccountLimiter::default()),
             incarnation,
-            untold: AtomicUsize::new(0),
+            undelivered_outcomes: AtomicUsize::new(0),
             stopping: Shutdown::new(),
             started: AtomicBool::new(false),
             in_force: RankedMutex::new(LockRank::InForce, None),
@@ -115,12 +118,12 @@
     }
 
     /// The bundle in force.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn active_bundle(&self) -> Option<Arc<ActiveBundle>> {
         self.in_force.lock().clone()
     }
 
     /// Puts a bundle in force if it is newer than what is.
-    pub fn swap_in(&self, bundle: InForce) -> bool {
+    pub fn activate_if_newer(&self, bundle: ActiveBundle) -> bool {
         let mut in_force = self.in_force.lock();
         let version = bundle.manifest.version;
         if in_force
@@ -136,7 +139,8 @@
 
     /// The version in force; 0 for none.
     pub fn bundle_version(&self) -> u64 {
-        self.in_force().map_or(0, |bundle| bundle.manifest.version)
+        self.active_bundle()
+            .map_or(0, |bundle| bundle.manifest.version)
     }
 
     /// Whether a fetch of this version may begin: one at a time for each version, so that
@@ -163,7 +167,7 @@
     }
 
     /// Sends a message to a peer and returns its reply.
-    pub async fn ask(
+    pub async fn request_peer(
         &self,
         peer: &PeerView,
         message: PeerMessage,
@@ -175,7 +179,7 @@
         }
         let body = encode_peer(&self.envelope(message));
         let reply = self
-            .peers
+            .peer_client
             .post(peer.address, PEER_PATH, body, timeout)
             .await;
         match reply {
@@ -193,7 +197,7 @@
     }
 
     /// Boxes that count as living.
-    pub fn live(&self) -> Arc<RendezvousSet> {
+    pub fn live_boxes(&self) -> Arc<RendezvousSet> {
         self.membership.lock().live_boxes(wingspur_clock::now())
     }
 
--- a/crates/wingspur-entry/src/judges.rs
+++ b/crates/wingspur-entry/src/hosted_detectors.rs
@@ -5,20 +5,20 @@
 
 use wingspur_state::{DataCentreId, EjectionRecord, OutlierDetector, Verdict};
 
-use crate::in_force::{InForce, ServiceHandle};
+use crate::active_bundle::{ActiveBundle, ServiceHandle};
 
 /// The judges that a box holds, by the tag of their service.
 #[derive(Debug, Default)]
-pub struct Judges {
+pub struct HostedDetectors {
     /// One for each service that is judged here.
-    pub seats: HashMap<u64, JudgeSeat>,
+    pub by_service_tag: HashMap<u64, HostedDetector>,
 }
 
 /// A judge with its place in the store and among the boxes.
 #[derive(Debug)]
-pub struct JudgeSeat {
+pub struct HostedDetector {
     /// The decisions.
-    pub judge: OutlierDetector,
+    pub detector: OutlierDetector,
     /// The service's name.
     pub service: String,
     /// The store's revision of the record that the judge holds; none until it was read.
@@ -28,50 +28,50 @@
     /// Reads or writes of it that failed in a row.
     pub failures: u32,
     /// When a box last reported.
-    pub heard: Instant,
+    pub last_report_at: Instant,
     /// The verdicts that were last sent out, by data centre.
     sent: HashMap<DataCentreId, Verdict>,
 }
 
-impl JudgeSeat {
+impl HostedDetector {
     /// A judge that has not read its record yet.
     pub fn new(handle: &ServiceHandle, tag: u64, now: Instant) -> Self {
         Self {
-            judge: OutlierDetector::new(&handle.service, tag, None, now),
+            detector: OutlierDetector::new(&handle.service, tag, None, now),
             service: handle.service.name.clone(),
             revision: None,
             syncing: false,
             failures: 0,
-            heard: now,
+            last_report_at: now,
             sent: HashMap::new(),
         }
     }
 
     /// Takes over from this box's table which servers leave: they count for no floor.
-    pub fn follow_leaving(&mut self, bundle: &InForce) {
+    pub fn sync_leaving_servers(&mut self, bundle: &ActiveBundle) {
         let Some(handle) = bundle.service(&self.service) else {
             return;
         };
         let table = handle.table.lock();
-        if table.tag() != self.judge.tag() {
+        if table.tag() != self.detector.tag() {
             return;
         }
         for server in 0..handle.service.servers.len() {
-            self.judge.set_leaving(server, table.is_leaving(server));
+            self.detector.set_leaving(server, table.is_leaving(server));
         }
     }
 
     /// The service, the revision that was read, and what should be written.
-    pub fn wish(&self) -> (String, Option<i64>, Option<EjectionRecord>) {
+    pub fn pending_write(&self) -> (String, Option<i64>, Option<EjectionRecord>) {
         (
             self.service.clone(),
             self.revision,
-            self.judge.pending_record(),
+            self.detector.pending_record(),
         )
     }
 
     /// The verdicts that have changed since they were last sent out.
-    pub fn take_changes(
+    pub fn take_changed_verdicts(
         &mut self,
         data_centres: &[DataCentreId],
     ) -> Vec<(DataCentreId, Verdict)> {
@@ -80,7 +80,7 @@
         }
         let mut changes = Vec::new();
         for data_centre in data_centres.iter().cloned() {
-            let verdict = self.judge.verdict(&data_centre);
+            let verdict = self.detector.verdict(&data_centre);
             let sent = self.sent.get(&data_centre);
             let updates = match sent {
                 Some(sent) => *sent != verdict,
--- a/crates/wingspur-entry/src/lib.rs
+++ b/crates/wingspur-entry/src/lib.rs
@@ -1,19 +1,19 @@
 //! An entry box: the request path and the tasks around it.
 
+mod active_bundle;
 mod bundles;
 mod claims;
-mod concern;
+mod concurrency_limiter;
 mod detection;
 mod entry_box;
-mod in_force;
-mod judges;
+mod entry_state;
+mod hosted_detectors;
 mod operator;
 mod peers;
 mod proxy;
-mod relay;
+mod response_body;
 mod shard_driver;
 mod shards;
-mod shared;
 
-pub use entry_box::{EntryBox, StartError, StopReport};
-pub use shared::Addresses;
+pub use entry_box::{EntryBox, ShutdownReport, StartError};
+pub use entry_state::Addresses;
--- a/crates/wingspur-entry/src/operator.rs
+++ b/crates/wingspur-entry/src/operator.rs
@@ -9,17 +9,19 @@
 use wingspur_protocol::BoxStatus;
 use wingspur_state::EjectionState;
 
-use crate::shared::Shared;
+use crate::entry_state::EntryState;
 
 /// Answers a request on the operator port.
-pub async fn answer_operator(
-    shared: Arc<Shared>,
+pub async fn handle_operator_request(
+    shared: Arc<EntryState>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let pages = OperatorEndpoint {
         is_ready: shared.is_ready(),
         metrics: || {
-            shared.metrics.set_exchanges("peers", shared.peers.totals());
+            shared
+                .metrics
+                .set_exchanges("peers", shared.peer_client.totals());
             let store = shared.store_exchange.totals();
             shared.metrics.set_exchanges("store", store);
             shared.metrics.render()
@@ -30,8 +32,8 @@
 }
 
 /// What the box says of itself.
-pub fn status(shared: &Shared) -> BoxStatus {
-    let bundle = shared.in_force();
+pub fn status(shared: &EntryState) -> BoxStatus {
+    let bundle = shared.active_bundle();
     let now = wingspur_clock::now();
     let mut out = Vec::new();
     for handle in bundle.iter().flat_map(|bundle| &bundle.services) {
@@ -44,7 +46,7 @@
     }
     let in_force = bundle
         .as_ref()
-        .map(|bundle| wingspur_clock::since(bundle.since));
+        .map(|bundle| wingspur_clock::since(bundle.activated_at));
     BoxStatus {
         id: shared.settings.box_id.clone(),
         data_centre: shared.settings.data_centre.clone(),
--- a/crates/wingspur-entry/src/peers.rs
+++ b/crates/wingspur-entry/src/peers.rs
@@ -13,14 +13,14 @@
 };
 use wingspur_transport::{PeerCertificate, StopSignal};
 
-use crate::bundles::fetch_newer;
+use crate::bundles::fetch_if_newer;
 use crate::detection;
+use crate::entry_state::{EntryState, PEER_PATH};
 use crate::operator::status;
-use crate::shared::{PEER_PATH, Shared};
 
 /// Answers a request on the peer port.
-pub async fn answer_peer(
-    shared: Arc<Shared>,
+pub async fn handle_peer_request(
+    shared: Arc<EntryState>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     if request.method() != Method::POST || request.uri().path() != PEER_PATH {
@@ -65,7 +65,7 @@
     Response::new(Full::new(Bytes::from(encode_peer(&reply))))
 }
 
-async fn answer_message(shared: &Arc<Shared>, envelope: PeerEnvelope) -> PeerReply {
+async fn answer_message(shared: &Arc<EntryState>, envelope: PeerEnvelope) -> PeerReply {
     let peer = shared.peer(&envelope.from);
     match (envelope.message, peer) {
         (PeerMessage::Status, _) => PeerReply::Status(status(shared)),
@@ -75,14 +75,14 @@
             PeerReply::Heartbeat(reply)
         }
         (PeerMessage::Newer(version), Some(peer)) => {
-            fetch_newer(shared, version, peer);
+            fetch_if_newer(shared, version, peer);
             PeerReply::Done
         }
         (PeerMessage::FetchParts(digests), _) => {
             PeerReply::Parts(parts(shared, &digests))
         }
         (PeerMessage::FetchBundle, _) => {
-            let in_force = shared.in_force();
+            let in_force = shared.active_bundle();
             let offer = in_force.map(|b| BundleOffer {
                 signed: b.signed.clone(),
             });
@@ -98,7 +98,7 @@
         (PeerMessage::Claim(request), _) => {
             PeerReply::Claim(shared.shards.claim(request).await)
         }
-        (PeerMessage::Outcome(note), _) => match shared.shards.outcome(&note) {
+        (PeerMessage::Outcome(note), _) => match shared.shards.record_outcome(&note) {
             true => PeerReply::Done,
             false => PeerReply::Refused("this box does not own the shard".to_owned()),
         },
@@ -107,15 +107,15 @@
 }
 
 /// Sends heartbeats until the box stops.
-pub async fn run_heartbeats(shared: Arc<Shared>, every: Duration, stop: StopSignal) {
+pub async fn run_heartbeats(shared: Arc<EntryState>, every: Duration, stop: StopSignal) {
     while !stop.is_triggered() {
-        beat(&shared);
+        send_heartbeats(&shared);
         wingspur_clock::sleep(every).await;
     }
 }
 
 /// Sends one round of heartbeats.
-pub fn beat(shared: &Arc<Shared>) {
+pub fn send_heartbeats(shared: &Arc<EntryState>) {
     let lot = rand::random();
     let targets = shared
         .membership
@@ -126,7 +126,7 @@
         let spawner = shared.spawner.clone();
         spawner.detach(async move {
             let message = PeerMessage::Heartbeat(own_heartbeat(&shared, &peer));
-            let reply = shared.ask(&peer, message, HEARTBEAT_TIMEOUT).await;
+            let reply = shared.request_peer(&peer, message, HEARTBEAT_TIMEOUT).await;
             if let Some(PeerReply::Heartbeat(heartbeat)) = reply {
                 take_heartbeat(&shared, heartbeat, &peer);
             }
@@ -135,7 +135,7 @@
 }
 
 /// Reads the platform's list until the box stops.
-pub async fn run_box_list(shared: Arc<Shared>, stop: StopSignal) {
+pub async fn run_box_list(shared: Arc<EntryState>, stop: StopSignal) {
     let mut validator = None;
     while !stop.is_triggered() {
         read_box_list(&shared, &mut validator).await;
@@ -145,11 +145,11 @@
 
 /// Reads the platform's list once, if it has changed since the one with this validator;
 /// an old one stays when none can be had.
-pub async fn read_box_list(shared: &Shared, validator: &mut Option<String>) {
+pub async fn read_box_list(shared: &EntryState, validator: &mut Option<String>) {
     let address = shared.sources.box_list_address;
     let known = validator.as_deref();
     let got = shared
-        .box_list
+        .box_list_client
         .get_if_modified(address, "/boxes", known, LIST_TIMEOUT)
         .await;
     let (bytes, new_validator) = match got {
@@ -169,7 +169,7 @@
     };
     *validator = new_validator;
     shared.membership.lock().update_listed(&list);
-    let Some(bundle) = shared.in_force() else {
+    let Some(bundle) = shared.active_bundle() else {
         return;
     };
     for handle in &bundle.services {
@@ -182,7 +182,7 @@
     }
 }
 
-fn own_heartbeat(shared: &Shared, to: &PeerView) -> Heartbeat {
+fn own_heartbeat(shared: &EntryState, to: &PeerView) -> Heartbeat {
     let membership = shared.membership.lock();
     let heard_sequence = membership.heard_sequence(&to.id);
     let suspicions = membership.suspicions(wingspur_clock::now());
@@ -195,16 +195,16 @@
     }
 }
 
-fn take_heartbeat(shared: &Arc<Shared>, heartbeat: Heartbeat, peer: &PeerView) {
+fn take_heartbeat(shared: &Arc<EntryState>, heartbeat: Heartbeat, peer: &PeerView) {
     let mut membership = shared.membership.lock();
     membership.set_leaving(&peer.id, heartbeat.leaving);
     membership.receive_suspicions(&heartbeat.suspicions, wingspur_clock::now());
     drop(membership);
-    fetch_newer(shared, heartbeat.bundle_version, peer.clone());
+    fetch_if_newer(shared, heartbeat.bundle_version, peer.clone());
 }
 
-fn parts(shared: &Shared, digests: &[String]) -> Vec<(String, serde_bytes::ByteBuf)> {
-    let Some(bundle) = shared.in_force() else {
+fn parts(shared: &EntryState, digests: &[String]) -> Vec<(String, serde_bytes::ByteBuf)> {
+    let Some(bundle) = shared.active_bundle() else {
         return Vec::new();
     };
     let held = |digest: &String| {
@@ -214,7 +214,11 @@
     digests.iter().filter_map(held).collect()
 }
 
-fn refuse(shared: &Shared, reason: &str, status: StatusCode) -> Response<Full<Bytes>> {
+fn refuse(
+    shared: &EntryState,
+    reason: &str,
+    status: StatusCode,
+) -> Response<Full<Bytes>> {
     shared
         .metrics
         .peer_refusals
--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -20,17 +20,17 @@
 };
 use wingspur_transport::{PooledConnection, SendBody, SendFailure};
 
+use crate::active_bundle::ServiceHandle;
 use crate::claims::{ClaimGuard, claim};
-use crate::concern::Place;
-use crate::in_force::ServiceHandle;
-use crate::relay::{AnswerBody, AttemptGuard, CutRule, RelayBody};
-use crate::shared::Shared;
+use crate::concurrency_limiter::ConcurrencyPermit;
+use crate::entry_state::EntryState;
+use crate::response_body::{AttemptGuard, BodyTimeout, ResponseBody, UpstreamBody};
 use wingspur_edge::{check_framing, error_response, shutdown_result, strip_hop_by_hop};
 
 /// Answers callers' requests.
 #[derive(Debug, Clone)]
 pub struct Proxy {
-    shared: Arc<Shared>,
+    shared: Arc<EntryState>,
     account_hash: RandomState,
 }
 
@@ -81,7 +81,7 @@
 
 impl Proxy {
     /// A proxy over a box's shared tables.
-    pub fn new(shared: Arc<Shared>) -> Self {
+    pub fn new(shared: Arc<EntryState>) -> Self {
         Self {
             shared,
             account_hash: RandomState::new(),
@@ -93,7 +93,7 @@
         self,
         request: Request<Incoming>,
         from: SocketAddr,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let http1 = request.version() == Version::HTTP_11;
         let sent = Arc::new(AtomicBool::new(false));
         let answering = self.try_answer(request, from, sent.clone());
@@ -106,7 +106,7 @@
             Ok(response) => response,
             Err(code) => {
                 self.shared.metrics.count_refusal(code);
-                error_response(code, None).map(AnswerBody::own)
+                error_response(code, None).map(ResponseBody::own)
             }
         };
         if http1 && self.shared.stopping.has_begun() {
@@ -122,12 +122,12 @@
         request: Request<Incoming>,
         from: SocketAddr,
         sent: Arc<AtomicBool>,
-    ) -> Result<Response<AnswerBody>, ResultCode> {
+    ) -> Result<Response<ResponseBody>, ResultCode> {
         let arrived = wingspur_clock::now();
-        let bundle = self.shared.in_force().ok_or(ResultCode::NotReady)?;
+        let bundle = self.shared.active_bundle().ok_or(ResultCode::NotReady)?;
         let (parts, body) = request.into_parts();
         check_framing(&parts.headers)?;
-        let found = bundle.find(parts.method.as_str(), parts.uri.path());
+        let found = bundle.match_route(parts.method.as_str(), parts.uri.path());
         let target = found.ok_or(ResultCode::NoRoute)?;
         let target = target.ok_or(ResultCode::MethodNotAllowed)?;
         let handle = bundle.services[target.service].clone();
@@ -144,7 +144,7 @@
             .with_label_values(&labels)
             .inc();
         self.take_account(&bundle.account_header, &handle, &parts.headers, arrived)?;
-        let place = handle.concern(class).enter(route.deadline() / 2).await?;
+        let place = handle.limiter(class).acquire(route.deadline() / 2).await?;
         let mut pending = Pending {
             handle,
             route: target.route,
@@ -169,8 +169,8 @@
         &self,
         pending: Pending,
         body: SendBody,
-        place: Place,
-    ) -> Result<Response<AnswerBody>, ResultCode> {
+        place: ConcurrencyPermit,
+    ) -> Result<Response<ResponseBody>, ResultCode> {
         let key = operation_key(&pending.parts.headers, pending.route().key_header())?;
         let operation = OperationId::new(&pending.handle.service.name, key);
         let granted = claim(&self.shared, operation, pending.remaining()).await?;
@@ -178,11 +178,11 @@
         let forwarded = self.forward(&pending, body).await;
         match forwarded {
             Ok((response, lease, attempt)) => {
-                guard.close(OperationOutcome::Ran);
+                guard.record_outcome(OperationOutcome::Ran);
                 Ok(self.relay(&pending, response, lease, attempt, place))
             }
             Err((code, surely_not_run)) => {
-                guard.close(match surely_not_run {
+                guard.record_outcome(match surely_not_run {
                     true => OperationOutcome::NotRun,
                     false => OperationOutcome::Unknown,
                 });
@@ -369,8 +369,8 @@
         response: Response<Incoming>,
         lease: PooledConnection,
         attempt: AttemptGuard,
-        place: Place,
-    ) -> Response<AnswerBody> {
+        place: ConcurrencyPermit,
+    ) -> Response<ResponseBody> {
         let (mut parts, incoming) = response.into_parts();
         strip_hop_by_hop(&mut parts.headers);
         parts.version = Version::HTTP_11;
@@ -383,12 +383,12 @@
             .with_label_values(&[name, status_class])
             .inc();
         let rule = match pending.route().class {
-            RouteClass::Download => CutRule::Standstill(DOWNLOAD_STANDSTILL),
-            RouteClass::Read | RouteClass::OnceOnly => CutRule::At(pending.deadline),
+            RouteClass::Download => BodyTimeout::Idle(DOWNLOAD_STANDSTILL),
+            RouteClass::Read | RouteClass::OnceOnly => BodyTimeout::At(pending.deadline),
         };
         let cuts = metrics.cuts.with_label_values(&[name]);
-        let body = RelayBody::new(incoming, attempt, lease, rule, cuts, place);
-        Response::from_parts(parts, AnswerBody::Relay(Box::new(body)))
+        let body = UpstreamBody::new(incoming, attempt, lease, rule, cuts, place);
+        Response::from_parts(parts, ResponseBody::Upstream(Box::new(body)))
     }
 
     fn take_account(
--- a/crates/wingspur-entry/src/relay.rs
+++ b/crates/wingspur-entry/src/response_body.rs
@@ -12,26 +12,26 @@
 use wingspur_state::{AttemptId, AttemptOutcome, ServerIndex};
 use wingspur_transport::{BodyError, PooledConnection, poll_buffered};
 
-use crate::concern::Place;
-use crate::in_force::ServiceHandle;
+use crate::active_bundle::ServiceHandle;
+use crate::concurrency_limiter::ConcurrencyPermit;
 
 /// The body of any answer to a caller.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Wingspur's own.
-    Own(Full<Bytes>),
+    Local(Full<Bytes>),
     /// A backend server's, passed on as it comes.
-    Relay(Box<RelayBody>),
+    Upstream(Box<UpstreamBody>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body of wingspur's own.
     pub fn own(body: Full<Bytes>) -> Self {
-        Self::Own(body)
+        Self::Local(body)
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -40,22 +40,22 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Own(body) => poll_buffered(body, context),
-            Self::Relay(body) => body.poll(context),
+            Self::Local(body) => poll_buffered(body, context),
+            Self::Upstream(body) => body.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Own(body) => body.is_end_stream(),
-            Self::Relay(body) => body.incoming.is_end_stream(),
+            Self::Local(body) => body.is_end_stream(),
+            Self::Upstream(body) => body.incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Own(body) => body.size_hint(),
-            Self::Relay(body) => body.incoming.size_hint(),
+            Self::Local(body) => body.size_hint(),
+            Self::Upstream(body) => body.incoming.size_hint(),
         }
     }
 }
@@ -124,7 +124,7 @@
 
 /// A backend server's body with all that is bound to it.
 #[derive(Debug)]
-pub struct RelayBody {
+pub struct UpstreamBody {
     incoming: Incoming,
     attempt: AttemptGuard,
     lease: Option<PooledConnection>,
@@ -133,31 +133,31 @@
     standstill: Option<Duration>,
     cuts: IntCounter,
     /// Held until the answer is through.
-    _place: Place,
+    _place: ConcurrencyPermit,
 }
 
 /// When an answer that is not through is cut.
 #[derive(Debug, Clone, Copy)]
-pub enum CutRule {
+pub enum BodyTimeout {
     /// At this instant.
     At(Instant),
     /// When no byte came for so long.
-    Standstill(Duration),
+    Idle(Duration),
 }
 
-impl RelayBody {
+impl UpstreamBody {
     /// Passes on an answer whose head has come.
     pub fn new(
         incoming: Incoming,
         attempt: AttemptGuard,
         lease: PooledConnection,
-        rule: CutRule,
+        rule: BodyTimeout,
         cuts: IntCounter,
-        place: Place,
+        place: ConcurrencyPermit,
     ) -> Self {
         let (timer, standstill) = match rule {
-            CutRule::At(instant) => (Timer::at(instant), None),
-            CutRule::Standstill(limit) => (Timer::after(limit), Some(limit)),
+            BodyTimeout::At(instant) => (Timer::at(instant), None),
+            BodyTimeout::Idle(limit) => (Timer::after(limit), Some(limit)),
         };
         let lease = Some(lease);
         Self {
@@ -217,7 +217,7 @@
     }
 }
 
-impl Drop for RelayBody {
+impl Drop for UpstreamBody {
     fn drop(&mut self) {
         // A body whose length is known is not polled past its last byte.
         if self.lease.is_some() && self.incoming.is_end_stream() {
--- a/crates/wingspur-entry/src/shard_driver.rs
+++ b/crates/wingspur-entry/src/shard_driver.rs
@@ -8,12 +8,12 @@
 use wingspur_protocol::LogSegment;
 use wingspur_transport::{StopSignal, StoreError, WriteOutcome};
 
-use crate::shards::ShardSeat;
-use crate::shared::{Shared, unix_time};
+use crate::entry_state::{EntryState, unix_time};
+use crate::shards::ShardHandle;
 
 /// Drives the log of one shard until the box stops.
-pub async fn drive_shard(shared: Arc<Shared>, shard: u32, stop: StopSignal) {
-    let seat = shared.shards.seat(shard);
+pub async fn run_shard_log(shared: Arc<EntryState>, shard: u32, stop: StopSignal) {
+    let seat = shared.shards.shard(shard);
     while !stop.is_triggered() {
         let pending = seat.state.lock().log.has_pending();
         let due = async {
@@ -23,13 +23,13 @@
                 false => futures_lite::future::pending().await,
             };
         };
-        seat.woken().or(due).await;
+        seat.wait_for_work().or(due).await;
         while run_one(&shared, seat, shard).await {}
     }
 }
 
 /// Carries out one command of the log; false when there is nothing to do.
-async fn run_one(shared: &Arc<Shared>, seat: &ShardSeat, shard: u32) -> bool {
+async fn run_one(shared: &Arc<EntryState>, seat: &ShardHandle, shard: u32) -> bool {
     let unix_ms = unix_time().as_millis() as u64;
     let (command, expired) = {
         let mut state = seat.state.lock();
@@ -38,7 +38,7 @@
         let command = state.log.next_command(now, unix_ms);
         (command, expired)
     };
-    seat.answer(expired);
+    seat.resolve_claims(expired);
     let Some(command) = command else { return false };
     let verdicts = match command {
         LogCommand::TakeOwnership => take_ownership(shared, seat, shard).await,
@@ -54,13 +54,13 @@
             Vec::new()
         }
     };
-    seat.answer(verdicts);
+    seat.resolve_claims(verdicts);
     true
 }
 
 async fn take_ownership(
-    shared: &Shared,
-    seat: &ShardSeat,
+    shared: &EntryState,
+    seat: &ShardHandle,
     shard: u32,
 ) -> Vec<ClaimResult> {
     let key = shared.keys.log_owner(shard);
@@ -88,8 +88,8 @@
 }
 
 async fn load(
-    shared: &Shared,
-    seat: &ShardSeat,
+    shared: &EntryState,
+    seat: &ShardHandle,
     shard: u32,
     unix_ms: u64,
 ) -> Vec<ClaimResult> {
@@ -123,8 +123,8 @@
 }
 
 async fn put_segment(
-    shared: &Shared,
-    seat: &ShardSeat,
+    shared: &EntryState,
+    seat: &ShardHandle,
     shard: u32,
     write: SegmentWrite,
 ) -> Vec<ClaimResult> {
--- a/crates/wingspur-entry/src/shards.rs
+++ b/crates/wingspur-entry/src/shards.rs
@@ -12,20 +12,20 @@
 /// The once-only shards of a fleet, each with a log that is open where it is owned.
 #[derive(Debug)]
 pub struct Shards {
-    seats: Vec<ShardSeat>,
+    seats: Vec<ShardHandle>,
 }
 
 /// One shard's log, and who waits for it.
 #[derive(Debug)]
-pub struct ShardSeat {
+pub struct ShardHandle {
     /// The log.
-    pub state: RankedMutex<SeatState>,
+    pub state: RankedMutex<ShardState>,
     wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
 /// A shard's log with the claims that wait for an answer.
 #[derive(Debug)]
-pub struct SeatState {
+pub struct ShardState {
     /// The log.
     pub log: ShardLog,
     waiting: HashMap<ClaimTicket, async_channel::Sender<ClaimReply>>,
@@ -43,13 +43,13 @@
         };
         let seat = |_| {
             let writer = (settings.box_id.clone(), incarnation);
-            let state = SeatState {
+            let state = ShardState {
                 log: ShardLog::new(writer, log_settings),
                 waiting: HashMap::new(),
                 next_ticket: 1,
             };
             let state = RankedMutex::new(LockRank::Shards, state);
-            ShardSeat {
+            ShardHandle {
                 state,
                 wake: async_channel::bounded(1),
             }
@@ -65,12 +65,12 @@
     }
 
     /// One shard.
-    pub fn seat(&self, shard: u32) -> &ShardSeat {
+    pub fn shard(&self, shard: u32) -> &ShardHandle {
         &self.seats[shard as usize]
     }
 
     /// Shards that this box owns as of its last writes, and operations remembered.
-    pub fn owned(&self) -> (usize, usize) {
+    pub fn owned_totals(&self) -> (usize, usize) {
         let mut totals = (0, 0);
         for seat in &self.seats {
             let state = seat.state.lock();
@@ -89,14 +89,14 @@
 
     /// Answers a claim, here or from a peer, as the shard's owner.
     pub async fn claim(&self, request: ClaimRequest) -> ClaimReply {
-        let seat = self.seat(request.operation.shard(self.count()));
+        let seat = self.shard(request.operation.shard(self.count()));
         let (sender, receiver) = async_channel::bounded(1);
         let now = wingspur_clock::now();
         {
             let mut state = seat.state.lock();
             let ticket = state.next_ticket;
             state.next_ticket += 1;
-            let expires = now + CLAIM_PATIENCE;
+            let expires = now + CLAIM_TIMEOUT;
             if let Some(reply) = state.log.claim(request, ticket, expires, now) {
                 return reply;
             }
@@ -107,8 +107,8 @@
     }
 
     /// Takes in how an operation ended; false when this box does not own the shard.
-    pub fn outcome(&self, note: &OutcomeReport) -> bool {
-        let seat = self.seat(note.operation.shard(self.count()));
+    pub fn record_outcome(&self, note: &OutcomeReport) -> bool {
+        let seat = self.shard(note.operation.shard(self.count()));
         {
             let mut state = seat.state.lock();
             if !state.log.is_open() {
@@ -121,9 +121,9 @@
     }
 }
 
-impl ShardSeat {
+impl ShardHandle {
     /// Waits until there is something to do.
-    pub async fn woken(&self) {
+    pub async fn wait_for_work(&self) {
         // The channel stays open as long as the shards do.
         let _ = self.wake.1.recv().await;
     }
@@ -134,7 +134,7 @@
     }
 
     /// Hands verdicts to those who wait for them.
-    pub fn answer(&self, verdicts: Vec<ClaimResult>) {
+    pub fn resolve_claims(&self, verdicts: Vec<ClaimResult>) {
         let mut state = self.state.lock();
         for verdict in verdicts {
             if let Some(sender) = state.waiting.remove(&verdict.ticket) {
@@ -146,4 +146,4 @@
 }
 
 /// A claim that is not recorded by then is refused.
-pub const CLAIM_PATIENCE: Duration = Duration::from_millis(1500);
+pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -94,7 +94,7 @@
         load.run(&some_seconds(200.0, mix.clone())).await;
         load.run(&some_seconds(200.0, mix)).await;
         for running in fleet.boxes.iter().flatten() {
-            assert_eq!(running.servers_out(), ["exam-pages/exam-pages-02"]);
+            assert_eq!(running.restricted_servers(), ["exam-pages/exam-pages-02"]);
         }
         fleet.close().await;
     });
