--- a/crates/wingspur/src/bundle.rs
+++ b/crates/wingspur/src/bundle.rs
@@ -9,7 +9,7 @@
 use crate::CommandResult;
 use crate::args::{CheckArgs, SignArgs, SubmitArgs};
 use crate::keys::read_key;
-use crate::report::{Failure, print_json, read_json, write_new};
+use crate::report::{CommandError, print_json, read_json, write_new};
 use crate::signed_file::SignedFile;
 use crate::store::with_store;
 
@@ -39,13 +39,13 @@
     }
     let key = read_key(&args.key)?;
     let (signed, _) =
-        sign_bundle(&bundle, &args.signer, &key).map_err(Failure::failed)?;
+        sign_bundle(&bundle, &args.signer, &key).map_err(CommandError::failed)?;
     let file = SignedFile {
         signed,
         fleet: bundle.fleet.clone(),
         services: bundle.services,
     };
-    let text = serde_json::to_string(&file).map_err(Failure::failed)?;
+    let text = serde_json::to_string(&file).map_err(CommandError::failed)?;
     write_new(&args.out, &text)?;
     println!("Version {} is signed by {}.", bundle.version, args.signer);
     Ok(())
@@ -55,12 +55,14 @@
 pub fn submit(args: &SubmitArgs) -> CommandResult {
     let file: SignedFile = read_json(&args.signed)?;
     let parts = file.services.iter().map(serde_json::to_vec);
-    let parts: Vec<Vec<u8>> = parts.collect::<Result<_, _>>().map_err(Failure::failed)?;
+    let parts: Vec<Vec<u8>> = parts
+        .collect::<Result<_, _>>()
+        .map_err(CommandError::failed)?;
     let keys = StoreKeys::new(&file.fleet);
     let digest = with_store(args.store, async |store| {
         submit_bundle(&store, &keys, &file.signed, &parts).await
     });
-    println!("Submitted as {}.", digest.map_err(Failure::failed)?);
+    println!("Submitted as {}.", digest.map_err(CommandError::failed)?);
     Ok(())
 }
 
@@ -72,10 +74,10 @@
     ])
 }
 
-fn wrong(path: &std::path::Path, findings: &[Finding]) -> Failure {
+fn wrong(path: &std::path::Path, findings: &[Finding]) -> CommandError {
     let lines: Vec<String> = findings
         .iter()
         .map(|finding| format!("{}: {finding}", path.display()))
         .collect();
-    Failure::WrongInput(lines.join("\n"))
+    CommandError::WrongInput(lines.join("\n"))
 }
--- a/crates/wingspur/src/keys.rs
+++ b/crates/wingspur/src/keys.rs
@@ -8,7 +8,7 @@
 
 use crate::CommandResult;
 use crate::args::{NewKeyArgs, ShowKeyArgs};
-use crate::report::{Failure, write_new};
+use crate::report::{CommandError, write_new};
 
 /// Makes a secret key and shows its public half.
 pub fn new(args: &NewKeyArgs) -> CommandResult {
@@ -25,9 +25,9 @@
 }
 
 /// Reads a secret key.
-pub fn read_key(path: &Path) -> Result<SigningKey, Failure> {
+pub fn read_key(path: &Path) -> Result<SigningKey, CommandError> {
     let wrong = |what: &str| {
-        Failure::WrongInput(format!(
+        CommandError::WrongInput(format!(
             "{}: {what}; make one by `keys new`",
             path.display()
         ))
--- a/crates/wingspur/src/logs.rs
+++ b/crates/wingspur/src/logs.rs
@@ -3,7 +3,7 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use wingspur_edge::{LogFormat, LogSettings};
 
-use crate::report::Failure;
+use crate::report::CommandError;
 
 /// The running log; lines still in the queue are written when it is closed.
 pub struct Logs {
@@ -15,10 +15,12 @@
 
 impl Logs {
     /// Starts logging for the whole process.
-    pub fn start(settings: &LogSettings) -> Result<Self, Failure> {
+    pub fn start(settings: &LogSettings) -> Result<Self, CommandError> {
         let filter = tracing_subscriber::EnvFilter::try_new(&settings.filter);
         let filter = filter.map_err(|error| {
-            Failure::WrongInput(format!("log.filter: {error}; write it like \"info\""))
+            CommandError::WrongInput(format!(
+                "log.filter: {error}; write it like \"info\""
+            ))
         })?;
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
@@ -40,7 +42,7 @@
     }
 
     /// Tells of lines that were dropped since this was last asked; returns all that were.
-    pub fn tell_dropped(&mut self) -> usize {
+    pub fn report_dropped(&mut self) -> usize {
         let all = self.dropped.dropped_lines();
         if all > self.told {
             let (lines, told) = (all - self.told, self.told);
--- a/crates/wingspur/src/main.rs
+++ b/crates/wingspur/src/main.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 use crate::args::{Args, BundleCommand, Command, KeysCommand, RolloutCommand};
-use crate::report::Failure;
+use crate::report::CommandError;
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
@@ -45,4 +45,4 @@
 }
 
 /// The outcome of a command.
-type CommandResult = Result<(), Failure>;
+type CommandResult = Result<(), CommandError>;
--- a/crates/wingspur/src/report.rs
+++ b/crates/wingspur/src/report.rs
@@ -8,7 +8,7 @@
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum CommandError {
     /// It could not be done now.
     #[error("{0}")]
     Failed(String),
@@ -17,10 +17,10 @@
     WrongInput(String),
     /// Another bundle was accepted first.
     #[error("{0}")]
-    Overtaken(String),
+    VersionConflict(String),
 }
 
-impl Failure {
+impl CommandError {
     /// A failure of something that may go better another time.
     pub fn failed(error: impl Display) -> Self {
         Self::Failed(error.to_string())
@@ -31,35 +31,39 @@
         match self {
             Self::Failed(_) => ExitCode::from(1),
             Self::WrongInput(_) => ExitCode::from(2),
-            Self::Overtaken(_) => ExitCode::from(3),
+            Self::VersionConflict(_) => ExitCode::from(3),
         }
     }
 }
 
 /// Reads a JSON file; the message names the file and the place.
-pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, Failure> {
+pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
-        Failure::WrongInput(format!("{shown}: cannot be read: {error}; check the path"))
+        CommandError::WrongInput(format!(
+            "{shown}: cannot be read: {error}; check the path"
+        ))
     })?;
     serde_json::from_str(&text).map_err(|error| {
-        Failure::WrongInput(format!("{shown}: {error}; mend the file at that place"))
+        CommandError::WrongInput(format!("{shown}: {error}; mend the file at that place"))
     })
 }
 
 /// Writes a file that must not exist yet.
-pub fn write_new(path: &Path, text: &str) -> Result<(), Failure> {
+pub fn write_new(path: &Path, text: &str) -> Result<(), CommandError> {
     use std::io::Write;
     let shown = path.display();
     let file = std::fs::File::create_new(path).map_err(|error| {
-        Failure::WrongInput(format!("{shown}: {error}; choose another file"))
+        CommandError::WrongInput(format!("{shown}: {error}; choose another file"))
     });
-    file?.write_all(text.as_bytes()).map_err(Failure::failed)
+    file?
+        .write_all(text.as_bytes())
+        .map_err(CommandError::failed)
 }
 
 /// Prints a value as JSON.
-pub fn print_json(value: &impl serde::Serialize) -> Result<(), Failure> {
-    let text = serde_json::to_string_pretty(value).map_err(Failure::failed)?;
+pub fn print_json(value: &impl serde::Serialize) -> Result<(), CommandError> {
+    let text = serde_json::to_string_pretty(value).map_err(CommandError::failed)?;
     println!("{text}");
     Ok(())
 }
--- a/crates/wingspur/src/rollout.rs
+++ b/crates/wingspur/src/rollout.rs
@@ -15,7 +15,7 @@
 
 use crate::CommandResult;
 use crate::args::{RolloutStatusArgs, StartArgs};
-use crate::report::{Failure, print_json, read_json};
+use crate::report::{CommandError, print_json, read_json};
 use crate::signed_file::SignedFile;
 use crate::store::with_store;
 
@@ -48,10 +48,11 @@
     let accepted = with_store(args.store, async |store| {
         accept_bundle(&store, &keys, &file.signed).await
     });
-    match accepted.map_err(Failure::failed)? {
+    match accepted.map_err(CommandError::failed)? {
         Published::Accepted => {
             let manifest: wingspur_protocol::Manifest =
-                serde_json::from_str(&file.signed.manifest).map_err(Failure::failed)?;
+                serde_json::from_str(&file.signed.manifest)
+                    .map_err(CommandError::failed)?;
             let version = manifest.version;
             if args.json {
                 let signer = file.signed.signer;
@@ -76,7 +77,7 @@
                     signer,
                 })?;
             }
-            Err(Failure::Overtaken(text))
+            Err(CommandError::VersionConflict(text))
         }
     }
 }
@@ -112,7 +113,7 @@
 }
 
 /// Who the operator is towards boxes that speak TLS: all three files, or none.
-fn identity(args: &RolloutStatusArgs) -> Result<Option<Arc<TlsIdentity>>, Failure> {
+fn identity(args: &RolloutStatusArgs) -> Result<Option<Arc<TlsIdentity>>, CommandError> {
     let files = match (&args.authorities, &args.certificate, &args.key) {
         (None, None, None) => return Ok(None),
         (Some(authorities), Some(certificate), Some(key)) => TlsFiles {
@@ -123,11 +124,12 @@
         _ => {
             let hint =
                 "--authorities, --certificate and --key go together; give all three";
-            return Err(Failure::WrongInput(hint.to_owned()));
+            return Err(CommandError::WrongInput(hint.to_owned()));
         }
     };
     let identity = TlsIdentity::load(files);
-    let identity = identity.map_err(|error| Failure::WrongInput(error.to_string()))?;
+    let identity =
+        identity.map_err(|error| CommandError::WrongInput(error.to_string()))?;
     Ok(Some(Arc::new(identity)))
 }
 
@@ -135,15 +137,15 @@
     args: &RolloutStatusArgs,
     exchange: HttpClient,
     peers: &HttpClient,
-) -> Result<RolloutReport, Failure> {
+) -> Result<RolloutReport, CommandError> {
     let list = exchange.get(args.box_list, "/boxes", TIMEOUT).await;
     let list = list.map_err(|error| {
-        Failure::Failed(format!(
+        CommandError::Failed(format!(
             "{}: no box list: {error}; try again",
             args.box_list
         ))
     })?;
-    let list: BoxList = serde_json::from_slice(&list).map_err(Failure::failed)?;
+    let list: BoxList = serde_json::from_slice(&list).map_err(CommandError::failed)?;
     let mut boxes = Vec::with_capacity(list.boxes.len());
     for listed in &list.boxes {
         let status = ask_status(peers, &args.fleet, listed).await;
--- a/crates/wingspur/src/run.rs
+++ b/crates/wingspur/src/run.rs
@@ -13,12 +13,13 @@
 use crate::CommandResult;
 use crate::args::RunArgs;
 use crate::logs::Logs;
-use crate::report::Failure;
+use crate::report::CommandError;
 
 /// Runs a box; the first signal stops it as planned, an interrupt after that at once.
 pub fn run(args: &RunArgs) -> CommandResult {
     let settings = load_settings(&args.settings);
-    let settings = settings.map_err(|error| Failure::WrongInput(error.to_string()))?;
+    let settings =
+        settings.map_err(|error| CommandError::WrongInput(error.to_string()))?;
     if args.check {
         println!("The settings are sound.");
         return Ok(());
@@ -26,7 +27,7 @@
     let mut logs = Logs::start(&settings.log)?;
     log_start(&settings, &args.settings);
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
-        .map_err(Failure::failed)?;
+        .map_err(CommandError::failed)?;
     let workers = Workers::start(settings.worker_threads);
     let spawner = workers.spawner();
     spawner.detach(wingspur_clock::watch());
@@ -44,8 +45,8 @@
     logs.close();
     match ended? {
         Some(0) => Ok(()),
-        Some(cut) => Err(Failure::Failed(format!("{cut} requests were cut"))),
-        None => Err(Failure::Failed(
+        Some(cut) => Err(CommandError::Failed(format!("{cut} requests were cut"))),
+        None => Err(CommandError::Failed(
             "stopped at once by an interrupt".to_owned(),
         )),
     }
@@ -70,7 +71,7 @@
             Some(signal) if is_reload(&signal) => {}
             Some(_) | None => return,
         }
-        running.note_dropped_log_lines(logs.tell_dropped());
+        running.note_dropped_log_lines(logs.report_dropped());
         let new = match std::fs::read_to_string(path) {
             Ok(new) => new,
             Err(error) => {
@@ -115,17 +116,17 @@
 }
 
 impl Running {
-    async fn start(settings: Settings, spawner: &Spawner) -> Result<Self, Failure> {
+    async fn start(settings: Settings, spawner: &Spawner) -> Result<Self, CommandError> {
         let Some(sources) = settings.catalog.clone() else {
             let faults = FaultInjector::default();
             let started = EntryBox::start(settings, spawner, faults).await;
-            return Ok(Self::Own(Box::new(started.map_err(Failure::failed)?)));
+            return Ok(Self::Own(Box::new(started.map_err(CommandError::failed)?)));
         };
         let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
         let address = sources.store_address;
         let catalog = catalog(address, exchange.into(), STORE_TIMEOUT, LEASE_TTL);
         let started = EdgeBox::start(settings, header_names(), catalog, spawner).await;
-        Ok(Self::Edge(Box::new(started.map_err(Failure::failed)?)))
+        Ok(Self::Edge(Box::new(started.map_err(CommandError::failed)?)))
     }
 
     fn reload(&self, settings: Settings) {
--- a/crates/wingspur/src/status.rs
+++ b/crates/wingspur/src/status.rs
@@ -7,7 +7,7 @@
 
 use crate::CommandResult;
 use crate::args::StatusArgs;
-use crate::report::{Failure, print_json};
+use crate::report::{CommandError, print_json};
 
 /// Shows a box's state.
 pub fn status(args: &StatusArgs) -> CommandResult {
@@ -17,9 +17,9 @@
     workers.close();
     let got = got.map_err(|error| {
         let address = args.operator_address;
-        Failure::Failed(format!("{address}: {error}; is this the operator address?"))
+        CommandError::Failed(format!("{address}: {error}; is this the operator address?"))
     })?;
-    let status: BoxStatus = serde_json::from_slice(&got).map_err(Failure::failed)?;
+    let status: BoxStatus = serde_json::from_slice(&got).map_err(CommandError::failed)?;
     if args.json {
         return print_json(&status);
     }
