--- a/crates/wingspur-state/src/announced_state.rs
+++ b/crates/wingspur-state/src/announced_state.rs
@@ -1,90 +1,97 @@
-//! How runs of backend servers stand: what each has said of itself, and what binds by it.
+//! The states that instances of backend servers have announced in their responses or
+//! catalog entries, and whether requests may be sent to them.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::{ServerKey, ServerLimits};
 
-/// What this box knows of what runs of servers have said.
+/// The states that server instances have announced, as known to this box.
 ///
-/// What a run says ends by its own end or with the next run, which has another key: neither
-/// when its entry vanishes and comes back nor when anything else changes at the box.
+/// An announcement ends when its time is over or a newer response replaces it, or with
+/// the next instance, which has another key. It remains when the catalog entry disappears
+/// and returns, and when anything else changes at the box.
 #[derive(Debug, Default)]
 pub struct AnnouncedStates {
-    /// What they take from all boxes together.
+    /// The request limits over all boxes that they have announced.
     pub limits: ServerLimits,
     hints: HashMap<ServerKey, InstanceHints>,
-    announced: HashSet<ServerKey>,
-    /// Runs with words that are not announced, those that are so for longest first.
-    unannounced: VecDeque<ServerKey>,
+    listed: HashSet<ServerKey>,
+    /// Instances with announcements but without a catalog entry, in the order in which
+    /// they came to be so.
+    unlisted: VecDeque<ServerKey>,
 }
 
-/// What one run has said that binds until its end, or until a moment.
+/// The announcements of an instance that apply until its end, or until a point in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct InstanceHints {
-    /// Since when it is known to leave, and until when it takes what nothing else can serve.
-    leaves: Option<Leaving>,
-    /// Until when it wants nothing of this box.
+    /// Since when it is known to be draining, and until when it may serve as a last
+    /// resort.
+    draining: Option<Draining>,
+    /// Until when this box must not send it requests.
     backoff_until: Option<Instant>,
-    /// Whether another run answers at its address.
+    /// Whether another instance responds at its address.
     is_replaced: bool,
 }
 
-/// That a run leaves.
+/// Since when an instance is draining, and until when it may serve as a last resort.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Leaving {
+struct Draining {
     since: Instant,
-    works_until: Instant,
+    last_resort_until: Instant,
 }
 
-/// How a run stands with this box, by all that is known of it.
+/// The announced state of an instance, by all that this box knows of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AnnouncedState {
     hints: InstanceHints,
     limit_per_s: Option<f64>,
 }
 
-/// Whether a request may go to a run of a server.
+/// Whether a request may be sent to an instance of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Availability {
-    /// It may.
+    /// It may be sent.
     Open,
-    /// It may if it has a place within what the server takes, in requests a second.
+    /// It may be sent with quota of the server's limit, in requests a second.
     RequiresQuota(f64),
-    /// It may if nothing else can serve it, and its answer should be there by then.
+    /// It may be sent if no other server can serve it and the response is expected before
+    /// this time.
     LastResort(Instant),
-    /// Not before then, by this box.
+    /// It must not be sent by this box before this time.
     BackoffUntil(Instant),
-    /// Not at present, whatever the box waits for: it leaves, is replaced, or stands in an
-    /// evacuated data centre.
+    /// It must not be sent, and no wait helps: the instance is draining or replaced, or
+    /// is in an evacuated data centre.
     Unavailable,
 }
 
 impl AnnouncedStates {
-    /// Takes in that a run has said that it leaves; whether that was not known.
+    /// Records that an instance has announced in a response that it is draining; returns
+    /// whether this is new.
     pub fn record_draining(&mut self, server: ServerKey, since: Instant) -> bool {
-        let hints = self.hints_of(server);
-        let is_new = hints.leaves.is_none();
-        hints.note_leaving(Leaving {
+        let hints = self.hints_mut(server);
+        let is_new = hints.draining.is_none();
+        hints.merge_draining(Draining {
             since,
-            works_until: since + WORKS_ON_FOR,
+            last_resort_until: since + LAST_RESORT_WINDOW,
         });
         is_new
     }
 
-    /// Takes in that the catalog says that a run leaves: that closes it at once. The catalog
-    /// may have known it for as long as its news takes.
+    /// Records that the catalog lists an instance as draining, which makes it unavailable
+    /// at once: the catalog's change may be as old as its delivery takes.
     pub fn record_catalog_draining(&mut self, server: ServerKey, now: Instant) {
-        self.hints_of(server).note_leaving(Leaving {
+        self.hints_mut(server).merge_draining(Draining {
             since: now,
-            works_until: now,
+            last_resort_until: now,
         });
     }
 
-    /// Takes in that a run wants nothing of this box until a moment; whether that is later
-    /// than what was known. A shorter rest, or none, takes nothing back of a longer one.
+    /// Records that this box must not send requests to an instance until a time; returns
+    /// whether that is later than what was known. A shorter backoff, or none, does not
+    /// shorten a longer one.
     pub fn receive_backoff(&mut self, server: ServerKey, until: Instant) -> bool {
-        let hints = self.hints_of(server);
+        let hints = self.hints_mut(server);
         let is_longer = hints.backoff_until.is_none_or(|known| known < until);
         if is_longer {
             hints.backoff_until = Some(until);
@@ -92,12 +99,12 @@
         is_longer
     }
 
-    /// Takes in that another run answers at the address of this one.
+    /// Records that another instance responds at the address of this one.
     pub fn receive_replaced(&mut self, server: ServerKey) {
-        self.hints_of(server).is_replaced = true;
+        self.hints_mut(server).is_replaced = true;
     }
 
-    /// How a run stands.
+    /// Returns the announced state of an instance.
     pub fn state(&self, server: ServerKey) -> AnnouncedState {
         AnnouncedState {
             hints: self.hints.get(&server).copied().unwrap_or_default(),
@@ -105,58 +112,59 @@
         }
     }
 
-    /// The runs that leave, with since when that is known, for a box that has just linked
-    /// with this one.
+    /// Returns the draining instances with the time since when this is known, for a box
+    /// that has just linked with this one.
     pub fn draining(&self) -> Vec<(ServerKey, Instant)> {
-        let leaving = self.hints.iter();
-        let leaving =
-            leaving.filter_map(|(server, hints)| Some((*server, hints.leaves?.since)));
-        leaving.collect()
+        let draining = self.hints.iter();
+        let draining =
+            draining.filter_map(|(server, hints)| Some((*server, hints.draining?.since)));
+        draining.collect()
     }
 
-    /// Notes that a run is announced.
+    /// Records that an instance has a catalog entry.
     pub fn announce(&mut self, server: ServerKey) {
-        let is_new = self.announced.insert(server);
-        if is_new && self.says_any(server) {
-            self.unannounced.retain(|known| *known != server);
+        let is_new = self.listed.insert(server);
+        if is_new && self.has_announcements(server) {
+            self.unlisted.retain(|known| *known != server);
         }
     }
 
-    /// Notes that a run is not announced any more: its entry may come back, and what it said
-    /// binds then as before.
+    /// Records that an instance has no catalog entry any more. The entry may return, and
+    /// the announcements of the instance apply then as before.
     pub fn withdraw(&mut self, server: ServerKey) {
-        self.announced.remove(&server);
-        if self.says_any(server) {
-            self.note_unannounced(server);
+        self.listed.remove(&server);
+        if self.has_announcements(server) {
+            self.mark_unlisted(server);
         }
     }
 
-    /// Forgets a run: it has ended, and another has begun.
+    /// Removes an instance that has ended and was followed by another.
     pub fn forget(&mut self, server: ServerKey) {
         self.hints.remove(&server);
         self.limits.forget(server);
-        self.announced.remove(&server);
-        self.unannounced.retain(|known| *known != server);
+        self.listed.remove(&server);
+        self.unlisted.retain(|known| *known != server);
     }
 
-    fn hints_of(&mut self, server: ServerKey) -> &mut InstanceHints {
-        let is_new = !self.says_any(server);
-        if is_new && !self.announced.contains(&server) {
-            // Told by another box, before this one knows the run or after its end.
-            self.note_unannounced(server);
+    fn hints_mut(&mut self, server: ServerKey) -> &mut InstanceHints {
+        let is_new = !self.has_announcements(server);
+        if is_new && !self.listed.contains(&server) {
+            // Reported by another box before this one knows the instance, or after its
+            // end.
+            self.mark_unlisted(server);
         }
         self.hints.entry(server).or_default()
     }
 
-    fn says_any(&self, server: ServerKey) -> bool {
+    fn has_announcements(&self, server: ServerKey) -> bool {
         self.hints.contains_key(&server) || self.limits.limit(server).is_some()
     }
 
-    fn note_unannounced(&mut self, server: ServerKey) {
-        self.unannounced.retain(|known| *known != server);
-        self.unannounced.push_back(server);
-        if self.unannounced.len() > MOST_UNANNOUNCED
-            && let Some(first) = self.unannounced.pop_front()
+    fn mark_unlisted(&mut self, server: ServerKey) {
+        self.unlisted.retain(|known| *known != server);
+        self.unlisted.push_back(server);
+        if self.unlisted.len() > MAX_UNLISTED
+            && let Some(first) = self.unlisted.pop_front()
         {
             self.forget(first);
         }
@@ -164,59 +172,67 @@
 }
 
 impl InstanceHints {
-    /// Takes in that the run leaves; what was known sooner, or ends sooner, counts.
-    fn note_leaving(&mut self, told: Leaving) {
-        let known = self.leaves.unwrap_or(told);
-        self.leaves = Some(Leaving {
-            since: known.since.min(told.since),
-            works_until: known.works_until.min(told.works_until),
+    /// Records that the instance is draining; of this and what was known, the earlier
+    /// times count.
+    fn merge_draining(&mut self, reported: Draining) {
+        let known = self.draining.unwrap_or(reported);
+        self.draining = Some(Draining {
+            since: known.since.min(reported.since),
+            last_resort_until: known.last_resort_until.min(reported.last_resort_until),
         });
     }
 }
 
 impl AnnouncedState {
-    /// Whether a request of this box may go to the run now.
+    /// Returns whether a request of this box may be sent to the instance now.
     pub fn availability(&self, now: Instant) -> Availability {
-        let rest = self.hints.backoff_until.filter(|until| now < *until);
+        let backoff_until = self.hints.backoff_until.filter(|until| now < *until);
         if self.hints.is_replaced {
             return Availability::Unavailable;
         }
-        if let Some(leaving) = self.hints.leaves {
-            // A run in need as well is spared what little it could still do.
-            let is_in_need = rest.is_some() || self.limit_per_s.is_some();
-            return match now < leaving.works_until && !is_in_need {
-                true => Availability::LastResort(leaving.works_until),
+        if let Some(draining) = self.hints.draining {
+            // A draining instance that also limits its load or backs off gets no
+            // last-resort requests.
+            let asks_for_less_load =
+                backoff_until.is_some() || self.limit_per_s.is_some();
+            return match now < draining.last_resort_until && !asks_for_less_load {
+                true => Availability::LastResort(draining.last_resort_until),
                 false => Availability::Unavailable,
             };
         }
-        if let Some(until) = rest {
+        if let Some(until) = backoff_until {
             return Availability::BackoffUntil(until);
         }
         self.limit_per_s
             .map_or(Availability::Open, Availability::RequiresQuota)
     }
 
-    /// Notes that the catalog says that the run leaves: that closes it at once.
+    /// Records that the catalog lists the instance as draining, which makes it
+    /// unavailable at once.
     pub fn mark_catalog_draining(&mut self, now: Instant) {
-        self.hints.note_leaving(Leaving {
+        self.hints.merge_draining(Draining {
             since: now,
-            works_until: now,
+            last_resort_until: now,
         });
     }
 
-    /// The limit that the run has named, in requests a second; none for no limit.
+    /// Returns the limit that the instance has announced, in requests a second; `None`
+    /// for no limit.
     pub fn limit(&self) -> Option<f64> {
         self.limit_per_s
     }
 
-    /// Takes up a limit; none for no limit.
+    /// Sets the limit in requests a second; `None` for no limit.
     pub fn set_limit(&mut self, per_s: Option<f64>) {
         self.limit_per_s = per_s;
     }
 }
 
-/// For so long a run that has said that it leaves takes what nothing else can serve; it may
-/// not get any new work a few seconds later, and what it was sent has to end before it does.
-const WORKS_ON_FOR: Duration = Duration::from_secs(1);
-/// Whoever was withdrawn before so many others has ended: a run lives for seconds then.
-const MOST_UNANNOUNCED: usize = 8192;
+/// How long an instance that announced draining may still get requests as a last resort.
+/// It must get no new requests a few seconds after its announcement, and the ones that it
+/// was sent must end before it does.
+const LAST_RESORT_WINDOW: Duration = Duration::from_secs(1);
+/// The maximum number of instances without a catalog entry whose announcements are kept.
+/// An instance that is followed by so many others has ended: at such a rate instances
+/// live for seconds.
+const MAX_UNLISTED: usize = 8192;
--- a/crates/wingspur-state/src/balancer.rs
+++ b/crates/wingspur-state/src/balancer.rs
@@ -1,10 +1,10 @@
-//! Picks backend servers of one service by what the whole fleet knows of them.
+//! Picks backend servers of one service by the outcomes that all boxes have seen.
 //!
-//! Each candidate has a cost in milliseconds: how long its answer should take, with the
-//! wait for a slot, and what its likely failure would cost. The cheapest gets the request.
-//! There is no state of being ejected: a server that fails is dear, and becomes cheaper as
-//! its failures age or the others fill up, so that no decision can take the last capacity
-//! away.
+//! Each candidate has a cost in milliseconds: its expected response time with the wait
+//! for a slot, and the cost of a failure times its probability. One of the cheapest gets
+//! the request. No server is ejected: one that fails is expensive, and becomes cheaper as
+//! its failures age or the others fill up, so that no decision can remove the last
+//! capacity.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,11 +14,13 @@
 use rand::RngExt;
 use rand::seq::SliceRandom;
 
-use crate::choice_set::{MOST_DEARER, MOST_DEARER_WITH_ROOM, place_among};
+use crate::choice_set::{
+    MAX_EXTRA_COST_RATIO, MAX_EXTRA_COST_RATIO_WITH_SPARE_SLOTS, draw_from_cheapest,
+};
 use crate::health::{Health, HealthSnapshot, UnknownFailures, UsualFailures};
 use crate::idle_probe::{
-    IdleProbeInputs, IdleServer, TRUSTED_SHARE, holds_strictly, is_in_reach,
-    pick_idle_probe,
+    IdleProbeInputs, IdleServer, TRUSTED_FAILURE_PROBABILITY, can_meet_floor,
+    enforces_floor_strictly, pick_idle_probe,
 };
 use crate::retry_after::LONGEST_RETURN;
 use crate::tracked_server::{
@@ -30,113 +32,115 @@
     quota_request_probability,
 };
 
-/// The backend servers of a service, as one box picks among them.
+/// The backend servers of a service, with the state by which one box picks among them.
 #[derive(Debug)]
 pub struct Balancer {
-    home: DataCentreId,
+    local_data_centre: DataCentreId,
     regions: Arc<Regions>,
     servers: BTreeMap<ServerKey, Server>,
-    /// The data centres whose servers get nothing more.
+    /// The evacuated data centres, whose servers get no more requests.
     evacuated: Arc<BTreeSet<DataCentreId>>,
-    /// Requests a second that a cold server bears; none where it is not limited.
-    cold_requests_per_s: Option<f64>,
+    /// The limit of a cold server in requests a second; `None` for no limit.
+    warmup_rate_limit_per_s: Option<f64>,
     attempts: HashMap<AttemptId, Attempt>,
     next_attempt: AttemptId,
-    /// What fails at well servers.
-    usual: UsualFailures,
-    /// What fails at servers of which nothing was known.
-    unknown: UnknownFailures,
-    /// Requests that this box may have out at one server.
-    most_in_flight: u32,
-    /// Whether a server has turned suspect since this was last asked.
-    alarmed: bool,
+    /// The failure ratio of healthy servers.
+    baseline_failures: UsualFailures,
+    /// The failure ratio of servers without a recent successful response.
+    unknown_failures: UnknownFailures,
+    /// The maximum number of requests that this box may have in flight at one server.
+    max_in_flight: u32,
+    /// Whether a server has become much more likely to be faulty since the last
+    /// `take_new_suspicion`.
+    has_new_suspicion: bool,
 }
 
-/// What a request wants of a server.
+/// What the pick needs to know of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct PickRequest<'a> {
     /// Whether it may be sent again if the server fails.
     pub retry_safe: bool,
-    /// How long an answer usually takes.
+    /// The typical service time of the request's route.
     pub typical_latency: Duration,
-    /// What it costs to cross to another data centre.
+    /// The cost of sending it to another data centre.
     pub cross_data_centre_cost: Duration,
-    /// Servers that it was sent to before.
+    /// Servers that it was already sent to.
     pub tried: &'a [ServerKey],
-    /// How the service fares.
+    /// The present load and failure ratio of the service.
     pub service_load: ServiceLoad,
 }
 
-/// A server that was picked, and why.
+/// A picked server, with the figures behind the pick.
 #[derive(Debug, Clone)]
 pub struct Pick {
     /// The server.
     pub server: Arc<ServerRecord>,
-    /// When its answer should be there, in milliseconds.
+    /// The expected response time, in milliseconds.
     pub expected_ms: f64,
-    /// The same for a server that takes the usual time.
+    /// The expected response time of a server of typical speed with the same load, in
+    /// milliseconds.
     pub baseline_ms: f64,
-    /// The same for this one while it is well.
+    /// The expected response time of this server if it is healthy, in milliseconds.
     pub healthy_ms: f64,
-    /// Of them, the wait for a slot.
+    /// The part of `expected_ms` that is the wait for a slot, in milliseconds.
     pub wait_ms: f64,
-    /// How likely it is to fail.
+    /// The probability that the request fails there.
     pub failure_probability: f64,
-    /// Requests that the fleet has out there.
+    /// Requests that all boxes have in flight there.
     pub in_flight: u32,
-    /// Servers that it was picked from.
+    /// The number of servers that it was picked from.
     pub candidates: usize,
-    /// How many of the cheapest it was drawn among; 0 for one that was not drawn.
+    /// The number of cheapest servers that it was drawn from; 0 if it was not drawn.
     pub choice_set_size: usize,
-    /// Whether it is an unused server that is tried, for the sake of the floor.
+    /// Whether the pick is an idle probe, which keeps enough servers in use.
     pub is_idle_probe: bool,
-    /// How long ago another box last told of it; none if none ever did.
+    /// The time since another box last reported on it; `None` if none ever did.
     pub last_report_age: Option<Duration>,
 }
 
-/// A server that has turned suspect, or is one no more.
+/// A server that has become suspected, or is not any more.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SuspicionChange {
     /// The server.
     pub server: Arc<ServerRecord>,
-    /// Whether it is a suspect now.
+    /// Whether it is suspected now.
     pub is_suspected: bool,
-    /// The share of its requests that should fail.
+    /// The probability that a request fails there.
     pub failure_probability: f64,
-    /// When a box last sent it a request, as far as is known.
+    /// The time since a box last sent it a request, as far as this box knows.
     pub last_request_at: Duration,
 }
 
 impl Balancer {
-    /// No servers yet; `home` is the box's data centre.
-    pub fn new(home: DataCentreId) -> Self {
-        Self::with_regions(home, Arc::default())
+    /// Creates a balancer without servers; `local_data_centre` is the one of this box.
+    pub fn new(local_data_centre: DataCentreId) -> Self {
+        Self::with_regions(local_data_centre, Arc::default())
     }
 
-    /// The same where data centres stand in different regions.
-    pub fn with_regions(home: DataCentreId, regions: Arc<Regions>) -> Self {
+    /// Creates a balancer without servers for data centres that are in `regions`.
+    pub fn with_regions(local_data_centre: DataCentreId, regions: Arc<Regions>) -> Self {
         Self {
-            home,
+            local_data_centre,
             regions,
             servers: BTreeMap::new(),
             evacuated: Arc::default(),
-            cold_requests_per_s: None,
+            warmup_rate_limit_per_s: None,
             attempts: HashMap::new(),
             next_attempt: 1,
-            usual: UsualFailures::new(),
-            unknown: UnknownFailures::default(),
-            most_in_flight: u32::MAX,
-            alarmed: false,
+            baseline_failures: UsualFailures::new(),
+            unknown_failures: UnknownFailures::default(),
+            max_in_flight: u32::MAX,
+            has_new_suspicion: false,
         }
     }
 
-    /// Takes in a server, or its changed record.
+    /// Adds a server, or updates its record.
     pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let key = record.key();
         let cold_until = now + Duration::from_millis(record.cold_ms);
         let record = Arc::new(record);
         let distance = self.distance(&record.data_centre);
-        let fresh = || Server {
+        let new_server = || Server {
             record: record.clone(),
             distance,
             cold_until,
@@ -154,7 +158,7 @@
             standing: AnnouncedState::default(),
             suspect: false,
         };
-        let server = self.servers.entry(key).or_insert_with(fresh);
+        let server = self.servers.entry(key).or_insert_with(new_server);
         if record.leaving {
             server.standing.mark_catalog_draining(now);
         }
@@ -167,70 +171,73 @@
     }
 
     fn distance(&self, data_centre: &DataCentreId) -> Distance {
-        if *data_centre == self.home {
+        if *data_centre == self.local_data_centre {
             return Distance::SameDataCentre;
         }
         let region = |of: &DataCentreId| self.regions.get(of);
-        match (region(&self.home), region(data_centre)) {
+        match (region(&self.local_data_centre), region(data_centre)) {
             (Some(own), Some(other)) if own != other => Distance::OtherRegion,
             _ => Distance::SameRegion,
         }
     }
 
-    /// Forgets a server; attempts that are out there end on their own.
+    /// Removes a server; attempts in flight there end on their own.
     pub fn remove(&mut self, key: ServerKey) {
         self.servers.remove(&key);
     }
 
-    /// Divides the connections that each server accepts among the boxes.
+    /// Divides the connections that each server accepts equally among the boxes, as a
+    /// limit for this box's requests in flight at a server.
     pub fn set_connection_shares(&mut self, connections: u32, boxes: usize) {
         let boxes = boxes.clamp(1, u32::MAX as usize) as u32;
-        self.most_in_flight = (connections / boxes).max(LEAST_CONNECTIONS);
+        self.max_in_flight = (connections / boxes).max(MIN_REQUESTS_PER_SERVER);
     }
 
-    /// Takes in how a server stands by what it has said.
-    pub fn set_announced_state(&mut self, key: ServerKey, standing: AnnouncedState) {
+    /// Sets the announced state of a server.
+    pub fn set_announced_state(&mut self, key: ServerKey, state: AnnouncedState) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.standing = standing;
+            server.standing = state;
         }
     }
 
-    /// Takes in what a server takes from all boxes together; none for no limit.
+    /// Sets a server's limit over all boxes, in requests a second; `None` for no limit.
     pub fn set_limit(&mut self, key: ServerKey, per_s: Option<f64>) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.standing.set_limit(per_s);
         }
     }
 
-    /// Takes in which data centres are evacuated: their servers get nothing more.
+    /// Sets the evacuated data centres, whose servers get no more requests.
     pub fn set_evacuated(&mut self, evacuated: Arc<BTreeSet<DataCentreId>>) {
         self.evacuated = evacuated;
     }
 
-    /// Takes in how many requests a second a cold server bears; none for no limit.
+    /// Sets the limit of a cold server over all boxes, in requests a second; `None` for
+    /// no limit.
     pub fn set_warmup_rate_limit(&mut self, per_s: Option<f64>) {
-        self.cold_requests_per_s = per_s;
+        self.warmup_rate_limit_per_s = per_s;
     }
 
-    /// What a server takes from all boxes together, in requests a second, by what it has
-    /// named and while it is cold; none for no limit.
+    /// Returns a server's limit over all boxes, in requests a second: the lower one of
+    /// the limit that it announced and of the limit while it is cold. `None` for no
+    /// limit.
     pub fn limit(&self, key: ServerKey, now: Instant) -> Option<f64> {
         let server = self.servers.get(&key)?;
         let limits = [server.standing.limit(), self.cold_limit(server, now)];
         limits.into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// A server as it announces itself.
+    /// Returns the catalog record of a server.
     pub fn record(&self, key: ServerKey) -> Option<&Arc<ServerRecord>> {
         Some(&self.servers.get(&key)?.record)
     }
 
-    /// Whether a request that was to go to a server may still be sent there: what the server
-    /// says may come while a connection is made.
+    /// Returns whether a request may still be sent to the server that was picked for it:
+    /// the server's announcements may arrive while a connection is made.
     pub fn may_send(&self, key: ServerKey, now: Instant) -> bool {
         let server = self.servers.get(&key);
-        let access = server.map(|server| self.access_now(server, now));
-        access.is_some_and(|access| match access {
+        let availability = server.map(|server| self.availability(server, now));
+        availability.is_some_and(|availability| match availability {
             Availability::Open
             | Availability::RequiresQuota(_)
             | Availability::LastResort(_) => true,
@@ -238,171 +245,196 @@
         })
     }
 
-    /// Picks the server with the least cost among those that any request may go to; none
-    /// when there is none.
+    /// Picks an idle server to probe, or else one of the cheapest open servers without a
+    /// limit; `None` if there is none.
     pub fn pick(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
-        if let Some(pick) = self.pick_unused(want, now, random) {
+        if let Some(pick) = self.pick_idle(request, now, random) {
             return Some(pick);
         }
-        self.cheapest(want, |access, _| access == Availability::Open, now, random)
+        self.draw_cheapest(
+            request,
+            |availability, _| availability == Availability::Open,
+            now,
+            random,
+        )
     }
 
-    /// Picks a server that leaves, for a request that nothing else can serve as soon: one
-    /// whose answer should be there before its time is over.
+    /// Picks a draining server as a last resort, for a request that no other server can
+    /// serve as soon: one that is expected to respond before its last-resort time is
+    /// over.
     pub fn pick_draining(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
-        let is_in_time = |access, expected: Duration| match access {
+        let responds_in_time = |availability, expected: Duration| match availability {
             Availability::LastResort(until) => now + expected < until,
             _ => false,
         };
-        self.cheapest(want, is_in_time, now, random)
+        self.draw_cheapest(request, responds_in_time, now, random)
     }
 
-    /// The server with the least cost among those that may take the request, by whether a
-    /// request may go there and when its answer should be there.
-    fn cheapest(
+    /// Draws one of the cheapest servers among those that `may_take` accepts, by their
+    /// availability and expected response time.
+    fn draw_cheapest(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         may_take: impl Fn(Availability, Duration) -> bool,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
-        let usual = self.usual.share();
-        let typical_ms = want.typical_latency.as_secs_f64() * 1000.0;
-        let has_room = !is_in_reach(self.servers.len(), &want.service_load);
+        let baseline_failure_ratio = self.baseline_failures.share();
+        let typical_ms = request.typical_latency.as_secs_f64() * 1000.0;
+        let has_spare_slots = !can_meet_floor(self.servers.len(), &request.service_load);
         let mut costs = Vec::with_capacity(self.servers.len());
         for server in self.servers.values() {
-            let Some(access) = self.access(server, want, now) else {
+            let Some(availability) = self.availability_for(server, request, now) else {
                 continue;
             };
-            let weight = self.weigh(server, want, usual, now);
-            if !may_take(access, weight.expected()) {
+            let estimate = self.estimate(server, request, baseline_failure_ratio, now);
+            if !may_take(availability, estimate.expected()) {
                 continue;
             }
-            let noise = 1.0 + NOISE * random.random::<f64>();
-            let mut cost =
-                weight.expected_ms * noise + self.penalty_ms(server, want, &weight, now);
-            if has_room && server.refused.is_some_and(|at| now < at + CROWDED_FOR) {
+            let noise = 1.0 + COST_NOISE_RATIO * random.random::<f64>();
+            let mut cost = estimate.expected_ms * noise
+                + self.penalty_ms(server, request, &estimate, now);
+            if has_spare_slots
+                && server
+                    .refused
+                    .is_some_and(|at| now < at + FULL_QUEUE_DURATION)
+            {
                 cost += typical_ms;
             }
-            costs.push((cost, server, weight));
+            costs.push((cost, server, estimate));
         }
         let candidates = costs.len();
         let slots: u32 = costs.iter().map(|(_, server, _)| server.record.slots).sum();
         let mean_slots = f64::from(slots.max(1)) / candidates.max(1) as f64;
-        let (drawn_among, dearer) = match has_room {
+        let (set_size, max_extra_ratio) = match has_spare_slots {
             false => (
-                (want.service_load.unreported_requests / mean_slots) as usize,
-                MOST_DEARER,
+                (request.service_load.unreported_requests / mean_slots) as usize,
+                MAX_EXTRA_COST_RATIO,
             ),
-            // With slots to spare everywhere, a queue is many boxes at the same server.
-            true => (candidates, MOST_DEARER_WITH_ROOM),
+            // With spare slots everywhere, a queue only forms when many boxes pick the
+            // same server.
+            true => (candidates, MAX_EXTRA_COST_RATIO_WITH_SPARE_SLOTS),
         };
-        let drawn_among = drawn_among.max(1);
-        let place = place_among(
+        let set_size = set_size.max(1);
+        let index = draw_from_cheapest(
             &mut costs,
             |(cost, ..)| *cost,
-            drawn_among,
-            typical_ms * dearer,
+            set_size,
+            typical_ms * max_extra_ratio,
             random,
         )?;
-        let (_, server, weight) = &costs[place];
+        let (_, server, estimate) = &costs[index];
         Some(Pick {
-            choice_set_size: drawn_among,
-            ..weight.pick(server, candidates, now)
+            choice_set_size: set_size,
+            ..estimate.pick(server, candidates, now)
         })
     }
 
-    /// The servers with limits that this request is to ask for a place at, by chance, before
-    /// any other: each is asked for as often as its limit is worth.
+    /// Samples the servers with limits whose quota this request should ask for before any
+    /// other server is picked, each with a probability that depends on its limit.
     ///
-    /// Picked by their costs like the others, those that all boxes find idle would be asked
-    /// for by every request, and those that are dearer never use what they take. Servers in need
-    /// are often gray as well: doubted ones are left out, as the others' costs leave them out,
-    /// so that a limit makes no server a better pick than it is.
+    /// If these servers were picked by cost like the others, every request would ask for
+    /// the quota of those that all boxes see idle, and the more expensive ones would
+    /// never use up their limits. Servers that limit their load often have gray failures
+    /// as well: those with a high failure probability are left out, as their cost does
+    /// among the others, so that a limit does not make a server a better pick than it is.
     pub fn sample_rate_limited(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<Pick> {
-        let mut due = self.limited(want, now);
-        if due.is_empty() {
+        let mut sampled = self.rate_limited(request, now);
+        if sampled.is_empty() {
             return Vec::new();
         }
         let open = self.servers.values().filter(|server| {
-            let access = self.access_now(server, now);
-            matches!(access, Availability::Open | Availability::RequiresQuota(_))
+            let availability = self.availability(server, now);
+            matches!(
+                availability,
+                Availability::Open | Availability::RequiresQuota(_)
+            )
         });
-        let open = open.count();
-        due.retain(|(per_s, pick)| {
-            let share =
-                quota_request_probability(*per_s, want.service_load.requests_per_s, open);
-            let is_well = pick.failure_probability < MOST_DUE_DOUBT && pick.wait_ms < 1.0;
-            is_well && random.random_bool(share.clamp(0.0, 1.0))
+        let open_count = open.count();
+        sampled.retain(|(per_s, pick)| {
+            let probability = quota_request_probability(
+                *per_s,
+                request.service_load.requests_per_s,
+                open_count,
+            );
+            let is_likely_healthy = pick.failure_probability
+                < MAX_SAMPLED_FAILURE_PROBABILITY
+                && pick.wait_ms < 1.0;
+            is_likely_healthy && random.random_bool(probability.clamp(0.0, 1.0))
         });
-        due.shuffle(random);
-        due.into_iter().map(|(_, pick)| pick).collect()
+        sampled.shuffle(random);
+        sampled.into_iter().map(|(_, pick)| pick).collect()
     }
 
-    /// The servers with limits that may take this request where no other server can: the
-    /// trusted ones in any order, then the doubted ones, the least doubted first. Suspected ones
-    /// are left out while there are others, and for requests that cannot be sent again all that
-    /// are doubted much: to those a refusal is worth more than a likely failure.
+    /// Returns the servers with limits that may take this request when no other server
+    /// can: the trusted ones in random order, then the others by rising failure
+    /// probability.
+    ///
+    /// Suspected servers are left out while there are others. For requests that are not
+    /// retry-safe the bound is lower, because a refusal is better for them than a likely
+    /// failure.
     pub fn rate_limited_by_failure_probability(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Vec<Pick> {
-        let limited = self.limited(want, now).into_iter();
+        let limited = self.rate_limited(request, now).into_iter();
         let mut limited: Vec<Pick> = limited.map(|(_, pick)| pick).collect();
         limited.shuffle(random);
-        let doubt = |pick: &Pick| match pick.failure_probability < TRUSTED_SHARE {
-            true => 0.0,
-            false => pick.failure_probability,
-        };
-        limited.sort_by(|one, other| doubt(one).total_cmp(&doubt(other)));
-        let most = match want.retry_safe {
-            true => SUSPECT_SHARE,
-            false => MOST_DUE_DOUBT,
+        let sort_key =
+            |pick: &Pick| match pick.failure_probability < TRUSTED_FAILURE_PROBABILITY {
+                true => 0.0,
+                false => pick.failure_probability,
+            };
+        limited.sort_by(|one, other| sort_key(one).total_cmp(&sort_key(other)));
+        let max_probability = match request.retry_safe {
+            true => SUSPECTED_FAILURE_PROBABILITY,
+            false => MAX_SAMPLED_FAILURE_PROBABILITY,
         };
-        let is_left_out = |pick: &Pick| pick.failure_probability >= most;
+        let is_left_out = |pick: &Pick| pick.failure_probability >= max_probability;
         if !limited.first().is_some_and(is_left_out) {
             limited.retain(|pick| !is_left_out(pick));
         }
         limited
     }
 
-    /// The servers with limits that may take a request, with their limits.
-    fn limited(&self, want: &PickRequest<'_>, now: Instant) -> Vec<(f64, Pick)> {
-        let usual = self.usual.share();
+    /// Returns the servers with limits that may take a request, with their limits in
+    /// requests a second.
+    fn rate_limited(&self, request: &PickRequest<'_>, now: Instant) -> Vec<(f64, Pick)> {
+        let baseline_failure_ratio = self.baseline_failures.share();
         let limited = self.servers.values().filter_map(|server| {
-            match self.access(server, want, now)? {
+            match self.availability_for(server, request, now)? {
                 Availability::RequiresQuota(per_s) => Some((per_s, server)),
                 _ => None,
             }
         });
         let limited: Vec<_> = limited.collect();
         let candidates = limited.len();
-        let weighed = limited.into_iter().map(|(per_s, server)| {
-            let weight = self.weigh(server, want, usual, now);
-            (per_s, weight.pick(server, candidates, now))
+        let picks = limited.into_iter().map(|(per_s, server)| {
+            let estimate = self.estimate(server, request, baseline_failure_ratio, now);
+            (per_s, estimate.pick(server, candidates, now))
         });
-        weighed.collect()
+        picks.collect()
     }
 
-    /// Whether any request may go to a server now.
-    fn access_now(&self, server: &Server, now: Instant) -> Availability {
+    /// Returns whether requests may be sent to a server now.
+    fn availability(&self, server: &Server, now: Instant) -> Availability {
         if self.evacuated.contains(&server.record.data_centre) {
             return Availability::Unavailable;
         }
@@ -411,42 +443,45 @@
             self.cold_limit(server, now),
         ) {
             (Availability::Open, Some(cold)) => Availability::RequiresQuota(cold),
-            (Availability::RequiresQuota(named), Some(cold)) => {
-                Availability::RequiresQuota(named.min(cold))
+            (Availability::RequiresQuota(announced), Some(cold)) => {
+                Availability::RequiresQuota(announced.min(cold))
             }
-            (access, _) => access,
+            (availability, _) => availability,
         }
     }
 
     fn cold_limit(&self, server: &Server, now: Instant) -> Option<f64> {
-        self.cold_requests_per_s.filter(|_| now < server.cold_until)
+        self.warmup_rate_limit_per_s
+            .filter(|_| now < server.cold_until)
     }
 
-    /// Whether a request may go to a server; none where it was sent there before, or where
-    /// this box has as many out there as it may.
-    fn access(
+    /// Returns whether a request may be sent to a server; `None` if it was already sent
+    /// there, or if this box has its maximum number of requests in flight there.
+    fn availability_for(
         &self,
         server: &Server,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
     ) -> Option<Availability> {
-        let saturated = server.own.in_flight >= self.most_in_flight;
-        let was_tried = want.tried.contains(&server.record.key());
-        let may = !saturated && !was_tried;
-        may.then(|| self.access_now(server, now))
+        let is_saturated = server.own.in_flight >= self.max_in_flight;
+        let was_tried = request.tried.contains(&server.record.key());
+        let is_allowed = !is_saturated && !was_tried;
+        is_allowed.then(|| self.availability(server, now))
     }
 
-    /// The shortest wait for a slot at any open server without a limit, or for the end of a
-    /// server's rest; none when there is no such server.
+    /// Returns the shortest wait for a slot at any open server without a limit, or for
+    /// the end of a server's backoff; `None` if there is no such server.
     pub fn min_queue_wait(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
     ) -> Option<Duration> {
-        let usual = self.usual.share();
+        let baseline_failure_ratio = self.baseline_failures.share();
         let waits = self.servers.values().filter_map(|server| {
-            let wait_ms = self.weigh(server, want, usual, now).wait_ms;
-            match self.access_now(server, now) {
+            let wait_ms = self
+                .estimate(server, request, baseline_failure_ratio, now)
+                .wait_ms;
+            match self.availability(server, now) {
                 Availability::Open => Some(Duration::from_secs_f64(wait_ms / 1000.0)),
                 Availability::BackoffUntil(until) => {
                     Some(until.saturating_duration_since(now))
@@ -459,33 +494,35 @@
         waits.min()
     }
 
-    /// When the first server that rests may take the request again; none where none rests.
+    /// Returns the time until the first server that backs off may take the request;
+    /// `None` if no server backs off.
     pub fn shortest_backoff(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
     ) -> Option<Duration> {
-        let resting = self.servers.values().filter_map(|server| {
-            match self.access(server, want, now)? {
+        let backoffs = self.servers.values().filter_map(|server| {
+            match self.availability_for(server, request, now)? {
                 Availability::BackoffUntil(until) => {
                     Some(until.saturating_duration_since(now))
                 }
                 _ => None,
             }
         });
-        resting.min()
+        backoffs.min()
     }
 
-    /// Requests that the open servers can answer in a second, as likely as they are well, and
-    /// as far as their limits allow.
+    /// Returns how many requests a second the available servers are expected to serve, by
+    /// their slots, speed, failures and limits. `typical` is the typical service time.
     pub fn capacity_per_s(&self, typical: Duration, now: Instant) -> f64 {
-        let usual = self.usual.share();
-        let typical_s = typical.as_secs_f64().max(LEAST_TYPICAL_S);
+        let baseline_failure_ratio = self.baseline_failures.share();
+        let typical_s = typical.as_secs_f64().max(MIN_TYPICAL_LATENCY_S);
         let rates = self.servers.values().map(|server| {
-            let most_per_s = match self.access_now(server, now) {
+            let max_per_s = match self.availability(server, now) {
                 Availability::Open => f64::INFINITY,
                 Availability::RequiresQuota(per_s) => per_s,
-                // Who is told now when to come back finds it there.
+                // Callers that get a `Retry-After` now find the server available on
+                // return.
                 Availability::BackoffUntil(until) if until <= now + LONGEST_RETURN => {
                     f64::INFINITY
                 }
@@ -494,16 +531,16 @@
                 | Availability::Unavailable => 0.0,
             };
             let health = server.health.at(now);
-            let answered = 1.0 - server.failure_share(usual, now);
+            let answered = 1.0 - server.failure_share(baseline_failure_ratio, now);
             let accepted = 1.0 - health.refusal_share();
             let slots = f64::from(server.record.slots) / health.slowness();
             let per_s = slots * answered * accepted / typical_s;
-            per_s.min(most_per_s)
+            per_s.min(max_per_s)
         });
         rates.sum()
     }
 
-    /// Counts an attempt as begun.
+    /// Records that an attempt has begun.
     pub fn begin(
         &mut self,
         key: ServerKey,
@@ -528,7 +565,7 @@
         id
     }
 
-    /// Counts an attempt as ended.
+    /// Records that an attempt has ended, and how.
     pub fn end(&mut self, id: AttemptId, ended: HealthOutcome, now: Instant) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -539,17 +576,24 @@
         server.changed = true;
         server.own.in_flight = server.own.in_flight.saturating_sub(1);
         server.take_back_silence(attempt.silence_quarters);
-        let seen = attempt.outcome(ended, now);
-        server.own = server.own.plus(&seen);
-        self.unknown.add(&seen, server.unanswered_for(now));
-        let usual = self.usual.share();
-        self.alarmed |= server.observe(&seen, usual, now);
-        server.path.add(&path_outcome(ended, &seen), usual, now);
-        self.usual.add(&seen, 1.0 - server.health.sickness());
-    }
-
-    /// Takes in what other boxes have seen, as told by a source; `updates` are the outcomes
-    /// that were not known before.
+        let tally_change = attempt.outcome(ended, now);
+        server.own = server.own.plus(&tally_change);
+        self.unknown_failures
+            .add(&tally_change, server.unanswered_for(now));
+        let baseline_failure_ratio = self.baseline_failures.share();
+        self.has_new_suspicion |=
+            server.observe(&tally_change, baseline_failure_ratio, now);
+        server.path.add(
+            &path_outcome(ended, &tally_change),
+            baseline_failure_ratio,
+            now,
+        );
+        self.baseline_failures
+            .add(&tally_change, 1.0 - server.health.sickness());
+    }
+
+    /// Applies a tally that a source reports for other boxes; `updates` are the outcomes
+    /// in it that were not known before.
     pub fn apply_remote(
         &mut self,
         source: SourceId,
@@ -561,82 +605,89 @@
             return;
         };
         server.heard = Some(now);
-        let before = server.remote.insert(source, tally).unwrap_or_default();
-        if tally.in_flight > before.in_flight
+        let previous = server.remote.insert(source, tally).unwrap_or_default();
+        if tally.in_flight > previous.in_flight
             || updates.good + updates.failed + updates.refused > 0
         {
             server.sent = now;
         }
-        self.unknown.add(updates, server.unanswered_for(now));
-        self.alarmed |= server.observe(updates, self.usual.share(), now);
-        self.usual.add(updates, 1.0 - server.health.sickness());
+        self.unknown_failures
+            .add(updates, server.unanswered_for(now));
+        self.has_new_suspicion |=
+            server.observe(updates, self.baseline_failures.share(), now);
+        self.baseline_failures
+            .add(updates, 1.0 - server.health.sickness());
     }
 
-    /// Whether a server has turned suspect since this was last asked: other boxes should
-    /// know at once, before they send it more.
+    /// Returns whether a server has become much more likely to be faulty since the last
+    /// call. The tallies should then be sent at once, before other boxes send that server
+    /// more requests.
     pub fn take_new_suspicion(&mut self) -> bool {
-        std::mem::take(&mut self.alarmed)
+        std::mem::take(&mut self.has_new_suspicion)
     }
 
-    /// What a box that has just come should know of the servers.
+    /// Returns the health of the servers that are noticeably faulty or slow, for a box
+    /// that has just joined.
     pub fn health_snapshots(&self, now: Instant) -> Vec<(ServerKey, HealthSnapshot)> {
-        let noted = self.servers.iter();
-        noted
+        let servers = self.servers.iter();
+        servers
             .filter_map(|(key, server)| Some((*key, server.health.snapshot(now)?)))
             .collect()
     }
 
-    /// Takes over what another box knows of a server.
+    /// Merges another box's health snapshot of a server.
     pub fn merge_health_snapshot(
         &mut self,
         key: ServerKey,
-        note: &HealthSnapshot,
+        snapshot: &HealthSnapshot,
         now: Instant,
     ) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.health.merge_snapshot(note, now);
+            server.health.merge_snapshot(snapshot, now);
         }
     }
 
-    /// Forgets what a source has out: it is not heard any more.
+    /// Removes the tallies of a source that has stopped reporting.
     pub fn forget_source(&mut self, source: SourceId) {
         for server in self.servers.values_mut() {
             server.remote.remove(&source);
         }
     }
 
-    /// Counts the silence of an attempt as it stands now; whether it tells more than before.
+    /// Counts the time that an attempt has been without a response as evidence against
+    /// its server; returns whether the evidence has increased.
     pub fn update_silence_evidence(&mut self, id: AttemptId, now: Instant) -> bool {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return false;
         };
         let quarters = attempt.silence_at(now);
-        let more = quarters.saturating_sub(attempt.silence_quarters);
-        if more == 0 {
+        let added_quarters = quarters.saturating_sub(attempt.silence_quarters);
+        if added_quarters == 0 {
             return false;
         }
         attempt.silence_quarters = quarters;
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.own.silence_quarters += more;
+            server.own.silence_quarters += added_quarters;
             server.changed = true;
         }
         true
     }
 
-    /// Notes that the answer of an attempt has begun: how long the rest takes, and whether
-    /// its caller waits for it, tells nothing of the server.
+    /// Records that the response of an attempt has started, and takes back the evidence
+    /// from the wait. How long the remainder takes, and whether the caller waits for it,
+    /// is no evidence about the server.
     pub fn record_response_started(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         attempt.answering = true;
-        let silence = std::mem::take(&mut attempt.silence_quarters);
+        let quarters = std::mem::take(&mut attempt.silence_quarters);
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.take_back_silence(silence);
+            server.take_back_silence(quarters);
         }
     }
 
-    /// This box's tallies that have changed since they were last taken.
+    /// Returns this box's tallies that have changed since the last call.
     pub fn take_changes(&mut self) -> Vec<KeyedTally> {
         let changed = self.servers.iter_mut().filter(|(_, server)| server.changed);
         changed
@@ -647,130 +698,142 @@
             .collect()
     }
 
-    /// All of this box's tallies that say anything.
+    /// Returns all of this box's tallies that are not empty.
     pub fn tallies(&self) -> Vec<KeyedTally> {
-        let told = self.servers.iter().map(|(key, server)| (*key, server.own));
-        told.filter(|(_, tally)| *tally != ServerTally::default())
+        let tallies = self.servers.iter().map(|(key, server)| (*key, server.own));
+        tallies
+            .filter(|(_, tally)| *tally != ServerTally::default())
             .collect()
     }
 
-    /// Attempts that are out now.
+    /// Returns the number of attempts in flight.
     pub fn outstanding(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Servers that have turned suspect, or are suspects no more, since this was last asked.
+    /// Returns the servers that have become suspected, or are not any more, since the
+    /// last call.
     pub fn take_suspicion_changes(&mut self, now: Instant) -> Vec<SuspicionChange> {
-        let usual = self.usual.share();
-        let mut turned = Vec::new();
+        let baseline_failure_ratio = self.baseline_failures.share();
+        let mut changes = Vec::new();
         for server in self.servers.values_mut() {
-            let failure_share = server.failure_share(usual, now);
-            let suspect = failure_share >= SUSPECT_SHARE;
-            if suspect == server.suspect {
+            let probability = server.failure_share(baseline_failure_ratio, now);
+            let suspected = probability >= SUSPECTED_FAILURE_PROBABILITY;
+            if suspected == server.suspect {
                 continue;
             }
-            server.suspect = suspect;
-            turned.push(SuspicionChange {
+            server.suspect = suspected;
+            changes.push(SuspicionChange {
                 server: server.record.clone(),
-                is_suspected: suspect,
-                failure_probability: failure_share,
+                is_suspected: suspected,
+                failure_probability: probability,
                 last_request_at: now.saturating_duration_since(server.sent),
             });
         }
-        turned
+        changes
     }
 
-    /// Servers that are likelier than not to fail, by id, for the box's status.
+    /// Returns the ids of the suspected and the unavailable servers, for the box's
+    /// status.
     pub fn suspects(&self, now: Instant) -> Vec<String> {
-        let usual = self.usual.share();
+        let baseline_failure_ratio = self.baseline_failures.share();
         let suspected = |server: &&Server| {
-            let is_closed = self.access_now(server, now) == Availability::Unavailable;
-            server.failure_share(usual, now) >= SUSPECT_SHARE || is_closed
+            let is_unavailable =
+                self.availability(server, now) == Availability::Unavailable;
+            server.failure_share(baseline_failure_ratio, now)
+                >= SUSPECTED_FAILURE_PROBABILITY
+                || is_unavailable
         };
         let suspects = self.servers.values().filter(suspected);
         suspects.map(|server| server.record.id.clone()).collect()
     }
 
-    /// Tries a server that no box has used for a while.
-    fn pick_unused(
+    /// Picks a server to probe that no box has sent a request for a while.
+    fn pick_idle(
         &self,
-        want: &PickRequest<'_>,
+        request: &PickRequest<'_>,
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Pick> {
-        if !is_in_reach(self.servers.len(), &want.service_load) {
+        if !can_meet_floor(self.servers.len(), &request.service_load) {
             return None;
         }
-        let spares_sick = !want.retry_safe && !holds_strictly(&want.service_load);
-        let may_be_well = |server: &&Server| {
+        let spares_faulty =
+            !request.retry_safe && !enforces_floor_strictly(&request.service_load);
+        let may_be_healthy = |server: &&Server| {
             let failed = server
                 .failed
-                .is_some_and(|at| now < at + FLOOR_AFTER_FAILURE);
-            let was_sick = spares_sick
+                .is_some_and(|at| now < at + PROBE_DELAY_AFTER_FAILURE);
+            let was_faulty = spares_faulty
                 && server
                     .surely_sick
-                    .is_some_and(|at| now < at + FLOOR_AFTER_SICKNESS);
-            // What has named a limit does not count as in use or not: it is sent what that
-            // allows, and what leaves or rests nothing.
-            !failed && !was_sick && self.access_now(server, now) == Availability::Open
+                    .is_some_and(|at| now < at + PROBE_DELAY_AFTER_FAULT);
+            // Servers with limits are not counted, because they are sent what their
+            // limits allow. Draining servers and those that back off get no requests at
+            // all.
+            !failed && !was_faulty && self.availability(server, now) == Availability::Open
         };
-        // The boxes of its own data centre can try a server for less.
-        let at_home = want.cross_data_centre_cost >= DEAR_CROSSING
-            && !holds_strictly(&want.service_load);
-        let usual = self.usual.share();
-        let unused = |server: &Server| {
+        // The boxes in the same data centre as an idle server can probe it at a lower
+        // cost.
+        let local_only = request.cross_data_centre_cost >= EXPENSIVE_CROSSING
+            && !enforces_floor_strictly(&request.service_load);
+        let baseline_failure_ratio = self.baseline_failures.share();
+        let to_idle_server = |server: &Server| {
             let key = server.record.key();
             let is_far = server.distance == Distance::OtherRegion;
-            let away = is_far || (at_home && server.distance != Distance::SameDataCentre);
+            let is_too_far =
+                is_far || (local_only && server.distance != Distance::SameDataCentre);
             IdleServer {
                 key,
                 idle_for: now.saturating_duration_since(server.sent),
-                failure_probability: server.failure_share(usual, now),
-                is_eligible: !away && !want.tried.contains(&key),
+                failure_probability: server.failure_share(baseline_failure_ratio, now),
+                is_eligible: !is_too_far && !request.tried.contains(&key),
             }
         };
-        let servers = self.servers.values().filter(may_be_well);
-        let servers: Vec<_> = servers.map(unused).collect();
+        let servers = self.servers.values().filter(may_be_healthy);
+        let servers: Vec<_> = servers.map(to_idle_server).collect();
         let inputs = IdleProbeInputs {
-            retry_safe: want.retry_safe,
-            service_load: want.service_load,
+            retry_safe: request.retry_safe,
+            service_load: request.service_load,
         };
         let key = pick_idle_probe(&servers, &inputs, random)?;
         let server = self.servers.get(&key)?;
-        let weight = self.weigh(server, want, usual, now);
+        let estimate = self.estimate(server, request, baseline_failure_ratio, now);
         Some(Pick {
             is_idle_probe: true,
-            ..weight.pick(server, servers.len(), now)
+            ..estimate.pick(server, servers.len(), now)
         })
     }
 
-    fn weigh(
+    fn estimate(
         &self,
         server: &Server,
-        want: &PickRequest<'_>,
-        usual: f64,
+        request: &PickRequest<'_>,
+        baseline_failure_ratio: f64,
         now: Instant,
-    ) -> Weight {
+    ) -> Estimate {
         let in_flight = server.in_flight();
         let slots = f64::from(server.record.slots.max(1));
-        let cold = if now < server.cold_until {
-            COLD_FACTOR
+        let cold_slowness = if now < server.cold_until {
+            COLD_SLOWNESS
         } else {
             1.0
         };
-        let slowness = server.health.at(now).slowness().max(cold);
-        let typical_ms = want.typical_latency.as_secs_f64() * 1000.0;
-        // The queue before the request, in rounds of all slots.
-        let ahead = (f64::from(in_flight) + 1.0 - slots).max(0.0) / slots;
-        let crowding = CROWDING * f64::from(in_flight) / slots;
-        let usual_ms = typical_ms * (1.0 + ahead + crowding);
-        let known = server.failure_share(usual, now);
-        Weight {
-            expected_ms: usual_ms * slowness,
-            usual_ms,
-            well_ms: usual_ms * slowness.clamp(1.0, MOST_WELL_SLOWNESS),
-            wait_ms: typical_ms * slowness * ahead,
-            failure_share: self.unknown.aged(known, server.unanswered_for(now)),
+        let slowness = server.health.at(now).slowness().max(cold_slowness);
+        let typical_ms = request.typical_latency.as_secs_f64() * 1000.0;
+        // The queue ahead of the request, as a multiple of all slots.
+        let queue_rounds = (f64::from(in_flight) + 1.0 - slots).max(0.0) / slots;
+        let load_slowdown = FULL_LOAD_SLOWDOWN_RATIO * f64::from(in_flight) / slots;
+        let baseline_ms = typical_ms * (1.0 + queue_rounds + load_slowdown);
+        let own_probability = server.failure_share(baseline_failure_ratio, now);
+        Estimate {
+            expected_ms: baseline_ms * slowness,
+            baseline_ms,
+            healthy_ms: baseline_ms * slowness.clamp(1.0, MAX_HEALTHY_SLOWNESS),
+            wait_ms: typical_ms * slowness * queue_rounds,
+            failure_probability: self
+                .unknown_failures
+                .aged(own_probability, server.unanswered_for(now)),
             in_flight,
         }
     }
@@ -778,38 +841,42 @@
     fn penalty_ms(
         &self,
         server: &Server,
-        want: &PickRequest<'_>,
-        weight: &Weight,
+        request: &PickRequest<'_>,
+        estimate: &Estimate,
         now: Instant,
     ) -> f64 {
-        let failure_ms = if want.retry_safe {
-            REPEATABLE_FAILURE_MS
+        let failure_ms = if request.retry_safe {
+            RETRY_SAFE_FAILURE_MS
         } else {
-            LOST_FAILURE_MS
+            NON_RETRY_SAFE_FAILURE_MS
         };
-        let refusals = server.health.at(now).refusal_share();
-        let crossing_ms = want.cross_data_centre_cost.as_secs_f64() * 1000.0;
+        let refusal_ratio = server.health.at(now).refusal_share();
+        let crossing_ms = request.cross_data_centre_cost.as_secs_f64() * 1000.0;
         let crossing_ms = match server.distance {
             Distance::SameDataCentre => 0.0,
             Distance::SameRegion => crossing_ms,
-            Distance::OtherRegion => REGION_WAY_MS + REGION_CROSSINGS * crossing_ms,
+            Distance::OtherRegion => {
+                REGION_ROUND_TRIP_MS + REGION_COST_FACTOR * crossing_ms
+            }
         };
-        weight.failure_share * failure_ms + refusals * REFUSAL_MS + crossing_ms
+        estimate.failure_probability * failure_ms
+            + refusal_ratio * REFUSAL_MS
+            + crossing_ms
     }
 }
 
-/// What a request may expect of a server.
+/// The expected times and the failure probability of a request at a server.
 #[derive(Debug, Clone, Copy)]
-struct Weight {
+struct Estimate {
     expected_ms: f64,
-    usual_ms: f64,
-    well_ms: f64,
+    baseline_ms: f64,
+    healthy_ms: f64,
     wait_ms: f64,
-    failure_share: f64,
+    failure_probability: f64,
     in_flight: u32,
 }
 
-impl Weight {
+impl Estimate {
     fn expected(&self) -> Duration {
         Duration::from_secs_f64(self.expected_ms / 1000.0)
     }
@@ -818,10 +885,10 @@
         Pick {
             server: server.record.clone(),
             expected_ms: self.expected_ms,
-            baseline_ms: self.usual_ms,
-            healthy_ms: self.well_ms,
+            baseline_ms: self.baseline_ms,
+            healthy_ms: self.healthy_ms,
             wait_ms: self.wait_ms,
-            failure_probability: self.failure_share,
+            failure_probability: self.failure_probability,
             in_flight: self.in_flight,
             candidates,
             choice_set_size: 0,
@@ -831,44 +898,48 @@
     }
 }
 
-/// The way to another region and back.
-const REGION_WAY_MS: f64 = 60.0;
-/// Bytes between regions share one line, and cost about twice as much as those between data
-/// centres of a region.
-const REGION_CROSSINGS: f64 = 2.0;
-/// No work takes less than a millisecond.
-const LEAST_TYPICAL_S: f64 = 0.001;
-/// Costs are blurred by up to this share, so that boxes with the same view spread.
-const NOISE: f64 = 0.2;
-/// Servers slow down as they fill: this share of the work's time for full slots.
-const CROWDING: f64 = 0.3;
-/// A server that takes longer than so many times the usual is not well: its silence counts
-/// from there.
-const MOST_WELL_SLOWNESS: f64 = 2.0;
-/// A server that has just started takes about twice as long.
-const COLD_FACTOR: f64 = 2.0;
-/// What a failure costs a request that can be sent again: another attempt.
-const REPEATABLE_FAILURE_MS: f64 = 1500.0;
-/// What a failure costs a request that cannot: it weighs as much as several late answers.
-const LOST_FAILURE_MS: f64 = 5000.0;
-/// A server that refused has a queue of several service times.
-const CROWDED_FOR: Duration = Duration::from_secs(1);
-/// What a refusal costs: a round trip and a resend from the budget.
+/// The round trip to another region.
+const REGION_ROUND_TRIP_MS: f64 = 60.0;
+/// All bytes between regions share one line and cost about twice as much as those between
+/// data centres of a region.
+const REGION_COST_FACTOR: f64 = 2.0;
+/// The minimum service time: no request takes less than a millisecond.
+const MIN_TYPICAL_LATENCY_S: f64 = 0.001;
+/// Random noise increases costs by up to this fraction, so that boxes with the same state
+/// spread their requests.
+const COST_NOISE_RATIO: f64 = 0.2;
+/// Servers slow down under load: with full slots by this fraction of the service time.
+const FULL_LOAD_SLOWDOWN_RATIO: f64 = 0.3;
+/// A server with a higher slowness is not healthy: the wait for its responses counts as
+/// evidence from this multiple of the typical time.
+const MAX_HEALTHY_SLOWNESS: f64 = 2.0;
+/// The slowness of a server that has just started: it takes about twice as long.
+const COLD_SLOWNESS: f64 = 2.0;
+/// The cost of a failure for a retry-safe request: another attempt.
+const RETRY_SAFE_FAILURE_MS: f64 = 1500.0;
+/// The cost of a failure for other requests, which is as bad as several late responses.
+const NON_RETRY_SAFE_FAILURE_MS: f64 = 5000.0;
+/// A server that refused a request has a queue of several service times and is avoided
+/// for this long.
+const FULL_QUEUE_DURATION: Duration = Duration::from_secs(1);
+/// The cost of a refusal: a round trip and a resend from the retry budget.
 const REFUSAL_MS: f64 = 300.0;
-/// A server that failed counts as one that may be well after this; the users say two
-/// seconds.
-const FLOOR_AFTER_FAILURE: Duration = Duration::from_millis(1500);
-/// For requests that cannot be sent again, in calm times, a server that was surely sick counts
-/// as one that may be well only after this: the floor is judged by servers that have had no
-/// trouble for six seconds.
-const FLOOR_AFTER_SICKNESS: Duration = Duration::from_millis(6000);
-/// An answer that costs this much to fetch from another data centre, as a download does, is
-/// not spent on trying a server there.
-const DEAR_CROSSING: Duration = Duration::from_millis(300);
-/// A box may always have so many requests out at a server.
-const LEAST_CONNECTIONS: u32 = 4;
-/// A server with a limit that is doubted more is left to those without: less leaves much of
-/// the limits unused, more sends gray servers what fails.
-const MOST_DUE_DOUBT: f64 = 0.2;
-/// From here on a server is named as suspect in the status.
-pub const SUSPECT_SHARE: f64 = 0.35;
+/// How long after a failure a server counts again as one that may be healthy; the
+/// requirement says two seconds.
+const PROBE_DELAY_AFTER_FAILURE: Duration = Duration::from_millis(1500);
+/// For requests that are not retry-safe, and while few requests fail, a server that was
+/// almost certainly faulty counts as one that may be healthy only after this time: the
+/// floor is judged by servers that have had no trouble for six seconds.
+const PROBE_DELAY_AFTER_FAULT: Duration = Duration::from_millis(6000);
+/// Requests with at least this cost to another data centre, as downloads have, do not
+/// probe servers there, unless the floor is enforced strictly.
+const EXPENSIVE_CROSSING: Duration = Duration::from_millis(300);
+/// A box may always have this many requests in flight at a server.
+const MIN_REQUESTS_PER_SERVER: u32 = 4;
+/// A server with a limit is not sampled from this failure probability on: a lower bound
+/// would leave much of the limits unused, a higher one would send requests that fail to
+/// servers with gray failures.
+const MAX_SAMPLED_FAILURE_PROBABILITY: f64 = 0.2;
+/// A server is suspected from this failure probability on, and listed in the box's
+/// status.
+pub const SUSPECTED_FAILURE_PROBABILITY: f64 = 0.35;
--- a/crates/wingspur-state/src/correlated_suspicion.rs
+++ b/crates/wingspur-state/src/correlated_suspicion.rs
@@ -1,61 +1,65 @@
-//! Telling a sick server from what befalls many servers at once.
+//! Distinguishes a faulty server from a problem that affects many servers at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::{ServerIndex, Service};
 
-/// Which servers look uneasy at the same time.
+/// Which servers have raised suspicion scores at the same time.
 ///
-/// When half of a service is uneasy, it is the service, the network or a change, and no
-/// ejection would help. When a whole data centre is, it may only be slow: suspicion must
-/// last until the present shift of its latency is known.
+/// If half of a service's servers have them, the cause is the service, the network or a
+/// change, and ejecting servers would not help. If most servers of a data centre have
+/// them, it may only be slow at present: a suspicion must last until the change of its
+/// latency is known.
 #[derive(Debug)]
 pub struct Unease {
-    whole_service: bool,
-    in_uneasy_group: Vec<bool>,
+    is_service_wide: bool,
+    is_in_raised_group: Vec<bool>,
 }
 
 impl Unease {
-    /// Looks at the evidence against each server.
+    /// Compares the suspicion score of each server with `raised_at`; `groups` are the
+    /// servers of each data centre.
     pub fn new(
         scores: impl Iterator<Item = f64>,
         groups: &[Vec<ServerIndex>],
-        uneasy_at: f64,
+        raised_at: f64,
     ) -> Self {
-        let uneasy: Vec<bool> = scores.map(|score| score >= uneasy_at).collect();
-        let count = uneasy.iter().filter(|uneasy| **uneasy).count();
-        let whole_service = uneasy.len() >= LEAST_TO_COMPARE && count * 2 >= uneasy.len();
-        let mut in_uneasy_group = vec![false; uneasy.len()];
+        let is_raised: Vec<bool> = scores.map(|score| score >= raised_at).collect();
+        let count = is_raised.iter().filter(|is_raised| **is_raised).count();
+        let is_service_wide =
+            is_raised.len() >= MIN_SERVERS_TO_COMPARE && count * 2 >= is_raised.len();
+        let mut is_in_raised_group = vec![false; is_raised.len()];
         for group in groups
             .iter()
-            .filter(|group| group.len() >= LEAST_TO_COMPARE)
+            .filter(|group| group.len() >= MIN_SERVERS_TO_COMPARE)
         {
-            let count = group.iter().filter(|server| uneasy[**server]).count();
+            let count = group.iter().filter(|server| is_raised[**server]).count();
             if count * 4 >= group.len() * 3 {
                 group
                     .iter()
-                    .for_each(|server| in_uneasy_group[*server] = true);
+                    .for_each(|server| is_in_raised_group[*server] = true);
             }
         }
         Self {
-            whole_service,
-            in_uneasy_group,
+            is_service_wide,
+            is_in_raised_group,
         }
     }
 
-    /// Whether a server that has been over the threshold for so long may be suspected.
+    /// Returns whether a server whose score has been over the ejection threshold for the
+    /// time `over` may be suspected.
     pub fn allows(&self, server: ServerIndex, over: Duration) -> bool {
-        let patience = if self.in_uneasy_group[server] {
-            GROUP_PATIENCE
+        let delay = if self.is_in_raised_group[server] {
+            GROUP_SUSPICION_DELAY
         } else {
             Duration::ZERO
         };
-        !self.whole_service && over >= patience
+        !self.is_service_wide && over >= delay
     }
 }
 
-/// The servers of each data centre.
+/// Returns the servers of each data centre.
 pub fn groups_of(service: &Service) -> Vec<Vec<ServerIndex>> {
     let mut groups: BTreeMap<&str, Vec<ServerIndex>> = BTreeMap::new();
     for (index, server) in service.servers.iter().enumerate() {
@@ -64,8 +68,8 @@
     groups.into_values().collect()
 }
 
-/// A server is uneasy at this share of the threshold.
+/// A suspicion score counts as raised from this fraction of the ejection threshold.
 pub const UNEASY_SHARE: f64 = 0.25;
-const LEAST_TO_COMPARE: usize = 3;
-/// The present shift is known after this.
-const GROUP_PATIENCE: Duration = Duration::from_millis(2500);
+const MIN_SERVERS_TO_COMPARE: usize = 3;
+/// The change of a data centre's latency is known after this time.
+const GROUP_SUSPICION_DELAY: Duration = Duration::from_millis(2500);
--- a/crates/wingspur-state/src/hedge.rs
+++ b/crates/wingspur-state/src/hedge.rs
@@ -1,4 +1,5 @@
-//! When a second attempt beside a silent one is worth its price.
+//! Decides when a hedge, a second attempt beside one without a response yet, is worth its
+//! cost.
 
 use std::time::Duration;
 
@@ -7,57 +8,61 @@
 /// What is known when an attempt begins.
 #[derive(Debug, Clone, Copy)]
 pub struct HedgeInputs {
-    /// How likely its server fails.
+    /// The probability that its server fails the request.
     pub failure_probability: f64,
-    /// When its answer should be there if the server is well.
+    /// When its response is expected if the server is healthy, from the start of the
+    /// attempt.
     pub expected: Duration,
-    /// How good answers of the route spread around that.
+    /// The distribution of the route's successful response times around that.
     pub service_time: ServiceTime,
-    /// How long the answer is on target, from the attempt's beginning.
+    /// How long after the start of the attempt a response still meets the latency target.
     pub time_to_latency_target: Duration,
-    /// The spent part of the retry budget.
+    /// The fraction of the retry budget that is used up, 0 to 1.
     pub budget_used_ratio: f64,
 }
 
-/// How long an attempt stays silent before a second one is sent beside it.
+/// Returns how long an attempt may go without a response before a hedge is sent.
 ///
-/// That is when the first has likelier failed than is slow, and later while the budget is
-/// scarce. While it is ample, the second is sent in time to be on target itself.
-///
-/// Gain: fewer reads are lost than with a second attempt at a fixed multiple of the usual
-/// time.
+/// The hedge is sent when the attempt has more likely failed than is slow, and later as
+/// the retry budget is used up. While the budget is ample, it is sent early enough to
+/// meet the latency target itself. Fewer reads fail than with a hedge after a fixed
+/// multiple of the typical latency.
 pub fn hedge_delay(inputs: &HedgeInputs) -> Duration {
-    let spent = inputs.budget_used_ratio.clamp(0.0, 1.0);
-    let doubt = LEAST_DOUBT + (MOST_DOUBT - LEAST_DOUBT) * spent;
-    let failing = inputs
+    let budget_used = inputs.budget_used_ratio.clamp(0.0, 1.0);
+    let threshold = MIN_FAILED_PROBABILITY
+        + (MAX_FAILED_PROBABILITY - MIN_FAILED_PROBABILITY) * budget_used;
+    let failure_probability = inputs
         .failure_probability
-        .clamp(LEAST_FAILING, MOST_FAILING);
-    let odds = failing / (1.0 - failing);
-    // The share of good answers at which the likelihood of a failure reaches the doubt.
-    let still_good = (odds * (1.0 - doubt) / doubt).min(MOST_OVERTAKEN);
-    let silent_for = |share: f64| {
-        let ratio = inputs.service_time.ratio_at_survival(share);
+        .clamp(MIN_FAILURE_PROBABILITY, MAX_FAILURE_PROBABILITY);
+    let odds = failure_probability / (1.0 - failure_probability);
+    // The fraction of successful responses still outstanding at the time when the
+    // probability that the attempt has failed reaches the threshold.
+    let survival = (odds * (1.0 - threshold) / threshold).min(MAX_OVERTAKEN_RATIO);
+    let delay_at_survival = |survival: f64| {
+        let ratio = inputs.service_time.ratio_at_survival(survival);
         inputs.expected.mul_f64(ratio)
     };
-    let doubtful = silent_for(still_good);
-    if spent > AMPLE_SPENT {
-        return doubtful;
+    let threshold_delay = delay_at_survival(survival);
+    if budget_used > AMPLE_BUDGET_USED_RATIO {
+        return threshold_delay;
     }
-    let second = inputs.expected.mul_f64(SECOND_TAKES);
-    let on_target = inputs.time_to_latency_target.saturating_sub(second);
-    doubtful.min(on_target.max(silent_for(MOST_OVERTAKEN)))
+    let hedge_latency = inputs.expected.mul_f64(HEDGE_LATENCY_RATIO);
+    let latest_on_target = inputs.time_to_latency_target.saturating_sub(hedge_latency);
+    threshold_delay.min(latest_on_target.max(delay_at_survival(MAX_OVERTAKEN_RATIO)))
 }
 
-/// A second attempt is sent when the first has failed with this likelihood, while none of
-/// the budget is spent and when all of it is.
-const LEAST_DOUBT: f64 = 0.5;
-const MOST_DOUBT: f64 = 0.95;
-/// No server is sure to answer, or to fail.
-const LEAST_FAILING: f64 = 0.005;
-const MOST_FAILING: f64 = 0.95;
-/// However doubtful the first server, no more than this share of good answers is overtaken.
-const MOST_OVERTAKEN: f64 = 0.2;
-/// While no more of the budget is spent, a second attempt is sent in time for the target.
-const AMPLE_SPENT: f64 = 0.5;
-/// Of four good answers, three take less than so many times the expected time.
-const SECOND_TAKES: f64 = 1.25;
+/// The probability that the first attempt has failed at which the hedge is sent: the
+/// minimum while the budget is unused, the maximum when all of it is used.
+const MIN_FAILED_PROBABILITY: f64 = 0.5;
+const MAX_FAILED_PROBABILITY: f64 = 0.95;
+/// No server is certain to succeed, or to fail.
+const MIN_FAILURE_PROBABILITY: f64 = 0.005;
+const MAX_FAILURE_PROBABILITY: f64 = 0.95;
+/// However likely the first server fails, at most this fraction of its successful
+/// responses takes longer than the delay of the hedge.
+const MAX_OVERTAKEN_RATIO: f64 = 0.2;
+/// While no more of the budget is used, a hedge is sent early enough for the latency
+/// target.
+const AMPLE_BUDGET_USED_RATIO: f64 = 0.5;
+/// Three of four successful responses take less than this multiple of the expected time.
+const HEDGE_LATENCY_RATIO: f64 = 1.25;
--- a/crates/wingspur-state/src/idle_probe.rs
+++ b/crates/wingspur-state/src/idle_probe.rs
@@ -1,4 +1,8 @@
-//! Which unused server a request tries, so that enough of a service's servers are in use.
+//! Chooses the idle server that a request probes, so that enough of a service's servers
+//! are in use.
+//!
+//! The minimum fraction of the healthy servers that must receive requests in any two
+//! seconds is called the floor here.
 
 use std::time::Duration;
 
@@ -6,57 +10,59 @@
 use rand::RngExt;
 
 use crate::ServiceLoad;
-use crate::balancer::SUSPECT_SHARE;
+use crate::balancer::SUSPECTED_FAILURE_PROBABILITY;
 
-/// A server that may be well, and for how long no box has used it.
+/// A server that may be healthy, and for how long no box has sent it a request.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleServer<K> {
     /// The server.
     pub key: K,
-    /// For how long.
+    /// The time since a box last sent it a request.
     pub idle_for: Duration,
-    /// The share of requests that should fail there.
+    /// The probability that a request fails there.
     pub failure_probability: f64,
-    /// Whether this request may try it.
+    /// Whether this request may be sent there as a probe.
     pub is_eligible: bool,
 }
 
-/// What a request finds.
+/// The request that may be sent as a probe, and the load of its service.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleProbeInputs {
     /// Whether it may be sent again if the server fails.
     pub retry_safe: bool,
-    /// How the service fares.
+    /// The present load and failure ratio of the service.
     pub service_load: ServiceLoad,
 }
 
-/// The unused server that the request tries, if it is to try one.
+/// Returns the idle server that the request probes, or `None` if it is not sent as a
+/// probe.
 ///
-/// Only so many are tried as must be in use in case of a sudden loss: a server that rests
-/// costs nothing when it turns sick. While a good part of the requests is lost, no server
-/// rests for long: those that are trusted are tried soon and surely, the doubtful ones at a
-/// steady rate that leaves one in eight untried after two seconds, since each of their
-/// failures adds to the loss.
+/// Only as many servers are probed as must be in use in case of a sudden loss, because an
+/// idle server costs nothing when it becomes faulty. While a large part of the requests
+/// fails, no server stays idle for long: trusted ones are probed early and almost
+/// certainly, doubtful ones at a constant rate that leaves one in eight without a probe
+/// after two seconds, because their failures add to the loss.
 ///
-/// The rate of tries rises with the time unused: at a constant rate servers that no pick
-/// takes, like cold ones, could stay unused for two seconds. A share of all in use bounds no
-/// part of them: the most suspected would get nothing for seconds, some of them well after a
-/// single failure. Trying the suspected as often as the trusted would lose more requests.
+/// The probe rate of trusted servers rises with the idle time: at a constant rate,
+/// servers that normal picks avoid, such as cold ones, could stay idle for two seconds. A
+/// minimum fraction over all servers does not bound any group of them: the most suspected
+/// would get no requests for seconds, although some are healthy after a single failure.
+/// Probing suspected servers as often as trusted ones would lose more requests.
 pub fn pick_idle_probe<K: Copy>(
     servers: &[IdleServer<K>],
     inputs: &IdleProbeInputs,
     random: &mut impl Rng,
 ) -> Option<K> {
-    let strict = holds_strictly(&inputs.service_load);
-    let mut tries = tries_of_neglected(servers, strict);
+    let strict = enforces_floor_strictly(&inputs.service_load);
+    let mut probe_rates = probe_rates_of_neglected(servers, strict);
     if !strict {
-        tries.extend(try_of_missing(servers, inputs, random));
+        probe_rates.extend(probe_rate_of_missing(servers, inputs, random));
     }
-    // One draw decides whether to try one, and which.
+    // One draw decides whether to probe a server, and which.
     let requests_per_s = inputs.service_load.requests_per_s.max(1.0);
-    let sum: f64 = tries.iter().map(|(rate, _)| rate).sum();
+    let sum: f64 = probe_rates.iter().map(|(rate, _)| rate).sum();
     let mut draw = random.random::<f64>() * requests_per_s.max(sum);
-    for (rate, key) in tries {
+    for (rate, key) in probe_rates {
         if draw < rate {
             return Some(key);
         }
@@ -65,117 +71,136 @@
     None
 }
 
-/// Whether the requests of a service are enough to keep as many servers in use as the floor
-/// wants: each holds one in use for two seconds.
+/// Returns whether a service has enough requests to keep as many servers in use as the
+/// floor requires: each request counts one server as in use for two seconds.
 ///
-/// Where they are not, all of them would be tries of servers that nobody has lately found
-/// well, and the floor would still not be held: they go to those that are known instead. A
-/// box that has counted hardly any cannot tell.
-pub fn is_in_reach(servers: usize, present: &ServiceLoad) -> bool {
-    let held = present.requests_per_s * FLOOR_WINDOW.as_secs_f64();
-    present.requests_per_s < LEAST_COUNTED_PER_S || held >= servers as f64 * USED_SHARE
+/// If it has not, every request would be a probe of a server that no box has recently
+/// seen healthy, and the floor would still not be met. The requests go to servers that
+/// are known to be healthy instead. Also true while the box has counted too few requests
+/// to tell.
+pub fn can_meet_floor(servers: usize, service_load: &ServiceLoad) -> bool {
+    let servers_in_use = service_load.requests_per_s * FLOOR_WINDOW.as_secs_f64();
+    service_load.requests_per_s < MIN_COUNTED_REQUESTS_PER_S
+        || servers_in_use >= servers as f64 * TARGET_USED_RATIO
 }
 
-/// Whether so much is lost that all servers that may be well must be in use.
-pub fn holds_strictly(present: &ServiceLoad) -> bool {
-    present.failure_ratio >= STRICT_LOST_SHARE
+/// Returns whether so many requests fail that all servers that may be healthy must be in
+/// use.
+pub fn enforces_floor_strictly(service_load: &ServiceLoad) -> bool {
+    service_load.failure_ratio >= STRICT_FAILURE_RATIO
 }
 
-/// The servers that are neglected, with how often each is tried a second by all boxes
-/// together; the suspected ones only where the floor is held strictly.
+/// Returns the neglected servers with the probes a second that all boxes together send to
+/// each; suspected ones only when the floor is enforced strictly.
 ///
-/// The others are tried in calm times as well: a sudden loss, as of all boxes, makes the two
-/// seconds before it ones in which many requests were not served, and what was out then counts
-/// as failed at its server, so that the sound servers are those that had nothing out: of them
-/// many may have rested for seconds after a failure or two.
-fn tries_of_neglected<K: Copy>(servers: &[IdleServer<K>], strict: bool) -> Vec<(f64, K)> {
+/// The others are probed also when few requests fail. After a sudden loss, as of all
+/// boxes, the two seconds before it count as ones in which many requests failed, and the
+/// requests in flight count as failures of their servers. Only servers without requests
+/// in flight then count as healthy, and many of them may have been idle for seconds after
+/// one or two failures.
+fn probe_rates_of_neglected<K: Copy>(
+    servers: &[IdleServer<K>],
+    strict: bool,
+) -> Vec<(f64, K)> {
     let neglected = servers.iter().filter(|server| {
-        let may_be_tried = strict || server.failure_probability < SUSPECT_SHARE;
-        may_be_tried && server.idle_for >= NEGLECT && server.is_eligible
+        let may_be_probed =
+            strict || server.failure_probability < SUSPECTED_FAILURE_PROBABILITY;
+        may_be_probed && server.idle_for >= NEGLECTED_AFTER && server.is_eligible
     });
-    let tries = neglected.map(|server| (tries_per_s(server, strict), server.key));
-    tries.collect()
+    let probe_rates = neglected.map(|server| (probes_per_s(server, strict), server.key));
+    probe_rates.collect()
 }
 
-/// A server that is missing from the share wanted in use, with the tries a second that
-/// bring the missing ones back.
-fn try_of_missing<K: Copy>(
+/// Returns an idle server to probe, with the probes a second that bring the number of
+/// servers in use back to the target; `None` if enough are in use or no idle one is
+/// eligible.
+fn probe_rate_of_missing<K: Copy>(
     servers: &[IdleServer<K>],
     inputs: &IdleProbeInputs,
     random: &mut impl Rng,
 ) -> Option<(f64, K)> {
-    let wanted_share = match inputs.retry_safe {
-        true => USED_SHARE_BY_READS,
-        false => USED_SHARE,
+    let target_ratio = match inputs.retry_safe {
+        true => TARGET_USED_RATIO_OF_RETRY_SAFE,
+        false => TARGET_USED_RATIO,
     };
-    let is_rested = |server: &&IdleServer<K>| server.idle_for >= RESTED;
-    let mut rested: Vec<_> = servers.iter().filter(is_rested).collect();
-    let used = servers.len() - rested.len();
-    let missing = servers.len() as f64 * wanted_share - used as f64;
-    rested.retain(|server| server.is_eligible);
-    if missing <= 0.0 || rested.is_empty() {
+    let is_idle = |server: &&IdleServer<K>| server.idle_for >= IDLE_AFTER;
+    let mut idle: Vec<_> = servers.iter().filter(is_idle).collect();
+    let used = servers.len() - idle.len();
+    let missing = servers.len() as f64 * target_ratio - used as f64;
+    idle.retain(|server| server.is_eligible);
+    if missing <= 0.0 || idle.is_empty() {
         return None;
     }
-    // One of the less doubtful half: were it the least doubtful, all boxes would try the
-    // same one before they hear of each other.
-    rested.sort_by(|a, b| a.failure_probability.total_cmp(&b.failure_probability));
-    let at = random.random_range(0..rested.len().div_ceil(2));
-    Some((missing / TRIED_WITHIN.as_secs_f64(), rested[at].key))
+    // Draws from the half with the lower failure probability: with the lowest one, all
+    // boxes would probe the same server before they receive each other's updates.
+    idle.sort_by(|a, b| a.failure_probability.total_cmp(&b.failure_probability));
+    let index = random.random_range(0..idle.len().div_ceil(2));
+    Some((missing / PROBED_WITHIN.as_secs_f64(), idle[index].key))
 }
 
-/// How often a neglected server is tried by all boxes together: a trusted one by how long
-/// it has rested.
+/// Returns the probes a second that all boxes together send to a neglected server; the
+/// rate of a trusted one rises with its idle time.
 ///
-/// Once several tries are to be expected, what is missing is the news of them and
-/// not a try: a rate that went on doubling would fill one server's queue.
-fn tries_per_s<K>(server: &IdleServer<K>, strict: bool) -> f64 {
-    if server.failure_probability >= TRUSTED_SHARE {
+/// Once several probes are expected to have been sent, what is missing is the update
+/// about them and not a probe: a rate that kept doubling would fill one server's queue.
+fn probes_per_s<K>(server: &IdleServer<K>, strict: bool) -> f64 {
+    if server.failure_probability >= TRUSTED_FAILURE_PROBABILITY {
         return match strict {
-            true => TRIES_PER_S_OF_DOUBTFUL,
-            false => TRIES_PER_S_IN_CALM,
+            true => PROBES_PER_S_OF_DOUBTFUL,
+            false => PROBES_PER_S_OF_DOUBTFUL_IN_CALM,
         };
     }
-    if server.idle_for >= SURELY_TRIED {
-        return TRIES_PER_S_WITHOUT_NEWS;
+    if server.idle_for >= PROBED_BY {
+        return PROBES_PER_S_WITHOUT_UPDATE;
     }
-    let over = server.idle_for.saturating_sub(NEGLECT);
-    let doublings = over.as_secs_f64() / TRIES_DOUBLE_IN.as_secs_f64();
-    FIRST_TRIES_PER_S * doublings.exp2()
+    let neglected_for = server.idle_for.saturating_sub(NEGLECTED_AFTER);
+    let doublings = neglected_for.as_secs_f64() / PROBE_RATE_DOUBLING_TIME.as_secs_f64();
+    INITIAL_PROBES_PER_S * doublings.exp2()
 }
 
-/// Of fewer requests a second, counted over a second, half may come by chance.
-const LEAST_COUNTED_PER_S: f64 = 20.0;
-/// A server counts as in use for so long after a request.
+/// Below this rate, counted over one second, half of the requests may be a random
+/// variation.
+const MIN_COUNTED_REQUESTS_PER_S: f64 = 20.0;
+/// How long a server counts as in use after a request.
 const FLOOR_WINDOW: Duration = Duration::from_secs(2);
-/// Where the floor is held strictly, a server is neglected when no box has used it for half
-/// of the two seconds over which it is judged: the other half is for the try and its news.
-const NEGLECT: Duration = Duration::from_secs(1);
-/// A server that has just become neglected is tried about once until all have heard of it,
-/// a fifth of a second later.
-const FIRST_TRIES_PER_S: f64 = 4.0;
-/// In 0.8 s that makes 12 tries: one in 160,000 servers gets none.
-const TRIES_DOUBLE_IN: Duration = Duration::from_millis(250);
-/// From here on a try has been made; the rest of the two seconds is for what is late.
-const SURELY_TRIED: Duration = Duration::from_millis(1800);
-/// What goes on without news: one in 3,000 servers gets no try in two seconds, and a server
-/// of three slots that works a fifth of a second bears three times as much.
-const TRIES_PER_S_WITHOUT_NEWS: f64 = 4.0;
-/// A doubtful server is tried within the second after it became neglected with a chance of
-/// seven in eight. With news 0.3 s late that makes 1.6 tries at most on average.
-const TRIES_PER_S_OF_DOUBTFUL: f64 = 2.0;
-/// In calm times a doubtful server is tried once in two seconds on average: of any group of
-/// them eight in ten are in use in any two seconds, where seven must be.
-const TRIES_PER_S_IN_CALM: f64 = 1.0;
-/// The floor is held strictly from here on; it is judged from a tenth on.
-const STRICT_LOST_SHARE: f64 = 0.08;
-/// A server that fails no more than this is as good a pick as any: the usual failures are
-/// 1.5 to 6 in 100.
-pub const TRUSTED_SHARE: f64 = 0.1;
-/// So many are in use at all times, so that a sudden loss finds the floor of 0.7 held.
-const USED_SHARE: f64 = 0.74;
-/// Requests that can be sent again try more of them: a failure costs them little.
-const USED_SHARE_BY_READS: f64 = 0.85;
-/// A server rests when no box has used it for a little less than the two seconds.
-const RESTED: Duration = Duration::from_millis(1800);
-/// Enough of those that rest are tried within this.
-const TRIED_WITHIN: Duration = Duration::from_millis(500);
+/// A server is neglected when no box has sent it a request for half of the two seconds
+/// over which the floor is judged: the other half is left for the probe and the update
+/// about it.
+const NEGLECTED_AFTER: Duration = Duration::from_secs(1);
+/// A server that has just become neglected gets about one probe until all boxes know of
+/// it, which takes a fifth of a second.
+const INITIAL_PROBES_PER_S: f64 = 4.0;
+/// Doubling this often gives 12 probes in 0.8 s: one in 160,000 servers gets none.
+const PROBE_RATE_DOUBLING_TIME: Duration = Duration::from_millis(250);
+/// From this idle time on a probe has almost certainly been sent; the remainder of the
+/// two seconds allows for late updates.
+const PROBED_BY: Duration = Duration::from_millis(1800);
+/// The rate that continues without updates: one in 3,000 servers gets no probe in two
+/// seconds, and a server with three slots and a service time of a fifth of a second can
+/// handle three times as many.
+const PROBES_PER_S_WITHOUT_UPDATE: f64 = 4.0;
+/// A doubtful server is probed within the second after it became neglected with a
+/// probability of seven in eight. With updates 0.3 s late it gets at most 1.6 probes on
+/// average.
+const PROBES_PER_S_OF_DOUBTFUL: f64 = 2.0;
+/// While few requests fail, a doubtful server is probed once in two seconds on average:
+/// eight in ten of any group of them are in use in any two seconds, where seven are
+/// required.
+const PROBES_PER_S_OF_DOUBTFUL_IN_CALM: f64 = 1.0;
+/// The failure ratio from which the floor is enforced strictly; the floor is judged from
+/// a ratio of a tenth on.
+const STRICT_FAILURE_RATIO: f64 = 0.08;
+/// A server with a failure probability below this is trusted: healthy servers fail 1.5%
+/// to 6% of their requests.
+pub const TRUSTED_FAILURE_PROBABILITY: f64 = 0.1;
+/// The fraction of servers kept in use at all times, so that the floor of 0.7 holds when
+/// a sudden loss begins.
+const TARGET_USED_RATIO: f64 = 0.74;
+/// The same for retry-safe requests, which probe more servers because a failure costs
+/// them little.
+const TARGET_USED_RATIO_OF_RETRY_SAFE: f64 = 0.85;
+/// A server is idle when no box has sent it a request for a little less than the two
+/// seconds.
+const IDLE_AFTER: Duration = Duration::from_millis(1800);
+/// The time within which enough idle servers are probed to reach the target.
+const PROBED_WITHIN: Duration = Duration::from_millis(500);
--- a/crates/wingspur-state/src/server.rs
+++ b/crates/wingspur-state/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers as a catalog announces them.
+//! The catalog's records of backend servers.
 
 use std::net::SocketAddr;
 
@@ -6,31 +6,32 @@
 
 use crate::{DataCentreId, ServerId, ServerKey};
 
-/// One run of a backend server, from its start to its end.
+/// One instance of a backend server, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    /// Names the server; one that starts again may keep it.
+    /// The id of the server; a restarted server may keep it.
     pub id: ServerId,
-    /// When this run began, as the server tells it in milliseconds of its own clock: greater
-    /// for each later run under the same id. 0 where servers do not tell.
+    /// The start time of this instance, in milliseconds of the server's own clock:
+    /// greater for each later instance with the same id. 0 if the server does not report
+    /// it.
     pub born_ms: u64,
     /// The service that it belongs to.
     pub service: String,
-    /// The IP address and port; a later run of another service may have the same.
+    /// The IP address and port; a later instance of another service may have the same.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentreId,
-    /// Requests that it works on at once.
+    /// Requests that it processes at the same time.
     pub slots: u32,
-    /// Whether it takes no new work and is about to end.
+    /// Whether it is draining: it takes no new requests and is about to end.
     pub leaving: bool,
-    /// For how much longer it is slow from its start, in milliseconds.
+    /// For how much longer it is slow after its start, in milliseconds.
     pub cold_ms: u64,
 }
 
 impl ServerRecord {
-    /// The short name that boxes use among themselves: another one for each run, so that
-    /// nothing that is known or told of an earlier run counts for this one.
+    /// Returns the key that boxes use in their messages. It differs for each instance, so
+    /// that what is known or reported of an earlier instance does not apply to this one.
     pub fn key(&self) -> ServerKey {
         match self.born_ms {
             0 => server_key(&self.id),
@@ -38,8 +39,9 @@
         }
     }
 
-    /// Whether another record of the same run differs in nothing but what is left of its
-    /// cold start, which each of its first entries tells anew.
+    /// Returns whether another record of the same instance differs in at most the
+    /// remaining cold time, which each of the first catalog entries after a start states
+    /// anew.
     pub fn eq_ignoring_cold(&self, other: &Self) -> bool {
         let Self {
             id,
@@ -57,13 +59,13 @@
     }
 }
 
-/// The short name of a server or service: the 64-bit FNV-1a hash of its id, alike on every
-/// box.
+/// Returns the key of a server or service: the 64-bit FNV-1a hash of its id, which is the
+/// same on every box.
 pub fn server_key(id: &str) -> ServerKey {
     fnv1a(FNV_OFFSET, id.as_bytes())
 }
 
-/// Goes on with a 64-bit FNV-1a hash.
+/// Extends a 64-bit FNV-1a hash by some bytes.
 fn fnv1a(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
--- a/crates/wingspur-state/src/server_limits.rs
+++ b/crates/wingspur-state/src/server_limits.rs
@@ -1,53 +1,56 @@
-//! The limits that backend servers name in their answers, as one box knows them.
+//! The request limits that backend servers announce in their responses, as known to one
+//! box.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::ServerKey;
 
-/// What servers take from all boxes together, in requests a second, as they last said.
+/// The request rates that servers last announced as their limits over all boxes.
 ///
-/// A server's limit is what its newest answer says; one whose newest answer names none has
-/// none. Servers that never named any take no room here.
+/// A server's limit is the one in its newest response; without one there, it has no
+/// limit. Servers that never announced a limit take no memory here.
 #[derive(Debug, Default)]
 pub struct ServerLimits {
-    readings: HashMap<ServerKey, Reading>,
+    reports: HashMap<ServerKey, LimitReport>,
 }
 
-/// What a server said last.
+/// The newest limit information from a server.
 #[derive(Debug, Clone, Copy)]
-struct Reading {
+struct LimitReport {
     per_s: Option<f64>,
-    /// When its answer came, to whichever box.
+    /// When the response with it arrived, at any box.
     at: Instant,
 }
 
-/// A limit that is not what it was.
+/// A change of a server's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerLimitChange {
     /// The server.
     pub server: ServerKey,
-    /// What it took before, in requests a second; none for no limit.
+    /// The limit before, in requests a second; `None` for no limit.
     pub before: Option<f64>,
-    /// What it takes now.
+    /// The limit now, in requests a second; `None` for no limit.
     pub per_s: Option<f64>,
-    /// When it said so.
+    /// When the response with the new limit arrived.
     pub at: Instant,
 }
 
 impl ServerLimits {
-    /// Takes in what an answer to this box says; what has changed by it.
+    /// Records the limit in a response to this box, in requests a second, or its absence.
+    ///
+    /// Returns the change, or `None` if the limit is the same as before.
     pub fn receive_answer(
         &mut self,
         server: ServerKey,
         per_s: Option<f64>,
         at: Instant,
     ) -> Option<ServerLimitChange> {
-        if per_s.is_none() && !self.readings.contains_key(&server) {
+        if per_s.is_none() && !self.reports.contains_key(&server) {
             return None;
         }
-        let known = self.readings.insert(server, Reading { per_s, at });
-        let before = known.and_then(|known| known.per_s);
+        let previous = self.reports.insert(server, LimitReport { per_s, at });
+        let before = previous.and_then(|previous| previous.per_s);
         (before != per_s).then_some(ServerLimitChange {
             server,
             before,
@@ -56,91 +59,99 @@
         })
     }
 
-    /// Takes in what another box tells: that an answer said so between two moments; what has
-    /// changed by it.
+    /// Records a limit that another box reports, from a response that arrived between two
+    /// times.
     ///
-    /// Where it may be older or newer than what is known, the lower limit counts: the next
-    /// answer of the server, to whichever box, settles it.
+    /// If it may be older or newer than the known one, the lower limit counts until the
+    /// server's next response to any box. Returns the change, or `None` if nothing has
+    /// changed.
     pub fn receive_updates(
         &mut self,
         server: ServerKey,
         per_s: Option<f64>,
         (earliest, latest): (Instant, Instant),
     ) -> Option<ServerLimitChange> {
-        let known = self.readings.get(&server).copied();
-        if let Some(known) = known {
-            let is_older = latest <= known.at;
-            let may_be_older = earliest <= known.at;
-            if is_older || (may_be_older && !is_tighter(per_s, known.per_s)) {
+        let previous = self.reports.get(&server).copied();
+        if let Some(previous) = previous {
+            let is_older = latest <= previous.at;
+            let may_be_older = earliest <= previous.at;
+            if is_older || (may_be_older && !is_lower_limit(per_s, previous.per_s)) {
                 return None;
             }
         }
         self.receive_answer(server, per_s, latest)
     }
 
-    /// All limits that are named now, for a box that has just linked with this one.
+    /// Returns all current limits, for a box that has just linked with this one.
     pub fn current_limits(&self) -> Vec<ServerLimitChange> {
-        let named = self
-            .readings
+        let current = self
+            .reports
             .iter()
-            .filter(|(_, reading)| reading.per_s.is_some());
-        let told = named.map(|(server, reading)| ServerLimitChange {
+            .filter(|(_, report)| report.per_s.is_some());
+        let changes = current.map(|(server, report)| ServerLimitChange {
             server: *server,
             before: None,
-            per_s: reading.per_s,
-            at: reading.at,
+            per_s: report.per_s,
+            at: report.at,
         });
-        told.collect()
+        changes.collect()
     }
 
-    /// What a server takes, in requests a second; none for no limit.
+    /// Returns a server's limit in requests a second; `None` for no limit.
     pub fn limit(&self, server: ServerKey) -> Option<f64> {
-        self.readings.get(&server)?.per_s
+        self.reports.get(&server)?.per_s
     }
 
-    /// Forgets a server that is gone.
+    /// Removes a server that has ended.
     pub fn forget(&mut self, server: ServerKey) {
-        self.readings.remove(&server);
+        self.reports.remove(&server);
     }
 
-    /// Forgets limits that ended so long ago that no older news of them can still come.
+    /// Removes servers whose limit ended so long ago that no older report of it can still
+    /// arrive.
     pub fn evict_expired(&mut self, now: Instant) {
-        self.readings.retain(|_, reading| {
-            let age = now.saturating_duration_since(reading.at);
-            reading.per_s.is_some() || age < ENDED_KEPT_FOR
+        self.reports.retain(|_, report| {
+            let age = now.saturating_duration_since(report.at);
+            report.per_s.is_some() || age < ENDED_LIMIT_RETENTION
         });
     }
 }
 
-/// Whether a limit allows less than another; no limit allows most.
-fn is_tighter(one: Option<f64>, other: Option<f64>) -> bool {
+/// Returns whether a limit allows less than another; `None` allows the most.
+fn is_lower_limit(one: Option<f64>, other: Option<f64>) -> bool {
     one.unwrap_or(f64::INFINITY) < other.unwrap_or(f64::INFINITY)
 }
 
-/// The share of a service's requests that ask for a place at a server with a limit.
+/// Returns the fraction of a service's requests that ask for quota at a server with a
+/// limit.
 ///
-/// `limit_per_s` is what it takes, `requests_per_s` what is asked of the service over all
-/// boxes, `servers` how many may take it. Over all boxes that makes a few times as many
-/// questions as places, however many boxes there are; and no more than half as much again as
-/// its even share of the requests, since a server in need is not sent more than others.
+/// `limit_per_s` is the limit of the server and `requests_per_s` the rate of the
+/// service's requests, both over all boxes; `servers` is how many servers may take the
+/// requests. Over all boxes this gives a few times as many quota requests as the limit
+/// allows, however many boxes there are. It is at most half as much again as the even
+/// share of the requests, because a server that limits itself must not be sent more than
+/// others, except that a minimum rate of quota requests is always kept.
 pub fn quota_request_probability(
     limit_per_s: f64,
     requests_per_s: f64,
     servers: usize,
 ) -> f64 {
-    let least = LEAST_ASKED_PER_S / requests_per_s.max(1.0);
-    let by_limit = limit_per_s * ASKED_OF_LIMIT / requests_per_s.max(1.0);
-    let even = MOST_OF_EVEN_SHARE / servers.max(1) as f64;
-    by_limit.min(even).max(least)
+    let min_probability = MIN_QUOTA_REQUESTS_PER_S / requests_per_s.max(1.0);
+    let by_limit = limit_per_s * QUOTA_REQUESTS_TO_LIMIT_RATIO / requests_per_s.max(1.0);
+    let max_probability = MAX_RATIO_TO_EVEN_SHARE / servers.max(1) as f64;
+    by_limit.min(max_probability).max(min_probability)
 }
 
-/// With as many questions as the limit allows requests, a third of the limit would be left
-/// unused by chance; with three times as many, one in fifty.
-const ASKED_OF_LIMIT: f64 = 3.0;
-/// Where a server takes a request in a second or less, its place is asked for a fifth of a
-/// second after it comes, on average: the answer tells when the need is over.
-const LEAST_ASKED_PER_S: f64 = 5.0;
-/// Of what an even share of the requests would be.
-const MOST_OF_EVEN_SHARE: f64 = 1.5;
-/// A link on which nothing arrives for a second is given up; news is on two of them at most.
-const ENDED_KEPT_FOR: Duration = Duration::from_secs(10);
+/// With as many quota requests as the limit allows, a third of the limit would stay
+/// unused by random variation; with three times as many, one in fifty.
+const QUOTA_REQUESTS_TO_LIMIT_RATIO: f64 = 3.0;
+/// The minimum rate of quota requests: the quota of a server that allows about one
+/// request a second or less is asked for a fifth of a second after it becomes available,
+/// on average. The server's response then shows when it no longer limits itself.
+const MIN_QUOTA_REQUESTS_PER_S: f64 = 5.0;
+/// The maximum fraction of requests that ask for quota, as a multiple of the server's
+/// even share of the requests.
+const MAX_RATIO_TO_EVEN_SHARE: f64 = 1.5;
+/// A report passes over at most two links, and a link that receives nothing for a second
+/// is closed, so that no older report arrives after this time.
+const ENDED_LIMIT_RETENTION: Duration = Duration::from_secs(10);
--- a/crates/wingspur-state/src/service_time.rs
+++ b/crates/wingspur-state/src/service_time.rs
@@ -1,81 +1,86 @@
-//! How long good answers take, and what the silence of an attempt says.
+//! The distribution of successful response times, and what it says about an attempt that
+//! has no response yet.
 
-/// The spread of good answers of a route around the time expected of each.
+/// The distribution of a route's successful response times around the time expected of
+/// each.
 ///
-/// Times are told as ratios: how many times the expected time an answer took. Their
-/// logarithms are taken to follow the logistic distribution: its tail is heavy enough for
-/// the few requests that take five times as long as the rest.
+/// Times are ratios to the expected time. Their logarithms are assumed to follow a
+/// logistic distribution, whose tail is heavy enough for the few requests that take five
+/// times as long as the others.
 ///
-/// A server that hangs is found before its requests are lost, whatever the
-/// route's time-out.
+/// It allows a server that hangs to be detected before its requests fail, whatever the
+/// route's timeout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceTime {
-    /// The mean of the ratios' logarithms.
-    centre: f64,
-    /// The mean distance of the logarithms from it.
-    deviation: f64,
-    /// How many answers were taken in; the first ones weigh more.
+    /// The moving mean of the logarithms of the ratios.
+    mean_ln: f64,
+    /// The moving mean of the logarithms' absolute distance from it.
+    mean_deviation: f64,
+    /// How many responses were recorded; the first ones have a higher weight.
     answers: u32,
 }
 
 impl ServiceTime {
-    /// Before any answer.
+    /// Creates the distribution that is assumed before any response.
     pub fn new() -> Self {
         Self {
-            centre: 0.0,
-            deviation: FIRST_DEVIATION,
+            mean_ln: 0.0,
+            mean_deviation: INITIAL_DEVIATION,
             answers: 0,
         }
     }
 
-    /// Takes in a good answer that took `ratio` times what was expected.
+    /// Records a successful response that took `ratio` times the expected time.
     pub fn record(&mut self, ratio: f64) {
-        let ln = ratio.clamp(1.0 / MOST_RATIO, MOST_RATIO).ln();
-        let distance = (ln - self.centre).abs().min(MOST_DISTANCE * self.deviation);
+        let ln = ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO).ln();
+        let distance = (ln - self.mean_ln)
+            .abs()
+            .min(MAX_DISTANCE_RATIO * self.mean_deviation);
         self.answers = self.answers.saturating_add(1);
-        let weight = (1.0 / (FIRST_WORTH + f64::from(self.answers))).max(LEARNING_WEIGHT);
-        self.centre += weight * distance.copysign(ln - self.centre);
-        self.deviation += weight * (distance - self.deviation);
+        let weight = (1.0 / (INITIAL_WEIGHT_RESPONSES + f64::from(self.answers)))
+            .max(MIN_LEARNING_WEIGHT);
+        self.mean_ln += weight * distance.copysign(ln - self.mean_ln);
+        self.mean_deviation += weight * (distance - self.mean_deviation);
     }
 
-    /// How many good answers it rests on.
+    /// Returns how many successful responses were recorded.
     pub fn answers(&self) -> u32 {
         self.answers
     }
 
-    /// The share of good answers that take more than `ratio` times what was expected.
+    /// Returns the fraction of successful responses that take more than `ratio` times the
+    /// expected time.
     pub fn survival(&self, ratio: f64) -> f64 {
-        let over = (ratio.max(f64::MIN_POSITIVE).ln() - self.centre) / self.scale();
-        1.0 / (1.0 + over.exp())
+        let log_odds = (ratio.max(f64::MIN_POSITIVE).ln() - self.mean_ln) / self.scale();
+        1.0 / (1.0 + log_odds.exp())
     }
 
-    /// The ratio that is passed by a share of good answers.
+    /// Returns the ratio that the fraction `share` of successful responses exceeds.
     pub fn ratio_at_survival(&self, share: f64) -> f64 {
-        let over = (1.0 / share - 1.0).ln();
-        (self.centre + over * self.scale()).exp()
+        let log_odds = (1.0 / share - 1.0).ln();
+        (self.mean_ln + log_odds * self.scale()).exp()
     }
 
-    /// How many quarters of a failure an attempt tells of that has been silent for
-    /// `ratio` times what was expected.
+    /// Returns the evidence of a failure, in quarters of one, that an attempt gives when
+    /// it has had no response for `ratio` times the expected time.
     pub fn silence_quarters(&self, ratio: f64) -> u32 {
-        let still_good = self.survival(ratio);
-        let reached = SILENCE_SURVIVALS
-            .iter()
-            .filter(|share| still_good <= **share);
+        let survival = self.survival(ratio);
+        let reached = SILENCE_SURVIVALS.iter().filter(|share| survival <= **share);
         reached.count() as u32
     }
 
-    /// The ratio at which the silence of an attempt tells of so many quarters; none past
-    /// the last.
+    /// Returns the ratio at which an attempt without a response is evidence of that many
+    /// quarters of a failure; `None` for zero and for more than four quarters.
     pub fn ratio_at_quarters(&self, quarters: u32) -> Option<f64> {
         let index = usize::try_from(quarters).ok()?.checked_sub(1)?;
         let share = SILENCE_SURVIVALS.get(index)?;
         Some(self.ratio_at_survival(*share))
     }
 
-    /// The scale of the logistic distribution, whose mean distance is 2 ln 2 of it.
+    /// Returns the scale of the logistic distribution, whose mean absolute deviation is 2
+    /// ln 2 times its scale.
     fn scale(&self) -> f64 {
-        self.deviation.max(LEAST_DEVIATION) / (2.0 * std::f64::consts::LN_2)
+        self.mean_deviation.max(MIN_DEVIATION) / (2.0 * std::f64::consts::LN_2)
     }
 }
 
@@ -85,20 +90,22 @@
     }
 }
 
-/// A quarter, a half, three quarters and the whole of the evidence of a failure: shares
-/// at which a server that stalls six in ten and one that fails 1.5 in 100 differ by so
-/// much of the log-likelihood of a failure (6/10 to 1.5/100).
+/// The fractions of successful responses still outstanding at which the lack of a
+/// response is evidence of a quarter, a half, three quarters and a whole failure. There
+/// the log-likelihood ratio between a server that stalls 60% of its requests and one that
+/// fails 1.5% is that part of the one of a failure (60% to 1.5%).
 const SILENCE_SURVIVALS: [f64; 4] = [0.284, 0.101, 0.039, 0.0152];
-/// Work that varies by half, until answers tell better.
-const FIRST_DEVIATION: f64 = 0.4;
-/// Work times and queues never vary less than this: a tenth of the answers would take 1.3
-/// times the usual.
-const LEAST_DEVIATION: f64 = 0.18;
-/// What is assumed at first is worth so many answers.
-const FIRST_WORTH: f64 = 3.0;
-/// A box sees about one request of a route a second: twenty of them make the figure.
-const LEARNING_WEIGHT: f64 = 0.05;
-/// One straggler counts for no more than so many usual distances.
-const MOST_DISTANCE: f64 = 4.0;
-/// A ratio beyond this says no more.
-const MOST_RATIO: f64 = 20.0;
+/// Assumes that service times vary by half until there are responses.
+const INITIAL_DEVIATION: f64 = 0.4;
+/// Service times and queues vary at least this much: at this value a tenth of the
+/// responses take more than 1.3 times the typical time.
+const MIN_DEVIATION: f64 = 0.18;
+/// How many responses the initial assumption weighs as much as.
+const INITIAL_WEIGHT_RESPONSES: f64 = 3.0;
+/// A box sees about one request of a route a second, so that the estimate covers about
+/// the last twenty responses.
+const MIN_LEARNING_WEIGHT: f64 = 0.05;
+/// A single outlier counts for at most this multiple of the mean deviation.
+const MAX_DISTANCE_RATIO: f64 = 4.0;
+/// Ratios above this, or below its inverse, carry no further information.
+const MAX_RATIO: f64 = 20.0;
