--- a/tests/tests/balancing.rs
+++ b/tests/tests/balancing.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request, by what all boxes have seen.
+//! Which server a request is sent to, by the outcomes that all boxes have seen.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -37,21 +37,21 @@
     record(&format!("i-{n}"), "dc-1").key()
 }
 
-fn want(repeatable: bool, lost_share: f64) -> PickRequest<'static> {
+fn request(is_retry_safe: bool, loss_ratio: f64) -> PickRequest<'static> {
     PickRequest {
-        retry_safe: repeatable,
+        retry_safe: is_retry_safe,
         typical_latency: TYPICAL,
         cross_data_centre_cost: Duration::from_millis(30),
         tried: &[],
         service_load: ServiceLoad {
             requests_per_s: 50.0,
-            failure_ratio: lost_share,
+            failure_ratio: loss_ratio,
             unreported_requests: 0.0,
         },
     }
 }
 
-/// When an answer should be there, on a route that has answered often.
+/// The expected response time on a route that has had many responses.
 fn expected(ms: f64) -> ExpectedLatency {
     let mut service_time = ServiceTime::new();
     for ratio in [0.7, 0.9, 1.0, 1.1, 1.3].repeat(10) {
@@ -64,30 +64,30 @@
     }
 }
 
-/// Sends one request to a server, which ends in some way after some time.
-fn one(
+/// Sends one request to a server, which ends with an outcome after some time.
+fn run_attempt(
     balancer: &mut Balancer,
     server: usize,
-    ended: HealthOutcome,
+    outcome: HealthOutcome,
     took: Duration,
     at: Instant,
 ) {
     let typical = expected(TYPICAL.as_secs_f64() * 1000.0);
     let id = balancer.begin(key(server), typical, at);
-    balancer.end(id, ended, at + took);
+    balancer.end(id, outcome, at + took);
 }
 
-/// How often each server is picked.
+/// Returns how often each server is picked in 1000 picks.
 fn picks(
     balancer: &Balancer,
-    want: &PickRequest<'_>,
+    request: &PickRequest<'_>,
     now: Instant,
     servers: usize,
 ) -> Vec<usize> {
     let mut random = StdRng::seed_from_u64(7);
     let mut counts = vec![0; servers];
     for _ in 0..1000 {
-        let pick = balancer.pick(want, now, &mut random).unwrap();
+        let pick = balancer.pick(request, now, &mut random).unwrap();
         let at = (0..servers).find(|n| pick.server.key() == key(*n)).unwrap();
         counts[at] += 1;
     }
@@ -100,10 +100,10 @@
     let mut balancer = balancer(4, now);
     for n in 0..3 {
         let at = now + Duration::from_millis(10 * n);
-        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, at);
+        run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, at);
     }
     let later = now + Duration::from_millis(100);
-    assert_eq!(picks(&balancer, &want(false, 0.0), later, 4)[0], 0);
+    assert_eq!(picks(&balancer, &request(false, 0.0), later, 4)[0], 0);
 }
 
 #[test]
@@ -115,7 +115,7 @@
         ..ServerTally::default()
     };
     balancer.apply_remote(9, (key(0), failed), &failed, now);
-    assert_eq!(picks(&balancer, &want(false, 0.0), now, 4)[0], 0);
+    assert_eq!(picks(&balancer, &request(false, 0.0), now, 4)[0], 0);
 }
 
 #[test]
@@ -126,14 +126,15 @@
         let mut balancer = balancer(2, now);
         let took = Duration::from_millis(took_ms);
         for _ in 0..2 {
-            one(&mut balancer, 0, HealthOutcome::Abandoned, took, now);
+            run_attempt(&mut balancer, 0, HealthOutcome::Abandoned, took, now);
         }
         let suspects = balancer.suspects(later);
         assert_eq!(suspects == ["i-0"], suspect, "{took_ms} ms: {suspects:?}");
     }
 }
 
-/// How likely the fleet thinks that a server fails after two requests were silent there.
+/// Returns the failure probability of a server after two requests there have had no
+/// response for some time.
 fn share_after_silence(expected_ms: f64, silent_ms: u64) -> f64 {
     let now = Instant::now();
     let mut balancer = balancer(1, now);
@@ -143,7 +144,7 @@
         balancer.update_silence_evidence(id, later);
     }
     let mut random = StdRng::seed_from_u64(7);
-    let pick = balancer.pick(&want(false, 0.0), later, &mut random);
+    let pick = balancer.pick(&request(false, 0.0), later, &mut random);
     pick.unwrap().failure_probability
 }
 
@@ -180,14 +181,17 @@
     let id = balancer.begin(key(0), expected(200.0), now);
     let later = now + Duration::from_secs(1);
     assert!(balancer.update_silence_evidence(id, later));
-    assert!(!balancer.update_silence_evidence(id, later), "nothing new");
-    let told = balancer.take_changes();
-    assert_eq!(told[0].1.silence_quarters, 4);
+    assert!(
+        !balancer.update_silence_evidence(id, later),
+        "no new evidence"
+    );
+    let changes = balancer.take_changes();
+    assert_eq!(changes[0].1.silence_quarters, 4);
     balancer.record_response_started(id);
     assert_eq!(balancer.take_changes()[0].1.silence_quarters, 0);
     assert!(
         !balancer.update_silence_evidence(id, later),
-        "it is answering"
+        "its response has started"
     );
     balancer.end(id, HealthOutcome::Good, later);
     assert_eq!(balancer.take_changes()[0].1.silence_quarters, 0);
@@ -214,16 +218,16 @@
 fn the_first_failures_raise_an_alarm_and_later_ones_do_not() {
     let now = Instant::now();
     let mut balancer = balancer(2, now);
-    one(&mut balancer, 1, HealthOutcome::Good, TYPICAL, now);
+    run_attempt(&mut balancer, 1, HealthOutcome::Good, TYPICAL, now);
     assert!(!balancer.take_new_suspicion());
-    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     assert!(balancer.take_new_suspicion());
     for _ in 0..4 {
-        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+        run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     }
     balancer.take_new_suspicion();
-    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
-    assert!(!balancer.take_new_suspicion(), "it was known to be sick");
+    run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    assert!(!balancer.take_new_suspicion(), "it was known to be faulty");
 }
 
 #[test]
@@ -231,11 +235,11 @@
     let now = Instant::now();
     let mut balancer = balancer(2, now);
     for _ in 0..3 {
-        one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+        run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     }
-    let turned = balancer.take_suspicion_changes(now);
-    assert_eq!(turned.len(), 1);
-    assert!(turned[0].is_suspected && turned[0].server.id == *"i-0");
+    let changes = balancer.take_suspicion_changes(now);
+    assert_eq!(changes.len(), 1);
+    assert!(changes[0].is_suspected && changes[0].server.id == *"i-0");
     assert_eq!(balancer.take_suspicion_changes(now), []);
     let healed = balancer.take_suspicion_changes(now + Duration::from_secs(60));
     assert_eq!(healed.len(), 1);
@@ -248,12 +252,12 @@
     let mut balancer = balancer(4, now);
     for n in 0..2 {
         for _ in 0..4 {
-            one(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
+            run_attempt(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
         }
     }
     let later = now + Duration::from_millis(2500);
     for n in 2..4 {
-        one(
+        run_attempt(
             &mut balancer,
             n,
             HealthOutcome::Good,
@@ -261,14 +265,14 @@
             later - TYPICAL,
         );
     }
-    let lost = picks(&balancer, &want(false, 0.15), later, 4);
-    assert!(lost[0] + lost[1] > 0, "{lost:?}");
+    let losing = picks(&balancer, &request(false, 0.15), later, 4);
+    assert!(losing[0] + losing[1] > 0, "{losing:?}");
     let soon = now + Duration::from_millis(500);
-    let at_once = picks(&balancer, &want(false, 0.15), soon, 4);
+    let at_once = picks(&balancer, &request(false, 0.15), soon, 4);
     assert_eq!(
         at_once[0] + at_once[1],
         0,
-        "they failed just now: {at_once:?}"
+        "they have just failed: {at_once:?}"
     );
 }
 
@@ -277,34 +281,37 @@
     let now = Instant::now();
     let mut balancer = balancer(4, now);
     // One server failed twice in a row, another once.
-    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
-    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
-    one(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
+    run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    run_attempt(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
     let after = |ms| now + Duration::from_millis(ms);
     let keep_others_used = |balancer: &mut Balancer, at: Instant| {
         for n in 2..4 {
-            one(balancer, n, HealthOutcome::Good, TYPICAL, at - TYPICAL);
+            run_attempt(balancer, n, HealthOutcome::Good, TYPICAL, at - TYPICAL);
         }
     };
     keep_others_used(&mut balancer, after(5_500));
-    let calm = picks(&balancer, &want(false, 0.0), after(5_500), 4);
+    let calm = picks(&balancer, &request(false, 0.0), after(5_500), 4);
     assert_eq!(calm[0], 0, "{calm:?}");
-    assert!(calm[1] > 0, "one failure is none: {calm:?}");
-    let losing = picks(&balancer, &want(false, 0.15), after(5_500), 4);
-    assert!(losing[0] > 0, "the floor goes first: {losing:?}");
+    assert!(
+        calm[1] > 0,
+        "one failure alone does not exclude it: {calm:?}"
+    );
+    let losing = picks(&balancer, &request(false, 0.15), after(5_500), 4);
+    assert!(losing[0] > 0, "the floor has priority: {losing:?}");
     keep_others_used(&mut balancer, after(7_000));
-    let later = picks(&balancer, &want(false, 0.0), after(7_000), 4);
-    assert!(later[0] > 0, "it may be well again: {later:?}");
+    let later = picks(&balancer, &request(false, 0.0), after(7_000), 4);
+    assert!(later[0] > 0, "it may be healthy again: {later:?}");
 }
 
 #[test]
 fn repeatable_requests_try_more_of_the_neglected_than_once_only_ones() {
     let now = Instant::now();
     let mut balancer = balancer(10, now);
-    // Two of ten have rested: eight are in use, which is enough for once-only requests.
+    // Two of ten are idle: eight are in use, which is enough for once-only requests.
     let later = now + Duration::from_secs(3);
     for n in 2..10 {
-        one(
+        run_attempt(
             &mut balancer,
             n,
             HealthOutcome::Good,
@@ -314,11 +321,11 @@
     }
     for n in 0..2 {
         for _ in 0..4 {
-            one(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
+            run_attempt(&mut balancer, n, HealthOutcome::Failed, Duration::ZERO, now);
         }
     }
-    let reads = picks(&balancer, &want(true, 0.0), later, 10);
-    let once_only = picks(&balancer, &want(false, 0.0), later, 10);
+    let reads = picks(&balancer, &request(true, 0.0), later, 10);
+    let once_only = picks(&balancer, &request(false, 0.0), later, 10);
     assert!(reads[0] + reads[1] > 0, "{reads:?}");
     assert_eq!(once_only[0] + once_only[1], 0, "{once_only:?}");
 }
@@ -332,9 +339,9 @@
         ..ServerTally::default()
     };
     balancer.apply_remote(9, (key(0), busy), &ServerTally::default(), now);
-    assert_eq!(picks(&balancer, &want(true, 0.0), now, 2), [0, 1000]);
+    assert_eq!(picks(&balancer, &request(true, 0.0), now, 2), [0, 1000]);
     balancer.forget_source(9);
-    assert!(picks(&balancer, &want(true, 0.0), now, 2)[0] > 300);
+    assert!(picks(&balancer, &request(true, 0.0), now, 2)[0] > 300);
 }
 
 #[test]
@@ -351,9 +358,14 @@
         ..record("i-3", "dc-1")
     };
     balancer.upsert(cold, now);
-    let counts = picks(&balancer, &want(true, 0.0), now, 4);
+    let counts = picks(&balancer, &request(true, 0.0), now, 4);
     assert_eq!((counts[0], counts[3]), (0, 0), "{counts:?}");
-    let warm = picks(&balancer, &want(true, 0.0), now + Duration::from_secs(4), 4);
+    let warm = picks(
+        &balancer,
+        &request(true, 0.0),
+        now + Duration::from_secs(4),
+        4,
+    );
     assert!(warm[3] > 0, "{warm:?}");
 }
 
@@ -361,18 +373,18 @@
 fn the_shortest_wait_is_that_of_the_emptiest_open_server() {
     let now = Instant::now();
     let mut balancer = balancer(2, now);
-    let want = want(false, 0.0);
-    assert_eq!(balancer.min_queue_wait(&want, now), Some(Duration::ZERO));
+    let request = request(false, 0.0);
+    assert_eq!(balancer.min_queue_wait(&request, now), Some(Duration::ZERO));
     for n in 0..2 {
         for _ in 0..8 {
             balancer.begin(key(n), expected(200.0), now);
         }
     }
-    let wait = balancer.min_queue_wait(&want, now).unwrap();
-    assert!(wait > TYPICAL, "eight before four slots: {wait:?}");
+    let wait = balancer.min_queue_wait(&request, now).unwrap();
+    assert!(wait > TYPICAL, "eight requests for four slots: {wait:?}");
     balancer.remove(key(0));
     balancer.remove(key(1));
-    assert_eq!(balancer.min_queue_wait(&want, now), None);
+    assert_eq!(balancer.min_queue_wait(&request, now), None);
 }
 
 #[test]
@@ -381,7 +393,7 @@
     let mut balancer = balancer(20, now);
     let later = now + Duration::from_secs(3);
     for n in 10..20 {
-        one(
+        run_attempt(
             &mut balancer,
             n,
             HealthOutcome::Good,
@@ -389,9 +401,12 @@
             later - TYPICAL,
         );
     }
-    let counts = picks(&balancer, &want(false, 0.2), later, 20);
+    let counts = picks(&balancer, &request(false, 0.2), later, 20);
     let tried = counts[..10].iter().filter(|count| **count > 0).count();
-    assert!(tried >= 4, "half of ten: {counts:?}");
+    assert!(
+        tried >= 4,
+        "fewer than four of ten idle servers probed: {counts:?}"
+    );
 }
 
 #[test]
@@ -403,34 +418,34 @@
         balancer.upsert(record(&format!("i-{n}"), data_centre), now);
     }
     let later = now + Duration::from_secs(3);
-    one(
+    run_attempt(
         &mut balancer,
         0,
         HealthOutcome::Good,
         TYPICAL,
         later - TYPICAL,
     );
-    let dear = PickRequest {
+    let expensive = PickRequest {
         cross_data_centre_cost: Duration::from_millis(1300),
-        ..want(true, 0.0)
+        ..request(true, 0.0)
     };
-    let counts = picks(&balancer, &dear, later, 6);
+    let counts = picks(&balancer, &expensive, later, 6);
     assert!(counts[1] > 0 && counts[2] > 0, "{counts:?}");
     assert_eq!(counts[3..], [0, 0, 0], "{counts:?}");
-    let lost = PickRequest {
-        service_load: want(true, 0.2).service_load,
-        ..dear
+    let losing_request = PickRequest {
+        service_load: request(true, 0.2).service_load,
+        ..expensive
     };
-    let strict = picks(&balancer, &lost, later, 6);
+    let strict_picks = picks(&balancer, &losing_request, later, 6);
     assert!(
-        strict[3..].iter().any(|count| *count > 0),
-        "the floor: {strict:?}"
+        strict_picks[3..].iter().any(|count| *count > 0),
+        "the floor needs servers elsewhere: {strict_picks:?}"
     );
 }
 
-/// Servers in need are often gray as well. Asked by chance and by their limits alone, those that
-/// had just failed were sent once-only requests again a second later: of a service whose servers
-/// named limits 21 in 100 requests were not served, with limits passed over 5.
+/// Servers that announce limits often have gray failures as well. Sampled by limit alone,
+/// those that had just failed got once-only requests again a second later: 21% of the
+/// requests of such a service failed, against 5% with limits ignored.
 #[test]
 fn a_limit_makes_no_server_a_better_pick_than_it_is() {
     let now = Instant::now();
@@ -438,41 +453,42 @@
     for n in 0..6 {
         balancer.set_limit(key(n), Some(2.0));
     }
-    // One that has failed once, and one that fails all the time.
-    one(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
+    // One server has failed once, another fails all the time.
+    run_attempt(&mut balancer, 0, HealthOutcome::Failed, Duration::ZERO, now);
     for _ in 0..3 {
-        one(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
+        run_attempt(&mut balancer, 1, HealthOutcome::Failed, Duration::ZERO, now);
     }
-    let doubted = ["i-0", "i-1"];
+    let doubtful = ["i-0", "i-1"];
     let soon = now + Duration::from_secs(2);
     let mut random = StdRng::seed_from_u64(4);
     for _ in 0..200 {
-        for pick in balancer.sample_rate_limited(&want(false, 0.0), soon, &mut random) {
+        for pick in balancer.sample_rate_limited(&request(false, 0.0), soon, &mut random)
+        {
             assert!(
-                !doubted.contains(&&*pick.server.id),
-                "{} is due",
+                !doubtful.contains(&&*pick.server.id),
+                "{} is sampled",
                 pick.server.id
             );
         }
         let once_only = balancer.rate_limited_by_failure_probability(
-            &want(false, 0.0),
+            &request(false, 0.0),
             soon,
             &mut random,
         );
-        assert_eq!(once_only.len(), 4, "a refusal is worth more than a failure");
+        assert_eq!(once_only.len(), 4, "a refusal is better than a failure");
         let all = balancer.rate_limited_by_failure_probability(
-            &want(true, 0.0),
+            &request(true, 0.0),
             soon,
             &mut random,
         );
         let ids: Vec<_> = all.iter().map(|pick| &*pick.server.id).collect();
-        assert_eq!(ids.len(), 5, "what is suspected is left out: {ids:?}");
-        assert_eq!(ids[4], "i-0", "what is doubted comes last");
+        assert_eq!(ids.len(), 5, "the suspected server is left out: {ids:?}");
+        assert_eq!(ids[4], "i-0", "the doubtful server comes last");
     }
-    // With time, or good answers, the doubt goes.
+    // The failure probability falls with time.
     let late = now + Duration::from_secs(30);
     let is_due = |random: &mut StdRng| {
-        let due = balancer.sample_rate_limited(&want(false, 0.0), late, random);
+        let due = balancer.sample_rate_limited(&request(false, 0.0), late, random);
         due.iter().any(|pick| pick.server.id == "i-1")
     };
     assert!((0..200).any(|_| is_due(&mut random)));
@@ -484,7 +500,7 @@
     let mut balancer = balancer(1_000, start);
     let now = start + Duration::from_secs(10);
     for server in 0..20 {
-        one(
+        run_attempt(
             &mut balancer,
             server,
             HealthOutcome::Good,
@@ -492,23 +508,27 @@
             now - TYPICAL,
         );
     }
-    for lost_share in [0.0, 0.2] {
-        let counts = picks(&balancer, &want(false, lost_share), now, 1_000);
-        let proven: usize = counts[..20].iter().sum();
-        assert!(proven >= 900, "{proven} of 1000 at {lost_share} lost");
+    for loss_ratio in [0.0, 0.2] {
+        let counts = picks(&balancer, &request(false, loss_ratio), now, 1_000);
+        let known_picks: usize = counts[..20].iter().sum();
+        assert!(
+            known_picks >= 900,
+            "{known_picks} of 1000 at a failure ratio of {loss_ratio}"
+        );
     }
 }
 
-/// Its good answers outweighed its refusals: all boxes went on sending to a full queue.
+/// Guards against successful responses outweighing a refusal, by which all boxes kept
+/// sending requests to a full queue.
 #[test]
 fn server_that_refused_is_passed_over_while_others_have_slots_to_spare() {
     let start = Instant::now();
     let mut balancer = balancer(1_000, start);
     let now = start + Duration::from_secs(10);
-    let answers = |server: usize| if server == 0 { 40 } else { 1 };
+    let response_count = |server: usize| if server == 0 { 40 } else { 1 };
     for server in 0..50 {
-        for _ in 0..answers(server) {
-            one(
+        for _ in 0..response_count(server) {
+            run_attempt(
                 &mut balancer,
                 server,
                 HealthOutcome::Good,
@@ -517,7 +537,7 @@
             );
         }
     }
-    one(
+    run_attempt(
         &mut balancer,
         0,
         HealthOutcome::Refused,
@@ -525,14 +545,14 @@
         now,
     );
     for _ in 0..40 {
-        one(&mut balancer, 0, HealthOutcome::Good, Duration::ZERO, now);
+        run_attempt(&mut balancer, 0, HealthOutcome::Good, Duration::ZERO, now);
     }
-    let counts = picks(&balancer, &want(false, 0.0), now, 1_000);
-    let proven: usize = counts[..50].iter().sum();
-    assert!(proven >= 900, "{proven} of 1000");
+    let counts = picks(&balancer, &request(false, 0.0), now, 1_000);
+    let known_picks: usize = counts[..50].iter().sum();
+    assert!(known_picks >= 900, "{known_picks} of 1000");
     assert_eq!(counts[0], 0, "its queue is full");
     let later = now + Duration::from_millis(1_500);
-    let counts = picks(&balancer, &want(false, 0.0), later, 1_000);
+    let counts = picks(&balancer, &request(false, 0.0), later, 1_000);
     assert!(counts[0] > 0, "its queue has emptied");
 }
 
@@ -541,17 +561,17 @@
     let start = Instant::now();
     let mut balancer = balancer(50, start);
     let now = start + Duration::from_secs(10);
-    one(
+    run_attempt(
         &mut balancer,
         0,
         HealthOutcome::Good,
         TYPICAL,
         now - TYPICAL,
     );
-    let mut just_started = want(false, 0.2);
-    just_started.service_load.requests_per_s = 3.0;
-    let counts = picks(&balancer, &just_started, now, 50);
-    assert!(counts[0] < 500, "{} of 1000 at the one known", counts[0]);
+    let mut request_after_start = request(false, 0.2);
+    request_after_start.service_load.requests_per_s = 3.0;
+    let counts = picks(&balancer, &request_after_start, now, 50);
+    assert!(counts[0] < 500, "{} of 1000 at the known server", counts[0]);
 }
 
 #[test]
@@ -567,7 +587,7 @@
     let mut far = Vec::new();
     for sent in 0..100 {
         let pick = balancer
-            .pick(&want(true, 0.0), now, &mut random)
+            .pick(&request(true, 0.0), now, &mut random)
             .expect("both are open");
         far.extend((pick.server.data_centre == "dc-3").then_some(sent));
         balancer.begin(pick.server.key(), expected(200.0), now);
@@ -575,11 +595,11 @@
     let first = far.first().copied().unwrap_or(usize::MAX);
     assert!(
         (4..12).contains(&first),
-        "the nearer one is full first: {first}"
+        "the nearer server is full first: {first}"
     );
     assert!(
         (30..=50).contains(&far.len()),
-        "{} of 100 went far",
+        "{} of 100 left the region",
         far.len()
     );
 }
--- a/tests/tests/floor.rs
+++ b/tests/tests/floor.rs
@@ -1,5 +1,6 @@
-//! Enough servers are in use while a good part of the requests is lost: played over whole
-//! fleets whose boxes hear of each other late.
+//! Guards against too few servers in use while a large part of the requests fails: 70% of
+//! any group of healthy servers must be sent requests in any two seconds (the floor).
+//! Simulates fleets whose boxes receive each other's tallies late.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -19,41 +20,42 @@
     servers: usize,
     /// Servers that join after two seconds, and are cold for three.
     joining: usize,
-    /// The share of the others that fails most of its work.
-    sick_share: f64,
+    /// The fraction of the other servers that is faulty and fails most requests.
+    faulty_ratio: f64,
     requests_per_s: f64,
     seed: u64,
 }
 
-/// What a box tells the others, and when they hear it.
-struct News {
+/// The tallies that a box sends to the others, and when they receive them.
+struct Update {
     due_ms: u64,
     from: usize,
     changes: Vec<KeyedTally>,
 }
 
-/// What is under way in a fleet.
+/// The state of a simulated fleet.
 struct Fleet {
     plan: Plan,
     start: Instant,
     random: StdRng,
     boxes: Vec<Balancer>,
     ends: VecDeque<(u64, usize, usize, AttemptId)>,
-    updates: VecDeque<News>,
-    told: Vec<Vec<ServerTally>>,
+    updates: VecDeque<Update>,
+    reported: Vec<Vec<ServerTally>>,
     /// When each server was sent requests, in milliseconds.
     sent_ms: Vec<Vec<u64>>,
 }
 
 const WORK_MS: u64 = 150;
-const NEWS_MS: u64 = 150;
+const UPDATE_DELAY_MS: u64 = 150;
 const STEP_MS: u64 = 5;
 const JOIN_MS: u64 = 2_000;
 const END_MS: u64 = 9_000;
-/// The span over which the floor is judged, and from when: two seconds after the joining.
+/// The window in which the floor is checked, and the time from which it is: two seconds
+/// after servers join.
 const WINDOW_MS: u64 = 2_000;
-const JUDGED_MS: u64 = JOIN_MS + WINDOW_MS;
-const FLOOR_SHARE: f64 = 0.7;
+const CHECKED_FROM_MS: u64 = JOIN_MS + WINDOW_MS;
+const FLOOR_RATIO: f64 = 0.7;
 
 fn record(n: usize, cold_ms: u64) -> ServerRecord {
     ServerRecord {
@@ -91,7 +93,7 @@
             boxes,
             ends: VecDeque::new(),
             updates: VecDeque::new(),
-            told: vec![vec![ServerTally::default(); all]; plan.boxes],
+            reported: vec![vec![ServerTally::default(); all]; plan.boxes],
             sent_ms: vec![Vec::new(); all],
         }
     }
@@ -100,9 +102,9 @@
         self.start + Duration::from_millis(ms)
     }
 
-    fn is_sick(&self, server: usize) -> bool {
-        let sick = (self.plan.servers as f64 * self.plan.sick_share) as usize;
-        server < sick
+    fn is_faulty(&self, server: usize) -> bool {
+        let faulty_count = (self.plan.servers as f64 * self.plan.faulty_ratio) as usize;
+        server < faulty_count
     }
 
     fn play(mut self) -> Self {
@@ -111,14 +113,14 @@
                 self.join(ms);
             }
             self.end_attempts(ms);
-            self.deliver(ms);
+            self.deliver_updates(ms);
             let mean = self.plan.requests_per_s * STEP_MS as f64 / 1000.0;
-            let more = self.random.random::<f64>() < mean.fract();
-            for _ in 0..mean as usize + usize::from(more) {
+            let has_extra = self.random.random::<f64>() < mean.fract();
+            for _ in 0..mean as usize + usize::from(has_extra) {
                 self.send(ms);
             }
             if ms % 50 == 0 {
-                self.tell(ms);
+                self.send_updates(ms);
             }
         }
         self
@@ -135,7 +137,7 @@
 
     fn send(&mut self, ms: u64) {
         let (now, at) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = PickRequest {
+        let request = PickRequest {
             retry_safe: self.random.random(),
             typical_latency: Duration::from_millis(WORK_MS),
             cross_data_centre_cost: Duration::from_millis(30),
@@ -146,7 +148,9 @@
                 unreported_requests: 0.0,
             },
         };
-        let pick = self.boxes[at].pick(&want, now, &mut self.random).unwrap();
+        let pick = self.boxes[at]
+            .pick(&request, now, &mut self.random)
+            .unwrap();
         let server = (0..self.sent_ms.len())
             .find(|n| key(*n) == pick.server.key())
             .unwrap();
@@ -163,23 +167,23 @@
     fn end_attempts(&mut self, ms: u64) {
         while self.ends.front().is_some_and(|(due, ..)| *due <= ms) {
             let (_, at, server, id) = self.ends.pop_front().unwrap();
-            let fails = self.is_sick(server) && self.random.random_bool(0.6);
-            let ended = if fails {
+            let fails = self.is_faulty(server) && self.random.random_bool(0.6);
+            let outcome = if fails {
                 HealthOutcome::Failed
             } else {
                 HealthOutcome::Good
             };
             let now = self.at(ms);
-            self.boxes[at].end(id, ended, now);
+            self.boxes[at].end(id, outcome, now);
         }
     }
 
-    fn tell(&mut self, ms: u64) {
+    fn send_updates(&mut self, ms: u64) {
         for at in 0..self.boxes.len() {
             let changes = self.boxes[at].take_changes();
             if !changes.is_empty() {
-                self.updates.push_back(News {
-                    due_ms: ms + NEWS_MS,
+                self.updates.push_back(Update {
+                    due_ms: ms + UPDATE_DELAY_MS,
                     from: at,
                     changes,
                 });
@@ -187,29 +191,32 @@
         }
     }
 
-    fn deliver(&mut self, ms: u64) {
+    fn deliver_updates(&mut self, ms: u64) {
         while self
             .updates
             .front()
             .is_some_and(|updates| updates.due_ms <= ms)
         {
-            let News { from, changes, .. } = self.updates.pop_front().unwrap();
-            for (told, tally) in changes {
-                let n = (0..self.sent_ms.len()).find(|n| key(*n) == told).unwrap();
-                let updates = tally.since(&self.told[from][n]);
-                self.told[from][n] = tally;
+            let Update { from, changes, .. } = self.updates.pop_front().unwrap();
+            for (reported, tally) in changes {
+                let n = (0..self.sent_ms.len())
+                    .find(|n| key(*n) == reported)
+                    .unwrap();
+                let updates = tally.since(&self.reported[from][n]);
+                self.reported[from][n] = tally;
                 let now = self.at(ms);
                 for to in (0..self.boxes.len()).filter(|to| *to != from) {
                     let source = from as u64 + 1;
-                    self.boxes[to].apply_remote(source, (told, tally), &updates, now);
+                    self.boxes[to].apply_remote(source, (reported, tally), &updates, now);
                 }
             }
         }
     }
 
-    /// The least share of some servers that was sent requests in any two seconds.
-    fn least_used(&self, servers: &[usize]) -> f64 {
-        let windows = (JUDGED_MS..=END_MS).step_by(50);
+    /// Returns the minimum fraction of some servers that was sent requests in any two
+    /// seconds.
+    fn min_used_ratio(&self, servers: &[usize]) -> f64 {
+        let windows = (CHECKED_FROM_MS..=END_MS).step_by(50);
         let used_in = |end: u64| {
             let used = servers.iter().filter(|n| {
                 let sent = &self.sent_ms[**n];
@@ -227,7 +234,7 @@
         boxes,
         servers,
         joining,
-        sick_share: 0.25,
+        faulty_ratio: 0.25,
         requests_per_s,
         seed: 0,
     };
@@ -241,20 +248,20 @@
         for seed in 1..=4 {
             let fleet = Fleet::new(Plan { seed, ..plan }).play();
             let all = plan.servers + plan.joining;
-            let well: Vec<usize> = (0..all).filter(|n| !fleet.is_sick(*n)).collect();
+            let healthy: Vec<usize> = (0..all).filter(|n| !fleet.is_faulty(*n)).collect();
             let joined: Vec<usize> = (plan.servers..all).collect();
-            for (name, group) in [("well", well), ("joined", joined)] {
-                let least = fleet.least_used(&group);
+            for (name, group) in [("healthy", healthy), ("joined", joined)] {
+                let min_used = fleet.min_used_ratio(&group);
                 assert!(
-                    least >= FLOOR_SHARE,
-                    "{name}: {least}, {plan:?} seed {seed}"
+                    min_used >= FLOOR_RATIO,
+                    "{name}: {min_used}, {plan:?} seed {seed}"
                 );
             }
         }
     }
 }
 
-/// A service that loses an eighth of its requests.
+/// The inputs for a service that fails an eighth of its requests.
 fn losing(requests_per_s: f64) -> IdleProbeInputs {
     IdleProbeInputs {
         retry_safe: false,
@@ -266,14 +273,18 @@
     }
 }
 
-/// Servers by number; those from `rested` on were unused for `unused_for`.
-fn servers(count: usize, rested: usize, unused_for: Duration) -> Vec<IdleServer<usize>> {
+/// Returns numbered servers; those from `first_idle` on have been idle for `idle_time`.
+fn servers(
+    count: usize,
+    first_idle: usize,
+    idle_time: Duration,
+) -> Vec<IdleServer<usize>> {
     let server = |n: usize| IdleServer {
         key: n,
-        idle_for: if n < rested {
+        idle_for: if n < first_idle {
             Duration::ZERO
         } else {
-            unused_for
+            idle_time
         },
         failure_probability: 0.05,
         is_eligible: true,
@@ -286,37 +297,40 @@
     const REQUESTS_PER_S: f64 = 1_000.0;
     const DRAWS: usize = 2_000;
     let mut random = StdRng::seed_from_u64(5);
-    let mut tries_per_s = |unused_ms: u64| {
-        let servers = servers(100, 99, Duration::from_millis(unused_ms));
-        let tries = (0..DRAWS).filter(|_| {
+    let mut probes_per_s = |idle_ms: u64| {
+        let servers = servers(100, 99, Duration::from_millis(idle_ms));
+        let probes = (0..DRAWS).filter(|_| {
             pick_idle_probe(&servers, &losing(REQUESTS_PER_S), &mut random) == Some(99)
         });
-        tries.count() as f64 / DRAWS as f64 * REQUESTS_PER_S
+        probes.count() as f64 / DRAWS as f64 * REQUESTS_PER_S
     };
-    let until_sure: f64 = (1_000..1_800).step_by(50).map(&mut tries_per_s).sum();
-    let tries = until_sure * 0.05;
-    assert!(tries >= 7.0, "{tries} tries within 0.8 s");
-    for unused_ms in (1_850..10_000).step_by(200) {
-        let tries = tries_per_s(unused_ms);
-        assert!(tries <= 10.0, "{tries} a second after {unused_ms} ms");
+    let probe_rates: f64 = (1_000..1_800).step_by(50).map(&mut probes_per_s).sum();
+    let probes = probe_rates * 0.05;
+    assert!(probes >= 7.0, "{probes} probes within 0.8 s");
+    for idle_ms in (1_850..10_000).step_by(200) {
+        let probes = probes_per_s(idle_ms);
+        assert!(
+            probes <= 10.0,
+            "{probes} probes a second after {idle_ms} ms"
+        );
     }
 }
 
 #[test]
 fn also_the_most_doubtful_servers_are_in_use_while_a_good_part_is_lost() {
     const REQUESTS_PER_MS: usize = 1;
-    const DOUBTED: usize = 80;
+    const DOUBTFUL: usize = 80;
     let mut random = StdRng::seed_from_u64(6);
     let mut servers = servers(100, 100, Duration::ZERO);
-    for (n, server) in servers.iter_mut().enumerate().take(DOUBTED) {
+    for (n, server) in servers.iter_mut().enumerate().take(DOUBTFUL) {
         server.failure_probability = 0.6 - n as f64 / 200.0;
     }
     let mut sent_ms = vec![vec![0u64]; servers.len()];
     for ms in 0..END_MS {
         for _ in 0..REQUESTS_PER_MS {
-            let tried = pick_idle_probe(&servers, &losing(1_000.0), &mut random);
-            // Those that are not doubted are picked all the time.
-            let n = tried.unwrap_or(random.random_range(DOUBTED..servers.len()));
+            let probed = pick_idle_probe(&servers, &losing(1_000.0), &mut random);
+            // The trusted servers are picked all the time.
+            let n = probed.unwrap_or(random.random_range(DOUBTFUL..servers.len()));
             servers[n].idle_for = Duration::ZERO;
             sent_ms[n].push(ms);
         }
@@ -324,33 +338,33 @@
             server.idle_for += Duration::from_millis(1);
         }
     }
-    let most_doubted = &sent_ms[..20];
-    for end in (JUDGED_MS..END_MS).step_by(50) {
+    let most_doubtful = &sent_ms[..20];
+    for end in (CHECKED_FROM_MS..END_MS).step_by(50) {
         let in_window = |ms: &u64| (end - WINDOW_MS..end).contains(ms);
-        let used = most_doubted
+        let used = most_doubtful
             .iter()
             .filter(|sent| sent.iter().any(in_window));
-        let used = used.count() as f64 / most_doubted.len() as f64;
-        assert!(used >= FLOOR_SHARE, "{used} in use before {end} ms");
+        let used = used.count() as f64 / most_doubtful.len() as f64;
+        assert!(used >= FLOOR_RATIO, "{used} in use before {end} ms");
     }
-    let tries: usize = sent_ms[..DOUBTED].iter().map(Vec::len).sum();
-    let most = DOUBTED * 5 * END_MS as usize / 1_000 / 5;
+    let probes: usize = sent_ms[..DOUBTFUL].iter().map(Vec::len).sum();
+    let max_probes = DOUBTFUL * 5 * END_MS as usize / 1_000 / 5;
     assert!(
-        tries <= most,
-        "{tries} tries of doubtful servers, at most {most}"
+        probes <= max_probes,
+        "{probes} probes of doubtful servers, at most {max_probes}"
     );
 }
 
-/// A sudden loss makes the two seconds before it ones in which many requests were not served, and
-/// of the servers that had nothing out at that moment, 7 of 15 had been sent nothing for two
-/// seconds: doubted after a failure or two, then trusted again, they had rested for up to ten.
+/// The floor also counts for the two seconds before a sudden loss. Of the servers without
+/// requests in flight then, 7 of 15 had been sent none for two seconds: doubtful after
+/// one or two failures, then trusted again, they had been idle for up to ten seconds.
 #[test]
 fn servers_that_were_doubted_for_a_while_do_not_rest_in_calm_times() {
     const REQUESTS_PER_MS: usize = 1;
-    const DOUBTED: usize = 40;
+    const DOUBTFUL: usize = 40;
     let mut random = StdRng::seed_from_u64(8);
     let mut servers = servers(100, 100, Duration::ZERO);
-    for (n, server) in servers.iter_mut().enumerate().take(DOUBTED) {
+    for (n, server) in servers.iter_mut().enumerate().take(DOUBTFUL) {
         server.failure_probability = 0.34 - n as f64 * 0.006;
     }
     let calm = IdleProbeInputs {
@@ -363,9 +377,9 @@
     let mut sent_ms = vec![vec![0u64]; servers.len()];
     for ms in 0..END_MS {
         for _ in 0..REQUESTS_PER_MS {
-            let tried = pick_idle_probe(&servers, &calm, &mut random);
-            // Those that are not doubted are picked all the time.
-            let n = tried.unwrap_or(random.random_range(DOUBTED..servers.len()));
+            let probed = pick_idle_probe(&servers, &calm, &mut random);
+            // The trusted servers are picked all the time.
+            let n = probed.unwrap_or(random.random_range(DOUBTFUL..servers.len()));
             servers[n].idle_for = Duration::ZERO;
             sent_ms[n].push(ms);
         }
@@ -373,19 +387,20 @@
             server.idle_for += Duration::from_millis(1);
         }
     }
-    for end in (JUDGED_MS..END_MS).step_by(50) {
+    for end in (CHECKED_FROM_MS..END_MS).step_by(50) {
         let in_window = |ms: &u64| (end - WINDOW_MS..end).contains(ms);
-        let used = sent_ms[..DOUBTED]
+        let used = sent_ms[..DOUBTFUL]
             .iter()
             .filter(|sent| sent.iter().any(in_window));
-        let used = used.count() as f64 / DOUBTED as f64;
-        assert!(used >= FLOOR_SHARE, "{used} in use before {end} ms");
+        let used = used.count() as f64 / DOUBTFUL as f64;
+        assert!(used >= FLOOR_RATIO, "{used} in use before {end} ms");
     }
-    // Once in two seconds on average: more failures would be bought than the floor needs.
-    let tries: usize = sent_ms[..DOUBTED].iter().map(Vec::len).sum();
-    let most = DOUBTED * END_MS as usize / 1_000 * 6 / 10;
+    // Once in two seconds on average: more probes would cause more failures than the
+    // floor requires.
+    let probes: usize = sent_ms[..DOUBTFUL].iter().map(Vec::len).sum();
+    let max_probes = DOUBTFUL * END_MS as usize / 1_000 * 6 / 10;
     assert!(
-        tries <= most,
-        "{tries} tries of doubted servers, at most {most}"
+        probes <= max_probes,
+        "{probes} probes of doubtful servers, at most {max_probes}"
     );
 }
--- a/tests/tests/many_servers.rs
+++ b/tests/tests/many_servers.rs
@@ -1,5 +1,6 @@
-//! Once-only requests before servers that turn sick for seconds, each at its own times: a fleet
-//! of boxes that hear of each other by one hub, in virtual time.
+//! Simulates once-only requests to servers that each become faulty for some seconds, from
+//! a fleet of boxes that exchange tallies over one hub, in virtual time. Guards against
+//! losing too many of these requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,43 +14,45 @@
     RetryBudgetSettings, ServerKey, ServerRecord, ServiceLoad, ServiceTime,
 };
 
-/// A service whose servers turn sick for a while, each at its own times.
+/// A service whose servers become faulty for a while, each at its own times.
 #[derive(Debug, Clone, Copy)]
 struct Plan {
     boxes: usize,
     servers: usize,
     requests_per_s: f64,
-    /// The share of servers that are sick at any time, and for how long each is.
-    sick_share: f64,
-    sick_ms: f64,
-    /// How much of its work a sick server fails.
-    sick_fails: f64,
-    /// How often the hub tells each member.
-    hub_gap_ms: u64,
-    /// The requests that a box takes for unseen, in seconds of all requests.
-    unseen_s: f64,
+    /// The fraction of servers that is faulty at any time, and the mean duration of a
+    /// fault.
+    faulty_ratio: f64,
+    fault_ms: f64,
+    /// The fraction of its requests that a faulty server fails.
+    faulty_failure_ratio: f64,
+    /// The interval at which the hub sends updates to each member.
+    update_interval_ms: u64,
+    /// The unreported requests that a box assumes, in seconds of all requests.
+    unreported_s: f64,
     seed: u64,
 }
 
-/// What befell the requests of a play.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     sent: usize,
-    lost: usize,
+    failed: usize,
     /// Requests that found all slots of their server in use.
     queued: usize,
-    /// The least share of the well servers that was sent requests in any two seconds in which
-    /// more than a tenth of the requests was lost; none where so much never was.
-    least_used: Option<f64>,
+    /// The minimum fraction of the healthy servers that was sent requests in any two
+    /// seconds in which more than a tenth of the requests failed; `None` if there were
+    /// none.
+    min_used_ratio: Option<f64>,
 }
 
-/// A request that is out.
-struct Out {
+/// A request in flight.
+struct InFlight {
     ends_ms: u64,
     at: usize,
     server: usize,
     id: AttemptId,
-    is_floor_try: bool,
+    is_idle_probe: bool,
 }
 
 struct Play {
@@ -60,16 +63,16 @@
     readers: Vec<TallyUpdateReader>,
     hub: Rollup,
     numbers: HashMap<ServerKey, usize>,
-    /// Whether each server is sick, and until when it stays as it is.
-    sick: Vec<(bool, u64)>,
-    out: VecDeque<Out>,
+    /// Whether each server is faulty, and until when that lasts.
+    faulty: Vec<(bool, u64)>,
+    in_flight: VecDeque<InFlight>,
     in_use: Vec<u32>,
-    /// What the boxes count of the service, as if each heard of all at once.
+    /// The request counts of the service, as if each box knew of all requests at once.
     budget: FleetRetryBudget,
-    /// When each server was last sent a request, and since when it is well.
+    /// When each server was last sent a request, and since when it is healthy or faulty.
     sent_ms: Vec<u64>,
-    well_since_ms: Vec<u64>,
-    /// The requests that have ended lately, with when, and whether they were lost.
+    state_since_ms: Vec<u64>,
+    /// The recently ended requests: the time, and whether they failed.
     ended: VecDeque<(u64, bool)>,
     outcome: Outcome,
 }
@@ -77,18 +80,19 @@
 const STEP_MS: u64 = 5;
 const WORK_MS: u64 = 230;
 const SLOTS: u32 = 3;
-/// How often a box tells its hub.
-const TOLD_MS: u64 = 50;
-/// Servers that a frame has room for.
-const MOST_SERVERS: usize = 300;
+/// The interval at which a box sends updates to its hub.
+const UPDATE_INTERVAL_MS: u64 = 50;
+/// The maximum number of servers in a frame.
+const MAX_SERVERS_PER_FRAME: usize = 300;
 const END_MS: u64 = 20_000;
-/// What is lost from here on counts: nothing is known at the start.
-const JUDGED_MS: u64 = 4_000;
-/// What fails at a well server.
-const WELL_FAILS: f64 = 0.012;
-/// The span over which the floor is judged, by the servers that are well for as long.
+/// Failures count from this time on, because the boxes know nothing at the start.
+const COUNTED_FROM_MS: u64 = 4_000;
+/// The failure ratio of a healthy server.
+const HEALTHY_FAILURE_RATIO: f64 = 0.012;
+/// The window in which the floor is checked, for the servers that are healthy for as
+/// long.
 const FLOOR_MS: u64 = 2_000;
-const FLOOR_SHARE: f64 = 0.7;
+const FLOOR_RATIO: f64 = 0.7;
 
 fn record(n: usize) -> ServerRecord {
     ServerRecord {
@@ -118,12 +122,12 @@
             boxes.push(balancer);
             hub.add_link(at as u64 + 1, LinkKind::Member);
         }
-        let sick = (0..plan.servers).map(|_| {
-            let is_sick = random.random_bool(plan.sick_share);
-            (is_sick, spell_ms(&plan, is_sick, &mut random))
+        let faulty = (0..plan.servers).map(|_| {
+            let is_faulty = random.random_bool(plan.faulty_ratio);
+            (is_faulty, state_duration_ms(&plan, is_faulty, &mut random))
         });
         Self {
-            sick: sick.collect(),
+            faulty: faulty.collect(),
             plan,
             start,
             readers: (0..plan.boxes)
@@ -132,11 +136,11 @@
             boxes,
             hub,
             numbers: records.iter().map(ServerRecord::key).zip(0..).collect(),
-            out: VecDeque::new(),
+            in_flight: VecDeque::new(),
             in_use: vec![0; plan.servers],
             budget: FleetRetryBudget::new(RetryBudgetSettings::default()),
             sent_ms: vec![0; plan.servers],
-            well_since_ms: vec![0; plan.servers],
+            state_since_ms: vec![0; plan.servers],
             ended: VecDeque::new(),
             outcome: Outcome::default(),
             random,
@@ -152,62 +156,65 @@
             self.turn(ms);
             self.end_requests(ms);
             let mean = self.plan.requests_per_s * STEP_MS as f64 / 1000.0;
-            let more = self.random.random::<f64>() < mean.fract();
-            for _ in 0..mean as usize + usize::from(more) {
+            let has_extra = self.random.random::<f64>() < mean.fract();
+            for _ in 0..mean as usize + usize::from(has_extra) {
                 self.send(ms);
             }
-            if ms % TOLD_MS == 0 {
-                self.tell_hub();
-                self.judge_floor(ms);
+            if ms % UPDATE_INTERVAL_MS == 0 {
+                self.send_to_hub();
+                self.check_floor(ms);
             }
-            self.tell_members(ms);
+            self.send_to_members(ms);
         }
         self.outcome
     }
 
-    /// Servers turn sick or well as their time comes.
+    /// Makes servers faulty or healthy when their time has come.
     fn turn(&mut self, ms: u64) {
-        for (n, (is_sick, until)) in self.sick.iter_mut().enumerate() {
+        for (n, (is_faulty, until)) in self.faulty.iter_mut().enumerate() {
             if ms >= *until {
-                *is_sick = !*is_sick;
-                *until = ms + spell_ms(&self.plan, *is_sick, &mut self.random);
-                self.well_since_ms[n] = ms;
+                *is_faulty = !*is_faulty;
+                *until = ms + state_duration_ms(&self.plan, *is_faulty, &mut self.random);
+                self.state_since_ms[n] = ms;
             }
         }
     }
 
-    /// Notes which share of the well servers is in use while much is lost.
-    fn judge_floor(&mut self, ms: u64) {
+    /// Records which fraction of the healthy servers is in use while many requests fail.
+    fn check_floor(&mut self, ms: u64) {
         let from = ms.saturating_sub(FLOOR_MS);
         while self.ended.front().is_some_and(|(at, _)| *at < from) {
             self.ended.pop_front();
         }
-        let lost = self.ended.iter().filter(|(_, lost)| *lost).count();
-        if ms < JUDGED_MS || lost * 10 <= self.ended.len() {
+        let failed = self.ended.iter().filter(|(_, failed)| *failed).count();
+        if ms < COUNTED_FROM_MS || failed * 10 <= self.ended.len() {
             return;
         }
-        let is_well = |n: &usize| !self.sick[*n].0 && self.well_since_ms[*n] <= from;
-        let well: Vec<usize> = (0..self.plan.servers).filter(is_well).collect();
-        let used = well.iter().filter(|n| self.sent_ms[**n] >= from).count();
-        let used = used as f64 / well.len().max(1) as f64;
-        let least = self.outcome.least_used.unwrap_or(1.0);
-        self.outcome.least_used = Some(least.min(used));
+        let is_healthy =
+            |n: &usize| !self.faulty[*n].0 && self.state_since_ms[*n] <= from;
+        let healthy: Vec<usize> = (0..self.plan.servers).filter(is_healthy).collect();
+        let used = healthy.iter().filter(|n| self.sent_ms[**n] >= from).count();
+        let used = used as f64 / healthy.len().max(1) as f64;
+        let min_ratio = self.outcome.min_used_ratio.unwrap_or(1.0);
+        self.outcome.min_used_ratio = Some(min_ratio.min(used));
     }
 
     fn send(&mut self, ms: u64) {
         let (now, at) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = PickRequest {
+        let request = PickRequest {
             retry_safe: false,
             typical_latency: Duration::from_millis(WORK_MS),
             cross_data_centre_cost: Duration::from_millis(30),
             tried: &[],
             service_load: ServiceLoad {
-                unreported_requests: self.plan.requests_per_s * self.plan.unseen_s,
+                unreported_requests: self.plan.requests_per_s * self.plan.unreported_s,
                 ..self.budget.service_load(now)
             },
         };
         self.budget.count_request(now);
-        let pick = self.boxes[at].pick(&want, now, &mut self.random).unwrap();
+        let pick = self.boxes[at]
+            .pick(&request, now, &mut self.random)
+            .unwrap();
         let key = pick.server.key();
         let server = self.numbers[&key];
         let expected = ExpectedLatency {
@@ -218,28 +225,32 @@
         let id = self.boxes[at].begin(key, expected, now);
         self.in_use[server] += 1;
         self.sent_ms[server] = ms;
-        if ms >= JUDGED_MS {
+        if ms >= COUNTED_FROM_MS {
             self.outcome.sent += 1;
             self.outcome.queued += usize::from(self.in_use[server] > SLOTS);
         }
-        self.out.push_back(Out {
+        self.in_flight.push_back(InFlight {
             ends_ms: ms + WORK_MS,
             at,
             server,
             id,
-            is_floor_try: pick.is_idle_probe,
+            is_idle_probe: pick.is_idle_probe,
         });
     }
 
     fn end_requests(&mut self, ms: u64) {
-        while self.out.front().is_some_and(|out| out.ends_ms <= ms) {
-            let out = self.out.pop_front().unwrap();
-            self.in_use[out.server] -= 1;
-            let (is_sick, _) = self.sick[out.server];
-            let fails = if is_sick {
-                self.plan.sick_fails
+        while self
+            .in_flight
+            .front()
+            .is_some_and(|in_flight| in_flight.ends_ms <= ms)
+        {
+            let in_flight = self.in_flight.pop_front().unwrap();
+            self.in_use[in_flight.server] -= 1;
+            let (is_faulty, _) = self.faulty[in_flight.server];
+            let fails = if is_faulty {
+                self.plan.faulty_failure_ratio
             } else {
-                WELL_FAILS
+                HEALTHY_FAILURE_RATIO
             };
             let fails = self.random.random_bool(fails);
             let ended = if fails {
@@ -248,17 +259,17 @@
                 HealthOutcome::Good
             };
             let now = self.at(ms);
-            self.boxes[out.at].end(out.id, ended, now);
-            if fails && !out.is_floor_try {
+            self.boxes[in_flight.at].end(in_flight.id, ended, now);
+            if fails && !in_flight.is_idle_probe {
                 self.budget.count_failed_request(now);
             }
             self.ended.push_back((ms, fails));
-            let is_judged = out.ends_ms >= JUDGED_MS + WORK_MS;
-            self.outcome.lost += usize::from(fails && is_judged);
+            let is_counted = in_flight.ends_ms >= COUNTED_FROM_MS + WORK_MS;
+            self.outcome.failed += usize::from(fails && is_counted);
         }
     }
 
-    fn tell_hub(&mut self) {
+    fn send_to_hub(&mut self) {
         for (at, balancer) in self.boxes.iter_mut().enumerate() {
             let servers = balancer.take_changes();
             if !servers.is_empty() {
@@ -272,16 +283,19 @@
         }
     }
 
-    /// Each member is told in its turn, as a hub of many does.
-    fn tell_members(&mut self, ms: u64) {
+    /// Sends updates to the members in turn, as a hub with many members does.
+    fn send_to_members(&mut self, ms: u64) {
         let now = self.at(ms);
         for at in 0..self.boxes.len() {
-            let gap_ms = self.plan.hub_gap_ms;
-            let turn = at as u64 * gap_ms / self.boxes.len() as u64;
-            if ms % gap_ms != turn / STEP_MS * STEP_MS {
+            let interval_ms = self.plan.update_interval_ms;
+            let turn = at as u64 * interval_ms / self.boxes.len() as u64;
+            if ms % interval_ms != turn / STEP_MS * STEP_MS {
                 continue;
             }
-            for digest in self.hub.compose_within(at as u64 + 1, MOST_SERVERS) {
+            for digest in self
+                .hub
+                .compose_within(at as u64 + 1, MAX_SERVERS_PER_FRAME)
+            {
                 let updates = self.readers[at].read(&digest);
                 for (tally, counts) in updates.servers {
                     self.boxes[at].apply_remote(updates.source, tally, &counts, now);
@@ -291,15 +305,21 @@
     }
 }
 
-/// How long a server stays sick, or well.
-fn spell_ms(plan: &Plan, is_sick: bool, random: &mut StdRng) -> u64 {
-    let well_ms = plan.sick_ms * (1.0 - plan.sick_share) / plan.sick_share;
-    let mean_ms = if is_sick { plan.sick_ms } else { well_ms };
+/// Draws how long a server stays faulty, or healthy.
+fn state_duration_ms(plan: &Plan, is_faulty: bool, random: &mut StdRng) -> u64 {
+    let healthy_duration_ms =
+        plan.fault_ms * (1.0 - plan.faulty_ratio) / plan.faulty_ratio;
+    let mean_ms = if is_faulty {
+        plan.fault_ms
+    } else {
+        healthy_duration_ms
+    };
     (-mean_ms * (1.0 - random.random::<f64>()).ln()) as u64
 }
 
-/// Each server was as good a pick as the others until it had failed: a tenth was lost. Then all
-/// boxes went to the few that had answered last, and a tenth found all slots in use.
+/// Guards against two failures: when a server was as good a pick as the others until it
+/// had failed, a tenth of the requests failed; when all boxes picked the few servers with
+/// the latest responses, a tenth of the requests found all slots in use.
 #[test]
 fn once_only_requests_go_to_servers_that_lately_answered() {
     for (boxes, servers, requests_per_s) in [(25, 375, 65.0), (50, 750, 130.0)] {
@@ -307,24 +327,24 @@
             boxes,
             servers,
             requests_per_s,
-            sick_share: 0.3,
-            sick_ms: 9_000.0,
-            sick_fails: 0.75,
-            hub_gap_ms: 600,
+            faulty_ratio: 0.3,
+            fault_ms: 9_000.0,
+            faulty_failure_ratio: 0.75,
+            update_interval_ms: 600,
             // One of five data centres, with updates from any of their hubs each 0.1 s.
-            unseen_s: 0.02,
+            unreported_s: 0.02,
             seed: 1,
         })
         .play();
-        let lost = outcome.lost as f64 / outcome.sent as f64;
-        assert!(lost <= 0.07, "{lost} lost: {outcome:?}");
+        let failed = outcome.failed as f64 / outcome.sent as f64;
+        assert!(failed <= 0.07, "{failed} failed: {outcome:?}");
         let queued = outcome.queued as f64 / outcome.sent as f64;
         assert!(queued <= 0.05, "{queued} queued: {outcome:?}");
     }
 }
 
-/// While much was lost unused servers were tried, and what the tries lost kept the loss up:
-/// 6.9 in 100.
+/// Idle servers are probed while many requests fail. The failures of the probes counted
+/// as well and kept the failure ratio up, at 6.9%.
 #[test]
 fn losses_of_floor_tries_do_not_ask_for_more_of_them() {
     const SEEDS: u64 = 3;
@@ -333,21 +353,24 @@
             boxes: 39,
             servers: 121,
             requests_per_s: 417.0,
-            sick_share: 0.3,
-            sick_ms: 6_000.0,
-            sick_fails: 0.85,
-            hub_gap_ms: 300,
-            unseen_s: 0.3,
+            faulty_ratio: 0.3,
+            fault_ms: 6_000.0,
+            faulty_failure_ratio: 0.85,
+            update_interval_ms: 300,
+            unreported_s: 0.3,
             seed,
         })
         .play()
     };
     let plays: Vec<Outcome> = (1..=SEEDS).map(play).collect();
-    let lost: usize = plays.iter().map(|outcome| outcome.lost).sum();
+    let failed: usize = plays.iter().map(|outcome| outcome.failed).sum();
     let sent: usize = plays.iter().map(|outcome| outcome.sent).sum();
-    assert!(lost * 1_000 <= sent * 62, "{lost} of {sent}: {plays:?}");
-    let least_used = plays.iter().filter_map(|outcome| outcome.least_used);
-    for used in least_used {
-        assert!(used >= FLOOR_SHARE, "{used} in use: {plays:?}");
+    assert!(
+        failed * 1_000 <= sent * 62,
+        "{failed} of {sent} failed: {plays:?}"
+    );
+    let min_used_ratio = plays.iter().filter_map(|outcome| outcome.min_used_ratio);
+    for used in min_used_ratio {
+        assert!(used >= FLOOR_RATIO, "{used} in use: {plays:?}");
     }
 }
--- a/tests/tests/placing.rs
+++ b/tests/tests/placing.rs
@@ -1,5 +1,6 @@
-//! Where requests go while boxes hear of each other late: servers with slots and short
-//! queues before a whole fleet of boxes, with the real decisions.
+//! Simulates a fleet of boxes that receive each other's tallies late, with the real
+//! balancer and servers with slots and short queues. Guards against many boxes that pick
+//! the same servers.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -17,13 +18,13 @@
     boxes: usize,
     servers: usize,
     requests_per_s: f64,
-    /// How often a box hears of the others, and how old that is by then.
-    news_every_ms: u64,
-    news_age_ms: u64,
+    /// How often a box receives the tallies of the others, and how old they are then.
+    update_interval_ms: u64,
+    update_age_ms: u64,
     seed: u64,
 }
 
-/// A server that works on three requests at once and lets twelve wait.
+/// A server that processes three requests at the same time and queues up to twelve.
 #[derive(Debug, Default)]
 struct Worker {
     running: usize,
@@ -39,7 +40,7 @@
     id: AttemptId,
 }
 
-/// What became of the requests.
+/// The counts and waits of the simulated requests.
 #[derive(Debug, Default)]
 struct Outcome {
     sent: usize,
@@ -75,13 +76,13 @@
     keys: Vec<ServerKey>,
     boxes: Vec<Balancer>,
     workers: Vec<Worker>,
-    /// What each box has told of each server.
+    /// The last tally that each box has reported of each server.
     own: Vec<Vec<ServerTally>>,
-    /// The sums of all boxes as they stood lately, oldest first.
+    /// The recent sums over all boxes, oldest first.
     sums: VecDeque<(u64, Vec<ServerTally>)>,
-    /// What each box heard last of the others.
-    heard: Vec<Vec<ServerTally>>,
-    /// Ends of work: when, at which server, of which box's attempt.
+    /// The sums of the other boxes that each box received last.
+    received: Vec<Vec<ServerTally>>,
+    /// The ends of the requests in progress: the time, the server and the request.
     ends: Vec<(u64, usize, Sent)>,
     outcome: Outcome,
 }
@@ -94,7 +95,7 @@
             (0..plan.servers).for_each(|n| balancer.upsert(record(n), start));
             balancer
         };
-        let nothing = vec![ServerTally::default(); plan.servers];
+        let empty = vec![ServerTally::default(); plan.servers];
         Self {
             plan,
             start,
@@ -102,9 +103,9 @@
             keys: (0..plan.servers).map(|n| record(n).key()).collect(),
             boxes: (0..plan.boxes).map(|_| balancer()).collect(),
             workers: (0..plan.servers).map(|_| Worker::default()).collect(),
-            own: vec![nothing.clone(); plan.boxes],
+            own: vec![empty.clone(); plan.boxes],
             sums: VecDeque::new(),
-            heard: vec![nothing; plan.boxes],
+            received: vec![empty; plan.boxes],
             ends: Vec::new(),
             outcome: Outcome::default(),
         }
@@ -118,15 +119,15 @@
         for ms in (0..END_MS).step_by(STEP_MS as usize) {
             self.finish(ms);
             let mean = self.plan.requests_per_s * STEP_MS as f64 / 1000.0;
-            let more = self.random.random::<f64>() < mean.fract();
-            for _ in 0..mean as usize + usize::from(more) {
+            let has_extra = self.random.random::<f64>() < mean.fract();
+            for _ in 0..mean as usize + usize::from(has_extra) {
                 self.send(ms);
             }
             self.add_up(ms);
             for at in 0..self.boxes.len() {
-                // Boxes hear at different times.
-                let phase = at as u64 * STEP_MS % self.plan.news_every_ms;
-                if ms % self.plan.news_every_ms == phase {
+                // The boxes receive updates at different times.
+                let phase = at as u64 * STEP_MS % self.plan.update_interval_ms;
+                if ms % self.plan.update_interval_ms == phase {
                     self.receive(at, ms);
                 }
             }
@@ -140,7 +141,7 @@
 
     fn send(&mut self, ms: u64) {
         let (now, from) = (self.at(ms), self.random.random_range(0..self.boxes.len()));
-        let want = PickRequest {
+        let request = PickRequest {
             retry_safe: false,
             typical_latency: Duration::from_millis(MEAN_WORK_MS as u64),
             cross_data_centre_cost: Duration::from_millis(30),
@@ -149,11 +150,13 @@
                 requests_per_s: self.plan.requests_per_s,
                 failure_ratio: 0.02,
                 unreported_requests: self.plan.requests_per_s
-                    * self.plan.news_every_ms as f64
+                    * self.plan.update_interval_ms as f64
                     / 1000.0,
             },
         };
-        let pick = self.boxes[from].pick(&want, now, &mut self.random).unwrap();
+        let pick = self.boxes[from]
+            .pick(&request, now, &mut self.random)
+            .unwrap();
         let n = self.number_of(pick.server.key());
         let expected = ExpectedLatency {
             baseline_ms: pick.baseline_ms,
@@ -186,8 +189,8 @@
     }
 
     fn finish(&mut self, ms: u64) {
-        let (done, rest) = self.ends.drain(..).partition(|(due, ..)| *due <= ms);
-        self.ends = rest;
+        let (done, pending) = self.ends.drain(..).partition(|(due, ..)| *due <= ms);
+        self.ends = pending;
         let done: Vec<(u64, usize, Sent)> = done;
         for (_, n, sent) in done {
             let now = self.at(ms);
@@ -212,7 +215,7 @@
             }
         }
         self.sums.push_back((ms, sums));
-        while self.sums[0].0 + self.plan.news_age_ms < ms {
+        while self.sums[0].0 + self.plan.update_age_ms < ms {
             self.sums.pop_front();
         }
     }
@@ -221,9 +224,9 @@
         let now = self.at(ms);
         for n in 0..self.keys.len() {
             let others = self.sums[0].1[n].minus(&self.own[at][n]);
-            let updates = others.increase_since(&self.heard[at][n]);
-            if others != self.heard[at][n] {
-                self.heard[at][n] = others;
+            let updates = others.increase_since(&self.received[at][n]);
+            if others != self.received[at][n] {
+                self.received[at][n] = others;
                 self.boxes[at].apply_remote(1, (self.keys[n], others), &updates, now);
             }
         }
@@ -234,8 +237,8 @@
     }
 }
 
-/// The wait that so many in a hundred exceed.
-fn wait_passed_by(outcome: &mut Outcome, percent: usize) -> u64 {
+/// Returns the wait in milliseconds that this percentage of requests exceeds.
+fn wait_exceeded_by(outcome: &mut Outcome, percent: usize) -> u64 {
     outcome.waits_ms.sort_unstable();
     outcome.waits_ms[outcome.waits_ms.len() * (100 - percent) / 100]
 }
@@ -246,19 +249,19 @@
         boxes: 88,
         servers: 60,
         requests_per_s: 470.0,
-        news_every_ms: 290,
-        news_age_ms: 60,
+        update_interval_ms: 290,
+        update_age_ms: 60,
         seed: 1,
     };
     for seed in 1..=3 {
         let mut outcome = Fleet::new(Plan { seed, ..plan }).play();
         let (refused, sent) = (outcome.refused, outcome.sent);
-        let late = wait_passed_by(&mut outcome, 10);
+        let wait_ms = wait_exceeded_by(&mut outcome, 10);
         eprintln!(
-            "{refused} of {sent}, wait {late} ms, {:.2}",
+            "{refused} of {sent} refused, wait {wait_ms} ms, busiest {:.2}",
             outcome.busiest
         );
         assert!(refused * 1_000 <= sent, "{refused} of {sent} were refused");
-        assert!(late <= 180, "one in ten waited more than {late} ms");
+        assert!(wait_ms <= 180, "one in ten waited more than {wait_ms} ms");
     }
 }
--- a/tests/tests/server_limit_values.rs
+++ b/tests/tests/server_limit_values.rs
@@ -1,4 +1,4 @@
-//! What counts as a limit that a server names, and which of its answers tells it.
+//! Which header values are limits of a server, and which of its responses counts.
 
 use std::time::{Duration, Instant};
 
@@ -19,9 +19,9 @@
         (&["many", "2"], Some(2.0)),
         (&["100000000000000000000"], Some(1e20)),
     ];
-    for (values, wanted) in readable {
+    for (values, expected) in readable {
         let read = parse_server_limit(values.iter().map(|value| value.as_bytes()));
-        assert_eq!(read, Ok(wanted), "{values:?}");
+        assert_eq!(read, Ok(expected), "{values:?}");
     }
     let unreadable = [
         "", " ", ".", "-1", "+1", "1e3", "NaN", "inf", "1,5", "1.2.3", "0x10", "1 2",
@@ -46,13 +46,13 @@
     let at = |ms| start + Duration::from_millis(ms);
     assert_eq!(limits.receive_answer(7, None, at(0)), None);
     let named = limits.receive_answer(7, Some(1.5), at(10));
-    let wanted = ServerLimitChange {
+    let expected = ServerLimitChange {
         server: 7,
         before: None,
         per_s: Some(1.5),
         at: at(10),
     };
-    assert_eq!(named, Some(wanted));
+    assert_eq!(named, Some(expected));
     assert_eq!(
         limits.receive_answer(7, Some(1.5), at(20)),
         None,
@@ -62,11 +62,11 @@
     assert_eq!(limits.limit(8), None);
     let ended = limits
         .receive_answer(7, None, at(30))
-        .expect("it has ended");
+        .expect("the limit has ended");
     assert_eq!((ended.before, ended.per_s), (Some(1.5), None));
     assert_eq!(limits.limit(7), None);
     limits.receive_answer(9, Some(0.0), at(40));
-    assert_eq!(limits.limit(9), Some(0.0), "nothing is a limit as well");
+    assert_eq!(limits.limit(9), Some(0.0), "zero is a limit as well");
     limits.forget(9);
     assert_eq!(limits.limit(9), None);
 }
--- a/tests/tests/server_limits.rs
+++ b/tests/tests/server_limits.rs
@@ -1,9 +1,6 @@
-//! Servers in need that name in their answers what they take from all boxes together.
-//!
-//! Two of sixteen servers named limits of 1 and 1.6 requests a second and got 27 and 19 in four
-//! seconds from boxes that had passed on such answers. Nothing in the program read the header:
-//! the first one got 42 requests in the eight seconds from then on, from eleven boxes, and 36 in
-//! the eight before; all of them were first attempts, and it turned none away.
+//! Servers that announce a limit over all boxes. Guards against boxes that forward the
+//! header but ignore it: limits of 1 and 1.6/s got 27 and 19 first attempts in 4 s;
+//! the first server got 42 in 8 s after its limit and 36 in 8 s before, none rejected.
 
 mod edge;
 
@@ -16,13 +13,13 @@
 use wingspur_tests::{Answer, BackendServer, PlatformStore, Reply};
 use wingspur_transport::Workers;
 
-/// Some boxes before some servers, all linked with each other.
+/// Some boxes that are linked with each other, in front of some servers.
 struct Fleet {
     _store: PlatformStore,
     boxes: Vec<EdgeBox>,
     servers: Vec<BackendServer>,
     workers: Workers,
-    asked: AtomicUsize,
+    sent_count: AtomicUsize,
 }
 
 impl Fleet {
@@ -54,33 +51,33 @@
             boxes,
             servers,
             workers,
-            asked: AtomicUsize::new(0),
+            sent_count: AtomicUsize::new(0),
         }
     }
 
-    /// Asks the boxes in turn.
-    fn ask(&self, class: &str) -> Answer {
-        let turn = self.asked.fetch_add(1, Ordering::Relaxed);
+    /// Sends a request to the boxes in turn.
+    fn send(&self, class: &str) -> Answer {
+        let turn = self.sent_count.fetch_add(1, Ordering::Relaxed);
         let running = &self.boxes[turn % self.boxes.len()];
         let id = format!("id-{turn}");
         Caller::of(running).call(class, &id)
     }
 
-    /// Asks for a while, some callers at a time; returns the statuses.
-    fn ask_for(&self, class: &str, span: Duration) -> Vec<u16> {
+    /// Sends requests for a while from some concurrent callers; returns the statuses.
+    fn send_for(&self, class: &str, span: Duration) -> Vec<u16> {
         let until = Instant::now() + span;
-        let ask = || {
+        let send = || {
             let mut statuses = Vec::new();
             while Instant::now() < until {
-                statuses.push(self.ask(class).status);
-                thread::sleep(ASKED_EVERY);
+                statuses.push(self.send(class).status);
+                thread::sleep(REQUEST_INTERVAL);
             }
             statuses
         };
         thread::scope(|scope| {
-            let callers: Vec<_> = (0..CALLERS).map(|_| scope.spawn(ask)).collect();
-            let told = callers.into_iter().flat_map(|caller| caller.join());
-            told.flatten().collect()
+            let callers: Vec<_> = (0..CALLERS).map(|_| scope.spawn(send)).collect();
+            let results = callers.into_iter().flat_map(|caller| caller.join());
+            results.flatten().collect()
         })
     }
 
@@ -92,8 +89,8 @@
     }
 }
 
-/// The most that arrived at a server in any four seconds from a moment on.
-fn fullest(server: &BackendServer, from: Instant) -> usize {
+/// Returns the maximum number of arrivals at a server in any four seconds from a time on.
+fn max_arrivals(server: &BackendServer, from: Instant) -> usize {
     let arrivals = server.arrivals();
     let at: Vec<_> = arrivals.into_iter().map(|(at, _)| at).collect();
     let counted = at.iter().enumerate().filter(|(_, first)| **first >= from);
@@ -104,7 +101,8 @@
     counts.max().unwrap_or(0)
 }
 
-/// Half as much again as the limit allows, and five requests.
+/// Returns one and a half times what the limit allows in four seconds, plus five
+/// requests.
 fn allowed(per_s: f64) -> usize {
     (1.5 * per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -115,16 +113,20 @@
     for class in ["read", "once_only"] {
         let named = Instant::now();
         fleet.servers[0].say("server-limit: 1.5\r\n");
-        let statuses = fleet.ask_for(class, Duration::from_secs(8));
-        let most = fullest(&fleet.servers[0], named + TOLD_WITHIN);
+        let statuses = fleet.send_for(class, Duration::from_secs(8));
+        let most = max_arrivals(&fleet.servers[0], named + KNOWN_WITHIN);
         assert!(most <= allowed(1.5), "{class}: {most} in four seconds");
         let served = statuses.iter().filter(|status| **status == 200).count();
-        assert_eq!(served, statuses.len(), "{class}: the others have room");
+        assert_eq!(
+            served,
+            statuses.len(),
+            "{class}: the other servers have free slots"
+        );
     }
     fleet.close();
 }
 
-/// Errors and rejections name the limit as good answers do, and so do answers to requests that
+/// The limit is also read from errors and rejections, and from responses to requests that
 /// are sent again.
 #[test]
 fn a_limit_is_heard_from_errors_and_rejections_as_well() {
@@ -135,8 +137,8 @@
     });
     let named = Instant::now();
     fleet.servers[0].say("server-limit: 1\r\n");
-    fleet.ask_for("read", Duration::from_secs(8));
-    let most = fullest(&fleet.servers[0], named + TOLD_WITHIN);
+    fleet.send_for("read", Duration::from_secs(8));
+    let most = max_arrivals(&fleet.servers[0], named + KNOWN_WITHIN);
     assert!(most <= allowed(1.0), "{most} in four seconds");
     fleet.close();
 }
@@ -148,15 +150,18 @@
         server.say("server-limit: 0.5\r\n");
     }
     let named = Instant::now();
-    fleet.ask_for("once_only", Duration::from_secs(5));
-    let answers: Vec<_> = (0..20).map(|_| fleet.ask("once_only")).collect();
+    fleet.send_for("once_only", Duration::from_secs(5));
+    let answers: Vec<_> = (0..20).map(|_| fleet.send("once_only")).collect();
     for server in &fleet.servers {
-        let most = fullest(server, named + TOLD_WITHIN);
+        let most = max_arrivals(server, named + KNOWN_WITHIN);
         assert!(most <= allowed(0.5), "{most} in four seconds");
     }
     let refused = answers.iter().filter(|answer| answer.status == 503);
     let refused: Vec<_> = refused.collect();
-    assert!(!refused.is_empty(), "more is asked for than they take");
+    assert!(
+        !refused.is_empty(),
+        "there are more requests than the limits allow"
+    );
     for answer in refused {
         assert_eq!(answer.headers["wingspur-result"], "2006");
         let after: f64 = answer.headers["retry-after"].parse().expect("a number");
@@ -165,27 +170,28 @@
     fleet.close();
 }
 
-/// The answer is the server's, so callers see the header as it gave it.
+/// The response is the server's, so callers get its header unchanged.
 #[test]
 fn callers_are_shown_what_the_server_said() {
     let fleet = Fleet::start(1, 1);
     fleet.servers[0].say("Server-Limit: 2.50\r\n");
-    let answer = fleet.ask("read");
+    let answer = fleet.send("read");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.headers["server-limit"], "2.50");
     fleet.close();
 }
 
-/// The server stands in one of three data centres, whose hub holds its limit.
+/// The server is in one of three data centres, whose hub leases out the quota of its
+/// limit.
 #[test]
 fn what_a_server_takes_is_used_from_all_data_centres() {
     let fleet = Fleet::start(6, 4);
     fleet.servers[0].say("server-limit: 2\r\n");
-    fleet.ask_for("once_only", Duration::from_secs(4));
+    fleet.send_for("once_only", Duration::from_secs(4));
     let before = fleet.servers[0].arrivals().len();
-    fleet.ask_for("once_only", Duration::from_secs(8));
+    fleet.send_for("once_only", Duration::from_secs(8));
     let got = fleet.servers[0].arrivals().len() - before;
-    // Sixteen are allowed; a machine that is busy asks for fewer.
+    // The limit allows sixteen; on a busy machine there are fewer requests.
     assert!(got >= 8, "{got} in eight seconds");
     fleet.close();
 }
@@ -194,17 +200,17 @@
 fn a_server_that_names_none_any_more_is_sent_its_share_again() {
     let fleet = Fleet::start(6, 4);
     fleet.servers[0].say("server-limit: 0\r\n");
-    fleet.ask_for("read", Duration::from_secs(4));
+    fleet.send_for("read", Duration::from_secs(4));
     fleet.servers[0].say("");
-    wait_until("it is sent its share", || {
+    wait_until("the server gets its share", || {
         let before = fleet.servers[0].arrivals().len();
-        fleet.ask_for("read", Duration::from_secs(1));
+        fleet.send_for("read", Duration::from_secs(1));
         fleet.servers[0].arrivals().len() >= before + 5
     });
     fleet.close();
 }
 
-/// What is no plain decimal number says neither that there is a limit nor that there is none.
+/// A value that is not a plain decimal number neither sets a limit nor removes one.
 #[test]
 fn odd_values_change_nothing() {
     let fleet = Fleet::start(2, 1);
@@ -216,12 +222,12 @@
     for odd in odd {
         fleet.servers[0].say(odd);
         let before = fleet.servers[0].arrivals().len();
-        let statuses = fleet.ask_for("read", Duration::from_secs(1));
+        let statuses = fleet.send_for("read", Duration::from_secs(1));
         assert!(statuses.iter().all(|status| *status == 200), "{odd:?}");
         let more = fleet.servers[0].arrivals().len() - before;
         assert_eq!(more, statuses.len(), "{odd:?}");
     }
-    let heard = |event: &str| {
+    let event_count = |event: &str| {
         let counted = fleet.boxes.iter().map(|running| {
             let metrics = String::from_utf8(running.metrics().render());
             let metrics = metrics.expect("it is text");
@@ -233,16 +239,20 @@
         });
         counted.sum::<usize>()
     };
-    assert_eq!(heard("unreadable"), 2, "both boxes say so");
-    assert_eq!(heard("named"), 0);
+    assert_eq!(
+        event_count("unreadable"),
+        2,
+        "both boxes count an unreadable limit"
+    );
+    assert_eq!(event_count("named"), 0);
     fleet.close();
 }
 
 const DATA_CENTRES: usize = 3;
 const CALLERS: usize = 6;
-const ASKED_EVERY: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const WINDOW: Duration = Duration::from_secs(4);
 /// Boxes are linked by then.
 const LINKED_AFTER: Duration = Duration::from_secs(2);
-/// All boxes have passed on such an answer, or heard of one, by then.
-const TOLD_WITHIN: Duration = Duration::from_secs(3);
+/// By then all boxes have forwarded such a response, or received an update about one.
+const KNOWN_WITHIN: Duration = Duration::from_secs(3);
--- a/tests/tests/standing.rs
+++ b/tests/tests/standing.rs
@@ -1,4 +1,5 @@
-//! How a run of a server stands by what was said of it: all words, all events, in any order.
+//! The availability of a server instance by its announcements, with all kinds of events
+//! in any order.
 
 use std::time::{Duration, Instant};
 
@@ -9,171 +10,186 @@
     ServiceLoad,
 };
 
-const RUN: u64 = 7;
-const OTHER_RUN: u64 = 8;
+const INSTANCE: u64 = 7;
+const OTHER_INSTANCE: u64 = 8;
 
 fn at(start: Instant, ms: u64) -> Instant {
     start + Duration::from_millis(ms)
 }
 
-/// What may happen to a server, its entry and the box.
+/// An event at a server, its catalog entry or the box.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// Its entry goes, as when its lease lapses while the store is away.
-    Withdrawn,
-    /// Its entry is there, or is written anew.
-    Announced,
-    /// An answer names a limit, or none.
+    /// Its catalog entry is removed, as when its lease expires while the store is
+    /// unavailable.
+    Unlisted,
+    /// Its catalog entry is present, or is written again.
+    Listed,
+    /// A response has a limit, or none.
     Limit(Option<f64>),
-    /// An answer asks for so much rest, in milliseconds.
-    Rest(u64),
-    /// An answer says that it leaves.
-    Leaves,
-    /// Its entry says so.
-    AnnouncedLeaving,
-    /// Another run ends, and is forgotten.
+    /// A response asks for a backoff, in milliseconds.
+    Backoff(u64),
+    /// A response says that it is draining.
+    Draining,
+    /// Its catalog entry says that it is draining.
+    ListedDraining,
+    /// Another instance ends and is removed.
     OtherForgotten,
 }
 
 const EVENTS: [Event; 10] = [
-    Event::Withdrawn,
-    Event::Announced,
+    Event::Unlisted,
+    Event::Listed,
     Event::Limit(Some(2.0)),
     Event::Limit(None),
-    Event::Rest(300),
-    Event::Rest(10_000),
-    Event::Rest(1),
-    Event::Leaves,
-    Event::AnnouncedLeaving,
+    Event::Backoff(300),
+    Event::Backoff(10_000),
+    Event::Backoff(1),
+    Event::Draining,
+    Event::ListedDraining,
     Event::OtherForgotten,
 ];
 
-fn happen(standings: &mut AnnouncedStates, event: Event, now: Instant) {
+fn apply(states: &mut AnnouncedStates, event: Event, now: Instant) {
     match event {
-        Event::Withdrawn => standings.withdraw(RUN),
-        Event::Announced => standings.announce(RUN),
+        Event::Unlisted => states.withdraw(INSTANCE),
+        Event::Listed => states.announce(INSTANCE),
         Event::Limit(per_s) => {
-            standings.limits.receive_answer(RUN, per_s, now);
+            states.limits.receive_answer(INSTANCE, per_s, now);
         }
-        Event::Rest(ms) => {
-            standings.receive_backoff(RUN, now + Duration::from_millis(ms));
+        Event::Backoff(ms) => {
+            states.receive_backoff(INSTANCE, now + Duration::from_millis(ms));
         }
-        Event::Leaves => {
-            standings.record_draining(RUN, now);
+        Event::Draining => {
+            states.record_draining(INSTANCE, now);
         }
-        Event::AnnouncedLeaving => standings.record_catalog_draining(RUN, now),
-        Event::OtherForgotten => standings.forget(OTHER_RUN),
+        Event::ListedDraining => states.record_catalog_draining(INSTANCE, now),
+        Event::OtherForgotten => states.forget(OTHER_INSTANCE),
     }
 }
 
-/// What binds by all that was said, told anew from the whole history.
+/// Computes the expected availability from the whole history of events.
 fn expected(history: &[(u64, Event)], now_ms: u64) -> &'static str {
-    let mut leaves_since = None;
-    let mut closed = false;
+    let mut draining_since = None;
+    let mut is_catalog_draining = false;
     let mut backoff_until = 0;
-    let mut limited = false;
+    let mut has_limit = false;
     for (ms, event) in history {
         match event {
-            Event::Leaves => leaves_since = leaves_since.or(Some(*ms)),
-            Event::AnnouncedLeaving => closed = true,
-            Event::Rest(rest) => backoff_until = backoff_until.max(ms + rest),
-            Event::Limit(per_s) => limited = per_s.is_some(),
-            Event::Withdrawn | Event::Announced | Event::OtherForgotten => {}
+            Event::Draining => draining_since = draining_since.or(Some(*ms)),
+            Event::ListedDraining => is_catalog_draining = true,
+            Event::Backoff(backoff_ms) => {
+                backoff_until = backoff_until.max(ms + backoff_ms)
+            }
+            Event::Limit(per_s) => has_limit = per_s.is_some(),
+            Event::Unlisted | Event::Listed | Event::OtherForgotten => {}
         }
     }
-    let rests = now_ms < backoff_until;
-    if closed || leaves_since.is_some() {
-        let works = leaves_since.is_some_and(|since| now_ms < since + 1_000);
-        return match works && !closed && !rests && !limited {
+    let backs_off = now_ms < backoff_until;
+    if is_catalog_draining || draining_since.is_some() {
+        let accepts_last_resort =
+            draining_since.is_some_and(|since| now_ms < since + 1_000);
+        return match accepts_last_resort
+            && !is_catalog_draining
+            && !backs_off
+            && !has_limit
+        {
             true => "last resort",
-            false => "closed",
+            false => "unavailable",
         };
     }
-    match (rests, limited) {
-        (true, _) => "rests",
-        (false, true) => "with place",
+    match (backs_off, has_limit) {
+        (true, _) => "backoff",
+        (false, true) => "requires quota",
         (false, false) => "open",
     }
 }
 
-fn name(access: Availability) -> &'static str {
-    match access {
+fn name(availability: Availability) -> &'static str {
+    match availability {
         Availability::Open => "open",
-        Availability::RequiresQuota(_) => "with place",
+        Availability::RequiresQuota(_) => "requires quota",
         Availability::LastResort(_) => "last resort",
-        Availability::BackoffUntil(_) => "rests",
-        Availability::Unavailable => "closed",
+        Availability::BackoffUntil(_) => "backoff",
+        Availability::Unavailable => "unavailable",
     }
 }
 
-/// Nothing but its own end ends a word: neither a good answer nor a shorter rest, nor what
-/// happens to the entry. Fifty seeds of forty events each, looked at after each of them.
+/// An announcement applies until its own end: neither a successful response, a shorter
+/// backoff nor a change of the catalog entry may end it early. Fifty seeds of forty
+/// events each, with a check after each event.
 #[test]
 fn a_word_ends_by_its_own_end_alone() {
     let start = Instant::now();
     for seed in 0..50 {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut standings = AnnouncedStates::default();
+        let mut states = AnnouncedStates::default();
         let mut history = Vec::new();
         let mut ms = 0;
         for _ in 0..40 {
             let mut event = EVENTS[random.random_range(0..EVENTS.len())];
-            if matches!(event, Event::Leaves | Event::AnnouncedLeaving)
+            if matches!(event, Event::Draining | Event::ListedDraining)
                 && random.random_bool(0.9)
             {
-                // Few plays leave at once: what comes before counts as well.
-                event = Event::Announced;
+                // Makes draining rare, so that most sequences have other events before
+                // it.
+                event = Event::Listed;
             }
-            happen(&mut standings, event, at(start, ms));
+            apply(&mut states, event, at(start, ms));
             history.push((ms, event));
             ms += random.random_range(0..700);
-            let access = standings.state(RUN).availability(at(start, ms));
-            let told = expected(&history, ms);
-            assert_eq!(name(access), told, "seed {seed}, {ms} ms: {history:?}");
+            let availability = states.state(INSTANCE).availability(at(start, ms));
+            let wanted = expected(&history, ms);
+            assert_eq!(
+                name(availability),
+                wanted,
+                "seed {seed}, {ms} ms: {history:?}"
+            );
         }
     }
 }
 
-/// A run that begins anew knows nothing of the one before, whatever the entry's id is.
+/// Guards against announcements of an ended instance that apply to the next one, as with
+/// the same id.
 #[test]
 fn the_next_run_is_bound_by_nothing() {
     let now = Instant::now();
-    let mut standings = AnnouncedStates::default();
-    standings.record_draining(RUN, now);
-    standings.receive_backoff(RUN, now + Duration::from_secs(60));
-    standings.limits.receive_answer(RUN, Some(1.0), now);
-    standings.forget(RUN);
-    assert_eq!(standings.state(RUN), AnnouncedState::default());
-    assert_eq!(standings.state(OTHER_RUN), AnnouncedState::default());
+    let mut states = AnnouncedStates::default();
+    states.record_draining(INSTANCE, now);
+    states.receive_backoff(INSTANCE, now + Duration::from_secs(60));
+    states.limits.receive_answer(INSTANCE, Some(1.0), now);
+    states.forget(INSTANCE);
+    assert_eq!(states.state(INSTANCE), AnnouncedState::default());
+    assert_eq!(states.state(OTHER_INSTANCE), AnnouncedState::default());
 }
 
-/// What was said of runs that never come back takes bounded room, and an announced run keeps
-/// its words however many others go.
+/// Announcements of instances that never return take bounded memory, and an instance with
+/// a catalog entry keeps its announcements however many others end.
 #[test]
 fn words_of_runs_that_are_gone_are_bounded() {
     let now = Instant::now();
-    let mut standings = AnnouncedStates::default();
-    standings.record_draining(RUN, now);
-    standings.announce(RUN);
-    for run in 100..20_000 {
-        standings.record_draining(run, now);
-        standings.withdraw(run);
+    let mut states = AnnouncedStates::default();
+    states.record_draining(INSTANCE, now);
+    states.announce(INSTANCE);
+    for instance in 100..20_000 {
+        states.record_draining(instance, now);
+        states.withdraw(instance);
     }
-    assert_eq!(standings.draining().len(), 8_192 + 1);
+    assert_eq!(states.draining().len(), 8_192 + 1);
     let later = now + Duration::from_secs(2);
     assert_eq!(
-        standings.state(RUN).availability(later),
+        states.state(INSTANCE).availability(later),
         Availability::Unavailable
     );
     assert_eq!(
-        standings.state(19_999).availability(later),
+        states.state(19_999).availability(later),
         Availability::Unavailable
     );
-    // Others tell of runs that this box never knew.
-    for run in 30_000..50_000 {
-        standings.record_draining(run, now);
+    // Other boxes report instances that this box never knew.
+    for instance in 30_000..50_000 {
+        states.record_draining(instance, now);
     }
-    assert_eq!(standings.draining().len(), 8_192 + 1);
+    assert_eq!(states.draining().len(), 8_192 + 1);
 }
 
 fn record(n: usize) -> ServerRecord {
@@ -189,7 +205,7 @@
     }
 }
 
-fn want(requests_per_s: f64) -> PickRequest<'static> {
+fn request(requests_per_s: f64) -> PickRequest<'static> {
     PickRequest {
         retry_safe: true,
         typical_latency: Duration::from_millis(200),
@@ -203,67 +219,72 @@
     }
 }
 
-/// All ways to a server ask the same: the pick, the try of an unused one, the waits, the
-/// capacity and the last look before a request is sent.
+/// Guards against any way to pick a server, or the check before sending, that ignores its
+/// backoff or draining: the cheapest pick, idle probes, limited servers and last resorts.
 #[test]
 fn no_way_leads_to_a_server_that_rests_or_leaves() {
     let start = Instant::now();
     let mut balancer = Balancer::new("dc-1".into());
-    let mut standings = AnnouncedStates::default();
+    let mut states = AnnouncedStates::default();
     for n in 0..3 {
         balancer.upsert(record(n), start);
     }
-    let (rests, leaves) = (record(0).key(), record(1).key());
-    standings.receive_backoff(rests, at(start, 8_000));
-    standings.record_catalog_draining(leaves, start);
-    for server in [rests, leaves] {
-        balancer.set_announced_state(server, standings.state(server));
+    let (backs_off, draining) = (record(0).key(), record(1).key());
+    states.receive_backoff(backs_off, at(start, 8_000));
+    states.record_catalog_draining(draining, start);
+    for server in [backs_off, draining] {
+        balancer.set_announced_state(server, states.state(server));
     }
     let random = &mut StdRng::seed_from_u64(1);
-    // The others were unused for seconds: tries for the floor go to none of them.
+    // The other servers are idle for seconds, but no idle probe goes to them.
     for ms in (0..8_000).step_by(10) {
         let now = at(start, ms);
-        let want = want(50.0);
-        let pick = balancer.pick(&want, now, random).expect("one is open");
+        let request = request(50.0);
+        let pick = balancer.pick(&request, now, random).expect("one is open");
         assert_eq!(pick.server.id, "i-2", "{ms} ms");
-        assert!(balancer.sample_rate_limited(&want, now, random).is_empty());
         assert!(
             balancer
-                .rate_limited_by_failure_probability(&want, now, random)
+                .sample_rate_limited(&request, now, random)
+                .is_empty()
+        );
+        assert!(
+            balancer
+                .rate_limited_by_failure_probability(&request, now, random)
                 .is_empty()
         );
-        assert!(balancer.pick_draining(&want, now, random).is_none());
-        assert!(!balancer.may_send(rests, now) && !balancer.may_send(leaves, now));
+        assert!(balancer.pick_draining(&request, now, random).is_none());
+        assert!(!balancer.may_send(backs_off, now) && !balancer.may_send(draining, now));
     }
     let now = at(start, 8_000);
-    assert!(balancer.may_send(rests, now), "its rest is over");
-    assert!(!balancer.may_send(leaves, now));
+    assert!(balancer.may_send(backs_off, now), "its backoff is over");
+    assert!(!balancer.may_send(draining, now));
     let picks: Vec<_> = (0..40)
-        .filter_map(|_| balancer.pick(&want(50.0), now, random))
+        .filter_map(|_| balancer.pick(&request(50.0), now, random))
         .collect();
     assert!(
         picks.iter().any(|pick| pick.server.id == "i-0"),
-        "and it is used"
+        "it is picked again after its backoff"
     );
 }
 
-/// Where all rest, the wait is the first one's, and capacity counts who is back in time.
+/// When all servers back off, the wait is the shortest backoff, and the capacity counts
+/// the servers that are available again in time.
 #[test]
 fn the_first_that_is_back_tells_when_to_come_again() {
     let start = Instant::now();
     let mut balancer = Balancer::new("dc-1".into());
-    let mut standings = AnnouncedStates::default();
+    let mut states = AnnouncedStates::default();
     for (n, ms) in [(0, 700), (1, 10_000)] {
         balancer.upsert(record(n), start);
-        standings.receive_backoff(record(n).key(), at(start, ms));
-        let standing = standings.state(record(n).key());
-        balancer.set_announced_state(record(n).key(), standing);
+        states.receive_backoff(record(n).key(), at(start, ms));
+        let state = states.state(record(n).key());
+        balancer.set_announced_state(record(n).key(), state);
     }
-    let want = want(50.0);
-    let back = balancer.shortest_backoff(&want, start);
-    assert_eq!(back, Some(Duration::from_millis(700)));
-    assert_eq!(balancer.min_queue_wait(&want, start), back);
-    let both = balancer.capacity_per_s(want.typical_latency, at(start, 10_000));
-    let first = balancer.capacity_per_s(want.typical_latency, start);
+    let request = request(50.0);
+    let wait = balancer.shortest_backoff(&request, start);
+    assert_eq!(wait, Some(Duration::from_millis(700)));
+    assert_eq!(balancer.min_queue_wait(&request, start), wait);
+    let both = balancer.capacity_per_s(request.typical_latency, at(start, 10_000));
+    let first = balancer.capacity_per_s(request.typical_latency, start);
     assert!((both / first - 2.0).abs() < 0.01, "{first} of {both}");
 }
