--- a/crates/wingspur-state/src/evidence.rs
+++ b/crates/wingspur-state/src/evidence.rs
@@ -1,37 +1,37 @@
-//! Evidence that a server is sick: log-likelihood ratios of what its work shows.
+//! Evidence that a server is unhealthy: log-likelihood ratios of its attempts.
 //!
-//! Each attempt is weighed under several hypotheses. *Well*: its latency follows the
-//! server's own log-normal history, moved by the service's present shift, with a thin
-//! heavy tail; errors come at the service's present rate. *Sick*: a share of the work
-//! stalls for ever, comes back several times later, or fails. Two such alternatives run
-//! side by side: a server that fails some of its work, and one that fails most of it.
-//! An attempt that has not come back is a censored observation: its age counts before
-//! any timeout does.
+//! Each attempt is evaluated under several hypotheses. *Healthy*: its latency follows the
+//! server's own log-normal history, moved by the service's current latency shift, with a
+//! small heavy tail; errors occur at the service's current rate. *Unhealthy*: a share of
+//! the attempts stalls for ever, takes several times as long, or fails. Two such
+//! alternatives are tested in parallel: a server that fails some of its attempts, and one
+//! that fails most of them. An attempt without a response is a censored observation: its
+//! age counts as evidence before it reaches a timeout.
 
 use serde::{Deserialize, Serialize};
 
-/// Evidence under each alternative: the logarithm of how much likelier it is than the
-/// server being well.
+/// Log-likelihood ratio of each alternative against a healthy server; positive values
+/// speak against the server.
 pub type Evidence = [f64; ALTERNATIVES.len()];
 
-/// A way of being sick: the shares of the work that go wrong.
+/// An unhealthy server as a hypothesis: the shares of its attempts that go wrong.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Alternative {
-    /// Never comes back.
+    /// Share that never gets a response.
     pub stall: f64,
-    /// Comes back several times later.
+    /// Share whose response takes several times as long.
     pub slow: f64,
-    /// Fails.
+    /// Share that fails.
     pub error: f64,
 }
 
 impl Alternative {
-    const fn good(&self) -> f64 {
+    const fn healthy_share(&self) -> f64 {
         1.0 - self.stall - self.slow - self.error
     }
 }
 
-/// The ways of being sick that are told from being well.
+/// The hypotheses that are tested against a healthy server.
 pub const ALTERNATIVES: [Alternative; 2] = [
     Alternative {
         stall: 0.05,
@@ -45,100 +45,107 @@
     },
 ];
 
-/// What a server's work is measured against at present.
+/// Latency distribution and error rate that a server's attempts are compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthBaseline {
-    /// The mean of the natural logarithm of the latency in milliseconds.
+    /// Mean of the natural logarithm of the latency in milliseconds.
     pub mean_ln_ms: f64,
-    /// The standard deviation of that logarithm.
+    /// Standard deviation of that logarithm.
     pub deviation_ln: f64,
-    /// The share of errors that the service shows at present.
+    /// Current share of errors in the service.
     pub error_rate: f64,
-    /// The share of answers beyond the log-normal's tail.
+    /// Share of responses that belong to the heavy tail beyond the log-normal
+    /// distribution.
     pub tail_rate: f64,
 }
 
 impl HealthBaseline {
-    /// The evidence of an attempt that has been out for `age_ms`, and still is.
-    pub fn survival(&self, age_ms: f64) -> Evidence {
+    /// Returns the evidence from an attempt that has had no response for `age_ms`.
+    pub fn pending_evidence(&self, age_ms: f64) -> Evidence {
         let ln_age = ln_ms(age_ms);
-        let well = self.survival_well(ln_age);
-        let slow = upper_tail((ln_age - self.slow_mean()) / self.slow_deviation());
-        ALTERNATIVES.map(|sick| {
-            let survives = sick.good() * well + sick.stall + sick.slow * slow;
-            (survives / well).ln()
+        let healthy = self.healthy_survival(ln_age);
+        let slow = upper_tail((ln_age - self.slow_mean_ln()) / self.slow_deviation_ln());
+        ALTERNATIVES.map(|unhealthy| {
+            let survives = unhealthy.healthy_share() * healthy
+                + unhealthy.stall
+                + unhealthy.slow * slow;
+            (survives / healthy).ln()
         })
     }
 
-    /// The evidence of an answer that came after `latency_ms`.
-    pub fn answer(&self, latency_ms: f64) -> Evidence {
+    /// Returns the evidence from a good response that took `latency_ms`.
+    pub fn response_evidence(&self, latency_ms: f64) -> Evidence {
         let ln_latency = ln_ms(latency_ms);
-        let well = self.density_well(ln_latency);
-        let z = (ln_latency - self.slow_mean()) / self.slow_deviation();
-        let slow = density(z) / self.slow_deviation();
-        ALTERNATIVES.map(|sick| ((sick.good() * well + sick.slow * slow) / well).ln())
+        let healthy = self.healthy_density(ln_latency);
+        let z = (ln_latency - self.slow_mean_ln()) / self.slow_deviation_ln();
+        let slow = normal_density(z) / self.slow_deviation_ln();
+        ALTERNATIVES.map(|unhealthy| {
+            ((unhealthy.healthy_share() * healthy + unhealthy.slow * slow) / healthy).ln()
+        })
     }
 
-    /// The evidence of an error.
-    pub fn error(&self) -> Evidence {
-        let well = self.error_rate.clamp(LEAST_ERROR_RATE, 1.0);
-        ALTERNATIVES.map(|sick| (sick.good() + sick.error / well).ln())
+    /// Returns the evidence from a failed attempt.
+    pub fn error_evidence(&self) -> Evidence {
+        let healthy = self.error_rate.clamp(MIN_ERROR_RATE, 1.0);
+        ALTERNATIVES
+            .map(|unhealthy| (unhealthy.healthy_share() + unhealthy.error / healthy).ln())
     }
 
-    fn survival_well(&self, ln_age: f64) -> f64 {
+    fn healthy_survival(&self, ln_age: f64) -> f64 {
         let z = (ln_age - self.mean_ln_ms) / self.deviation_ln;
         let beyond = (z - TAIL_FROM_Z).max(0.0) * self.deviation_ln;
         let tail = (-TAIL_EXPONENT * beyond).exp();
         (1.0 - self.tail_rate) * upper_tail(z) + self.tail_rate * tail
     }
 
-    fn density_well(&self, ln_latency: f64) -> f64 {
+    fn healthy_density(&self, ln_latency: f64) -> f64 {
         let z = (ln_latency - self.mean_ln_ms) / self.deviation_ln;
-        let body = density(z) / self.deviation_ln;
+        let body = normal_density(z) / self.deviation_ln;
         let tail = if z < TAIL_FROM_Z {
             0.0
         } else {
             let beyond = (z - TAIL_FROM_Z) * self.deviation_ln;
             TAIL_EXPONENT * (-TAIL_EXPONENT * beyond).exp()
         };
-        // The floor keeps answers that are faster than ever from counting as sick.
-        ((1.0 - self.tail_rate) * body + self.tail_rate * tail).max(LEAST_DENSITY)
+        // Keeps unusually fast responses from counting against the server.
+        ((1.0 - self.tail_rate) * body + self.tail_rate * tail).max(MIN_DENSITY)
     }
 
-    fn slow_mean(&self) -> f64 {
+    fn slow_mean_ln(&self) -> f64 {
         self.mean_ln_ms + SLOW_FACTOR.ln()
     }
 
-    fn slow_deviation(&self) -> f64 {
-        self.deviation_ln.max(SLOW_DEVIATION)
+    fn slow_deviation_ln(&self) -> f64 {
+        self.deviation_ln.max(MIN_SLOW_DEVIATION_LN)
     }
 }
 
-/// The evidence of a well answer; each observation is at least this.
+/// Returns the evidence from a typical good response, the lower bound of the
+/// evidence from any observation.
 pub fn healthy_evidence() -> Evidence {
-    ALTERNATIVES.map(|sick| sick.good().ln())
+    ALTERNATIVES.map(|unhealthy| unhealthy.healthy_share().ln())
 }
 
-/// What a box makes of one service.
+/// One box's evidence on the servers of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceReport {
-    /// Stands for the service and its exact list of servers.
+    /// Identifies the service and its exact list of servers.
     pub service_tag: u64,
-    /// Milliseconds that the observations span.
+    /// Time that the observations cover, in milliseconds.
     pub span_ms: u32,
-    /// The servers that the box worked with, or holds something against.
+    /// The servers that the box has used or has evidence against.
     pub entries: Vec<EvidenceEntry>,
 }
 
-/// What a box makes of one server.
+/// One box's evidence on one server.
 ///
-/// It tells where the box's sums stand, not how they changed: a repeated, lost or late
-/// report neither adds up nor leaves a gap.
+/// It holds the sums themselves, not their changes, so that a repeated, lost or late
+/// report neither counts twice nor leaves a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceEntry {
     /// The server's position in its service.
     pub server: u16,
-    /// Attempts that ended, or were first weighed, in the span.
+    /// Number of attempts that were first counted as evidence in the span of the report.
     pub observations: u16,
     /// The box's cumulative sums, by alternative, in hundredths.
     pub hundredths: [u16; ALTERNATIVES.len()],
@@ -151,49 +158,53 @@
 }
 
 impl Score {
-    /// Adds evidence; a sum never falls below nought, nor grows beyond what matters.
+    /// Adds evidence; each sum stays between 0 and `MAX_SUM`, above which its size makes
+    /// no difference.
     pub fn add(&mut self, evidence: Evidence) {
         for (sum, evidence) in self.sums.iter_mut().zip(evidence) {
-            *sum = (*sum + evidence).clamp(0.0, MOST_SUM);
+            *sum = (*sum + evidence).clamp(0.0, MAX_SUM);
         }
     }
 
-    /// Forgives a server that shows nothing, for lack of work, over so many seconds.
-    pub fn forgive(&mut self, passed_s: f64) {
-        let observed = IDLE_RATE * passed_s;
-        self.add(healthy_evidence().map(|evidence| evidence * observed));
+    /// Lowers the sums over `passed_s` seconds as if the server had given a few good
+    /// responses, so that a server without requests recovers too.
+    pub fn decay(&mut self, passed_s: f64) {
+        let responses = DECAY_RESPONSES_PER_S * passed_s;
+        self.add(healthy_evidence().map(|evidence| evidence * responses));
     }
 
-    /// The evidence against the server, under the alternative that fits best.
+    /// Returns the evidence against the server under the alternative that fits best.
     pub fn sum(&self) -> f64 {
         self.sums.into_iter().fold(0.0, f64::max)
     }
 
-    /// The sums as a report carries them.
+    /// Returns the sums in hundredths, as they are reported.
     pub fn hundredths(&self) -> [u16; ALTERNATIVES.len()] {
         self.sums.map(|sum| (sum * 100.0) as u16)
     }
 }
 
-/// The threshold for the sum over `boxes` boxes of their cumulative sums.
+/// Returns the threshold for the sum over `boxes` boxes of their cumulative sums that
+/// keeps to the allowed number of false ejections per server and day.
 ///
 /// A single cumulative sum of log-likelihood ratios `s` has `P(s > x) <= p exp(-x)`,
-/// where `p` is how often it is above nought, `busy_share`. Chernoff's bound for the sum
-/// of so many then gives, for any `t` below 1,
-/// `P(S > h) <= exp(-t h) (1 + p t / (1 - t))^boxes`; the best `t` gives the threshold at
-/// which the allowance is kept, with a sum for each alternative and `STEPS_PER_DAY` looks
-/// at it a day.
+/// where `p`, `busy_share`, is the probability that it is above 0. For the sum over the
+/// boxes and any `t` below 1, Chernoff's bound then gives
+/// `P(S > h) <= exp(-t h) (1 + p t / (1 - t))^boxes`. The threshold is the least `h`, over
+/// a grid of `t`, at which this bound keeps to the allowed number for one sum per
+/// alternative and `STEPS_PER_DAY` evaluations a day.
 pub fn ejection_threshold(
     false_ejections_per_server_day: f64,
     boxes: usize,
     busy_share: f64,
 ) -> f64 {
     let sums = ALTERNATIVES.len() as f64;
-    let wanted = (sums * STEPS_PER_DAY / false_ejections_per_server_day).ln();
-    let busy = busy_share.clamp(LEAST_BUSY_SHARE, 1.0);
+    let ln_evaluations_per_error =
+        (sums * STEPS_PER_DAY / false_ejections_per_server_day).ln();
+    let busy = busy_share.clamp(MIN_BUSY_SHARE, 1.0);
     let bound = |t: f64| {
         let each = (1.0 + busy * t / (1.0 - t)).ln();
-        (wanted + boxes as f64 * each) / t
+        (ln_evaluations_per_error + boxes as f64 * each) / t
     };
     (1..100)
         .map(|step| bound(f64::from(step) / 100.0))
@@ -201,33 +212,35 @@
 }
 
 fn ln_ms(milliseconds: f64) -> f64 {
-    milliseconds.max(LEAST_MS).ln()
+    milliseconds.max(MIN_LATENCY_MS).ln()
 }
 
-/// The share of a standard normal distribution above `z`.
+/// Returns the probability that a standard normal variable exceeds `z`.
 fn upper_tail(z: f64) -> f64 {
     0.5 * libm::erfc(z / std::f64::consts::SQRT_2)
 }
 
-/// The density of the standard normal distribution at `z`.
-fn density(z: f64) -> f64 {
+/// Returns the density of the standard normal distribution at `z`.
+fn normal_density(z: f64) -> f64 {
     (-0.5 * z * z).exp() / (2.0 * std::f64::consts::PI).sqrt()
 }
 
-/// Slow work takes about so many times longer.
+/// Factor by which the latency of a slow attempt exceeds the usual one.
 const SLOW_FACTOR: f64 = 5.0;
-const SLOW_DEVIATION: f64 = 0.8;
-/// The heavy tail begins here, in deviations, and thins by this power.
+const MIN_SLOW_DEVIATION_LN: f64 = 0.8;
+/// The heavy tail begins this many standard deviations above the mean and decays with the
+/// power `TAIL_EXPONENT` of the latency.
 const TAIL_FROM_Z: f64 = 2.0;
 const TAIL_EXPONENT: f64 = 0.5;
-const LEAST_DENSITY: f64 = 1e-6;
-/// One error in so many is taken for granted.
-pub(crate) const LEAST_ERROR_RATE: f64 = 0.003;
-const LEAST_MS: f64 = 0.05;
-/// One look a second: looks that are closer see nearly the same sums.
+const MIN_DENSITY: f64 = 1e-6;
+/// Lower bound on the error rate that a healthy server is assumed to have.
+pub(crate) const MIN_ERROR_RATE: f64 = 0.003;
+const MIN_LATENCY_MS: f64 = 0.05;
+/// One evaluation a second: the sums hardly change between evaluations that are closer.
 const STEPS_PER_DAY: f64 = 86_400.0;
-/// How often a box's sum against a well server is taken to be above nought, at least.
-pub(crate) const LEAST_BUSY_SHARE: f64 = 0.03;
-/// A server without work is forgiven as if it had given so many well answers a second.
-const IDLE_RATE: f64 = 0.1;
-const MOST_SUM: f64 = 100.0;
+/// Lower bound on the assumed probability that a box's sum against a healthy server is
+/// above 0.
+pub(crate) const MIN_BUSY_SHARE: f64 = 0.03;
+/// Good responses per second that the sums are lowered by in `Score::decay`.
+const DECAY_RESPONSES_PER_S: f64 = 0.1;
+const MAX_SUM: f64 = 100.0;
--- a/crates/wingspur-state/src/outlier_detector.rs
+++ b/crates/wingspur-state/src/outlier_detector.rs
@@ -1,9 +1,10 @@
-//! The judge of a service: adds up the boxes' evidence and rules under the floor.
+//! Outlier detection for a service: sums the boxes' evidence on each server and decides
+//! on ejections above the capacity floor.
 //!
-//! One box holds this soft role for a service. Its verdict to *avoid* a server takes
-//! no capacity away and needs nobody's leave. To *eject* one it must first write the
-//! ejection into the service's record in the store, so that whatever other judges
-//! there are, the union of all ejections is that one record, and under the floor.
+//! Normally one box has this role for a service, but several may have it at a time. A
+//! verdict that a server is *suspected* takes no capacity away and needs no agreement. An
+//! *ejection* must first be written to the service's record in the store. However many
+//! detectors there are, that one record holds all ejections and keeps the floor.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -11,170 +12,177 @@
 use serde::{Deserialize, Serialize};
 
 use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
-use crate::evidence::{Evidence, EvidenceReport, LEAST_BUSY_SHARE, ejection_threshold};
+use crate::evidence::{Evidence, EvidenceReport, MIN_BUSY_SHARE, ejection_threshold};
 use crate::{BoxId, DataCentreId, ServerIndex, Service};
 
-/// Judges the servers of one service.
+/// Outlier detector for the servers of one service.
 #[derive(Debug)]
 pub struct OutlierDetector {
     tag: u64,
     false_ejections_per_server_day: f64,
-    /// For the number of boxes that report at present.
+    /// Ejection threshold of the evidence for the number of boxes that currently report.
     threshold: f64,
-    /// How often a box holds something against a server that is well, smoothed.
+    /// Smoothed share of boxes that have evidence against a healthy server.
     busy_share: f64,
+    /// Slots that must stay available.
     floor_slots: u32,
-    servers: Vec<Judged>,
+    servers: Vec<MonitoredServer>,
     /// The servers of each data centre.
     groups: Vec<Vec<ServerIndex>>,
+    /// When each box last reported.
     observers: HashMap<BoxId, Instant>,
-    /// The agreed record that this judge last read or wrote.
+    /// The store's record that this detector last read or wrote.
     record: Option<EjectionRecord>,
-    stepped: Option<Instant>,
+    last_tick: Option<Instant>,
 }
 
-/// The ejections of a service that all boxes agree on, in the store.
+/// The agreed ejections of a service, as kept in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EjectionRecord {
-    /// Servers that are out, by name; those on trial among them.
+    /// Names of the ejected servers, including those on probation.
     pub ejected: Vec<String>,
-    /// Servers let back in just now: some boxes may still hold them for out.
+    /// Names of servers that have just returned; some boxes may still treat them as
+    /// ejected.
     pub returned: Vec<String>,
 }
 
-/// What boxes do about a server.
+/// How boxes are to use a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum OutlierStatus {
-    /// It takes work.
+    /// The server takes requests.
     #[serde(rename = "In")]
     Active,
-    /// It takes work, and boxes elsewhere try it as if it stood nearby.
+    /// The server takes requests, and for retry-safe ones boxes in other data centres
+    /// treat it as if it were in theirs, so that more boxes gather evidence.
     Watched,
-    /// It returns by this share of its usual work, retry-safe work only.
+    /// The server is returning: it takes this share of its usual requests, retry-safe
+    /// ones only.
     #[serde(rename = "Trial")]
     Probation(f32),
-    /// It takes work only when no other has room.
+    /// The server takes requests only when no other has room.
     #[serde(rename = "Avoided")]
     Suspected,
-    /// It takes none.
+    /// The server takes no requests.
     #[serde(rename = "Out")]
     Excluded,
 }
 
-/// The judge's word to the boxes of one data centre.
+/// The outlier detector's decisions for the boxes of one data centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Stands for the service and its exact list of servers.
+    /// Identifies the service and its exact list of servers.
     pub service_tag: u64,
-    /// All servers that are not simply in.
+    /// Position and status of each server that is not `Active`.
     pub standings: Vec<(u16, OutlierStatus)>,
 }
 
-/// Something the judge did, for logs and counters.
+/// A change of a server's state, for logs and counters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OutlierEvent {
-    /// A server is under suspicion and avoided.
+    /// A server has become suspected, or has failed on probation.
     Suspected(ServerIndex),
-    /// A server went on trial.
+    /// A server has gone on probation.
     OnTrial(ServerIndex),
-    /// A server is back in.
+    /// A server takes requests normally again.
     Returned(ServerIndex),
 }
 
 #[derive(Debug, Clone)]
-struct Judged {
+struct MonitoredServer {
     name: String,
     slots: u32,
-    leaving: bool,
-    /// What each box makes of it, as last reported.
-    by_box: BTreeMap<BoxId, Opinion>,
-    /// The evidence of all boxes.
+    draining: bool,
+    /// The last report of each box on the server.
+    by_box: BTreeMap<BoxId, BoxEvidence>,
+    /// Sum of the evidence of all boxes, under the alternative that fits best.
     evidence: f64,
-    /// The same, but that it rises by steps.
-    total: f64,
-    by_data_centre: BTreeMap<DataCentreId, LocalView>,
-    /// Since when it is over the threshold.
-    over_since: Option<Instant>,
+    /// The same, but limited in how much it rises in one tick.
+    ramped_evidence: f64,
+    by_data_centre: BTreeMap<DataCentreId, DataCentreEvidence>,
+    /// Since when `ramped_evidence` has been over the threshold.
+    over_threshold_since: Option<Instant>,
     state: State,
-    /// How often it was ejected lately; each time doubles the hold.
-    relapses: u32,
-    ended: Option<Instant>,
+    /// Number of recent holds (suspicions or ejections); each doubles the next one.
+    recent_holds: u32,
+    /// When `recent_holds` last changed.
+    holds_changed_at: Option<Instant>,
 }
 
-/// What one box makes of a server.
+/// One box's evidence on a server.
 #[derive(Debug, Clone)]
-struct Opinion {
+struct BoxEvidence {
     data_centre: DataCentreId,
     sums: Evidence,
     observations_per_s: f64,
     at: Instant,
 }
 
-/// What the boxes of one data centre make of a server.
+/// Evidence of the boxes of one data centre on a server.
 #[derive(Debug, Clone, Copy, Default)]
-struct LocalView {
+struct DataCentreEvidence {
     sum: f64,
     observations_per_s: f64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
-    In,
-    /// Suspected; avoided until the record is written, or the hold is over.
-    Avoided {
+    Active,
+    /// Suspected until the ejection is written to the record, or the hold is over.
+    Suspected {
         until: Instant,
     },
-    /// Written into the record.
-    Out {
+    /// Ejected by the record.
+    Ejected {
         until: Instant,
     },
-    /// Returning by stages; `agreed` while the record still names it.
-    Trial {
+    /// Returning in stages; `in_record` while the record still lists it as ejected.
+    Probation {
         stage: usize,
         since: Instant,
-        agreed: bool,
+        in_record: bool,
     },
-    /// Back in, still counted as out towards the floor.
+    /// Taking requests again, but still counted as missing from the floor.
     Returned {
         until: Instant,
     },
 }
 
 impl OutlierDetector {
-    /// A judge without evidence; `record` is what the store holds.
+    /// Creates a detector without evidence; `record` is the one that the store holds.
     pub fn new(
         service: &Service,
         tag: u64,
         record: Option<EjectionRecord>,
         now: Instant,
     ) -> Self {
-        let knob = service.detection.false_ejections_per_server_day;
-        let mut judge = Self {
+        let allowed_false_ejections = service.detection.false_ejections_per_server_day;
+        let mut detector = Self {
             tag,
-            false_ejections_per_server_day: knob,
-            threshold: ejection_threshold(knob, 1, LEAST_BUSY_SHARE),
-            busy_share: LEAST_BUSY_SHARE,
+            false_ejections_per_server_day: allowed_false_ejections,
+            threshold: ejection_threshold(allowed_false_ejections, 1, MIN_BUSY_SHARE),
+            busy_share: MIN_BUSY_SHARE,
             floor_slots: service.floor_slots(),
-            servers: service.servers.iter().map(Judged::new).collect(),
+            servers: service.servers.iter().map(MonitoredServer::new).collect(),
             groups: groups_of(service),
             observers: HashMap::new(),
             record: None,
-            stepped: None,
+            last_tick: None,
         };
-        judge.apply_record(record.unwrap_or_default(), now);
-        judge
+        detector.apply_record(record.unwrap_or_default(), now);
+        detector
     }
 
-    /// The tag of the service that is judged.
+    /// Returns the tag that identifies the service and its list of servers.
     pub fn tag(&self) -> u64 {
         self.tag
     }
 
-    /// Takes in what a box makes of the servers, in place of what it made before.
+    /// Replaces the evidence of a box on the servers that its report names.
     ///
-    /// No box counts for more than a share of the threshold, so none can bring about an
-    /// ejection alone where three or more report.
+    /// A report with another tag is ignored. The evidence of one box counts for at most a
+    /// share of the threshold, so that where three or more boxes report, none can cause
+    /// an ejection alone.
     pub fn record_report(
         &mut self,
         from: &BoxId,
@@ -186,12 +194,12 @@
             return;
         }
         self.observers.insert(from.clone(), now);
-        let span_s = (f64::from(report.span_ms) / 1000.0).max(LEAST_SPAN_S);
+        let span_s = (f64::from(report.span_ms) / 1000.0).max(MIN_SPAN_S);
         for entry in &report.entries {
             let Some(server) = self.servers.get_mut(usize::from(entry.server)) else {
                 continue;
             };
-            let opinion = Opinion {
+            let box_evidence = BoxEvidence {
                 data_centre: data_centre.clone(),
                 sums: entry
                     .hundredths
@@ -199,59 +207,66 @@
                 observations_per_s: f64::from(entry.observations) / span_s,
                 at: now,
             };
-            server.by_box.insert(from.clone(), opinion);
+            server.by_box.insert(from.clone(), box_evidence);
         }
     }
 
-    /// Notes that a server leaves, or stays after all.
-    pub fn set_leaving(&mut self, server: ServerIndex, leaving: bool) {
-        self.servers[server].leaving = leaving;
+    /// Sets whether a server is draining.
+    pub fn set_leaving(&mut self, server: ServerIndex, draining: bool) {
+        self.servers[server].draining = draining;
     }
 
-    /// Takes one step; call it each `TICK`, or less often without harm.
+    /// Evaluates the evidence and returns the state changes.
+    ///
+    /// Meant to be called every `EVIDENCE_TICK`; calling it less often does no harm.
+    /// Calls within `TICK_INTERVAL` of the last evaluation do nothing.
     pub fn tick(&mut self, now: Instant) -> Vec<OutlierEvent> {
-        let last = self.stepped.unwrap_or(now);
-        if self.stepped.is_some() && now.saturating_duration_since(last) < STEP {
+        let last = self.last_tick.unwrap_or(now);
+        if self.last_tick.is_some() && now.saturating_duration_since(last) < TICK_INTERVAL
+        {
             return Vec::new();
         }
-        self.stepped = Some(now);
-        self.observers
-            .retain(|_, heard| now.saturating_duration_since(*heard) < OBSERVER_TTL);
-        self.learn_busy_share();
+        self.last_tick = Some(now);
+        self.observers.retain(|_, received| {
+            now.saturating_duration_since(*received) < OBSERVER_TTL
+        });
+        self.update_busy_share();
         let boxes = self.observers.len().max(1);
         self.threshold = ejection_threshold(
             self.false_ejections_per_server_day,
             boxes,
             self.busy_share,
         );
-        let most = self.threshold * self.share_of_one_box();
+        let max_per_box = self.threshold * self.share_of_one_box();
         for server in &mut self.servers {
-            server.settle(most, self.threshold / STEPS_TO_CROSS, now);
+            server.sum_evidence(max_per_box, self.threshold / TICKS_TO_CROSS, now);
         }
         let mut events = Vec::new();
-        self.suspect(&mut events, now);
-        self.advance(&mut events, now);
+        self.update_suspicions(&mut events, now);
+        self.advance_states(&mut events, now);
         self.release_for_floor(now);
         events
     }
 
-    /// The record that should stand in the store now, if it differs from what does.
+    /// Returns the record that should be written to the store, or `None` if it equals the
+    /// stored one.
     ///
-    /// The floor is kept here: servers that are out, on trial or just returned all
-    /// count as missing. The sickest suspects go first.
+    /// This is where the floor is kept: servers that are ejected, on probation or have
+    /// just returned all count as missing. Suspected servers with the most evidence are
+    /// ejected first.
     pub fn pending_record(&self) -> Option<EjectionRecord> {
         let mut missing: u32 = self
             .servers
             .iter()
-            .filter(|s| s.counts_as_out())
+            .filter(|s| s.counts_as_missing())
             .map(|s| s.slots)
             .sum();
-        let live = self.servers.iter().filter(|s| !s.leaving).map(|s| s.slots);
-        let live: u32 = live.sum();
-        let mut ejected: Vec<&Judged> =
+        let not_draining = self.servers.iter().filter(|s| !s.draining).map(|s| s.slots);
+        let not_draining: u32 = not_draining.sum();
+        let mut ejected: Vec<&MonitoredServer> =
             self.servers.iter().filter(|s| s.is_ejected()).collect();
         for suspect in self.suspects() {
-            if missing + suspect.slots + self.floor_slots > live {
+            if missing + suspect.slots + self.floor_slots > not_draining {
                 continue;
             }
             missing += suspect.slots;
@@ -265,88 +280,99 @@
         (self.record.as_ref() != Some(&record)).then_some(record)
     }
 
-    /// Puts a record in force that the store holds now, ours or another judge's.
+    /// Applies the record that the store holds now, written by this or another detector.
     pub fn apply_record(&mut self, record: EjectionRecord, now: Instant) {
         for server in &mut self.servers {
             let ejected = record.ejected.contains(&server.name);
             let returned = record.returned.contains(&server.name);
             server.state = match server.state {
                 _ if ejected && server.is_ejected() => server.state,
-                State::Avoided { until } if ejected => State::Out { until },
-                _ if ejected => State::Out {
-                    until: server.hold(now),
+                State::Suspected { until } if ejected => State::Ejected { until },
+                _ if ejected => State::Ejected {
+                    until: server.start_hold(now),
                 },
                 State::Returned { .. } => server.state,
                 _ if returned => State::Returned {
-                    until: now + RETURN_SPREAD,
+                    until: now + RETURN_SETTLING_TIME,
                 },
-                State::Out { .. } | State::Trial { agreed: true, .. } => State::In,
-                State::In | State::Avoided { .. } | State::Trial { .. } => server.state,
+                State::Ejected { .. }
+                | State::Probation {
+                    in_record: true, ..
+                } => State::Active,
+                State::Active | State::Suspected { .. } | State::Probation { .. } => {
+                    server.state
+                }
             };
         }
         self.record = Some(record);
     }
 
-    /// The verdict for boxes in a data centre.
+    /// Returns the verdict for the boxes of a data centre.
     pub fn verdict(&self, data_centre: &DataCentreId) -> Verdict {
-        let mut standings = Vec::new();
+        let mut statuses = Vec::new();
         for (index, server) in self.servers.iter().enumerate() {
-            let standing = match server.state {
-                State::In if self.wants_observers(server) => OutlierStatus::Watched,
-                State::In | State::Returned { .. } => OutlierStatus::Active,
-                State::Avoided { .. } if server.is_well_from(data_centre) => {
+            let status = match server.state {
+                State::Active if self.needs_observers(server) => OutlierStatus::Watched,
+                State::Active | State::Returned { .. } => OutlierStatus::Active,
+                State::Suspected { .. } if server.is_healthy_from(data_centre) => {
                     OutlierStatus::Active
                 }
-                State::Avoided { .. } => OutlierStatus::Suspected,
-                State::Out { .. } => OutlierStatus::Excluded,
-                State::Trial { stage, .. } => {
-                    OutlierStatus::Probation(TRIAL_SHARES[stage])
+                State::Suspected { .. } => OutlierStatus::Suspected,
+                State::Ejected { .. } => OutlierStatus::Excluded,
+                State::Probation { stage, .. } => {
+                    OutlierStatus::Probation(PROBATION_SHARES[stage])
                 }
             };
-            if standing != OutlierStatus::Active {
-                standings.push((index as u16, standing));
+            if status != OutlierStatus::Active {
+                statuses.push((index as u16, status));
             }
         }
         Verdict {
             service_tag: self.tag,
-            standings,
+            standings: statuses,
         }
     }
 
-    /// Whether a server is out or on trial by the agreed record.
+    /// Whether the record lists a server as ejected; it may be on probation.
     pub fn is_ejected(&self, server: ServerIndex) -> bool {
         self.servers[server].is_ejected()
     }
 
-    /// Slots that are in by the agreed record.
+    /// Returns the number of slots of servers that are neither ejected by the record nor
+    /// draining.
     pub fn available_slots(&self) -> u32 {
-        let kept = self
+        let available = self
             .servers
             .iter()
-            .filter(|s| !s.is_ejected() && !s.leaving);
-        kept.map(|server| server.slots).sum()
+            .filter(|s| !s.is_ejected() && !s.draining);
+        available.map(|server| server.slots).sum()
     }
 
-    /// Learns how noisy the service is: the median over servers of the share of boxes that
-    /// hold something against one. A sick server does not move it, a rough day does.
-    fn learn_busy_share(&mut self) {
-        let shares = self.servers.iter().filter_map(Judged::busy_share);
+    /// Updates the noise level of the service: the median over servers of the share of
+    /// boxes that have evidence against one. A single unhealthy server does not change
+    /// it, but trouble at most servers does.
+    fn update_busy_share(&mut self) {
+        let shares = self.servers.iter().filter_map(MonitoredServer::busy_share);
         let mut shares: Vec<f64> = shares.collect();
         if shares.is_empty() {
             return;
         }
         let middle = shares.len() / 2;
-        let present = *shares.select_nth_unstable_by(middle, f64::total_cmp).1;
-        self.busy_share += BUSY_WEIGHT * (present - self.busy_share);
+        let median = *shares.select_nth_unstable_by(middle, f64::total_cmp).1;
+        self.busy_share += BUSY_WEIGHT * (median - self.busy_share);
     }
 
-    /// Whether so few boxes work with an uneasy server that they cannot decide: others
-    /// shall try it too, wherever it stands.
-    fn wants_observers(&self, server: &Judged) -> bool {
-        let enough = LEAST_OBSERVERS.min(self.observers.len());
-        server.total >= self.threshold * UNEASY_SHARE && server.observers() < enough
+    /// Whether too few boxes use a server that shows some evidence for a decision on it.
+    /// Boxes of other data centres should then send it requests too.
+    fn needs_observers(&self, server: &MonitoredServer) -> bool {
+        let enough = MIN_OBSERVERS.min(self.observers.len());
+        server.ramped_evidence >= self.threshold * UNEASY_SHARE
+            && server.observers() < enough
     }
 
+    /// Returns the most that one box counts for, as a share of the threshold. A box that
+    /// is the only one to report can cause an ejection. Of three or more boxes, none
+    /// reaches even the lower threshold on probation.
     fn share_of_one_box(&self) -> f64 {
         match self.observers.len() {
             0 | 1 => 2.0,
@@ -355,28 +381,29 @@
         }
     }
 
-    /// Suspects servers over the threshold, unless many are uneasy at once.
-    fn suspect(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
-        let uneasy_at = self.threshold * UNEASY_SHARE;
-        let scores = self.servers.iter().map(Judged::unease);
-        let unease = Unease::new(scores, &self.groups, uneasy_at);
+    /// Marks servers over the threshold as suspected, unless many servers show evidence
+    /// at once, and clears those whose evidence is gone.
+    fn update_suspicions(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
+        let correlation_threshold = self.threshold * UNEASY_SHARE;
+        let scores = self.servers.iter().map(MonitoredServer::correlation_score);
+        let correlated = Unease::new(scores, &self.groups, correlation_threshold);
         for (index, server) in self.servers.iter_mut().enumerate() {
-            if server.total < self.threshold {
-                server.over_since = None;
+            if server.ramped_evidence < self.threshold {
+                server.over_threshold_since = None;
             }
             match server.state {
-                State::In if server.total >= self.threshold => {
-                    let since = *server.over_since.get_or_insert(now);
-                    if !unease.allows(index, now.saturating_duration_since(since)) {
+                State::Active if server.ramped_evidence >= self.threshold => {
+                    let since = *server.over_threshold_since.get_or_insert(now);
+                    if !correlated.allows(index, now.saturating_duration_since(since)) {
                         continue;
                     }
-                    server.state = State::Avoided {
-                        until: server.hold(now),
+                    server.state = State::Suspected {
+                        until: server.start_hold(now),
                     };
                     events.push(OutlierEvent::Suspected(index));
                 }
-                State::Avoided { .. } if server.total < FORGIVEN => {
-                    server.state = State::In;
+                State::Suspected { .. } if server.ramped_evidence < CLEARED_SCORE => {
+                    server.state = State::Active;
                     events.push(OutlierEvent::Returned(index));
                 }
                 _ => {}
@@ -384,162 +411,177 @@
         }
     }
 
-    fn advance(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
-        let relapse_at = self.threshold * RELAPSE_SHARE;
+    /// Moves servers on between hold, probation and normal use.
+    fn advance_states(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
+        let probation_threshold = self.threshold * PROBATION_THRESHOLD_SHARE;
         for (index, server) in self.servers.iter_mut().enumerate() {
             match server.state {
-                State::Out { until } | State::Avoided { until } if now >= until => {
-                    let agreed = server.is_ejected();
-                    server.forget_evidence();
-                    server.state = State::Trial {
+                State::Ejected { until } | State::Suspected { until } if now >= until => {
+                    let in_record = server.is_ejected();
+                    server.clear_evidence();
+                    server.state = State::Probation {
                         stage: 0,
                         since: now,
-                        agreed,
+                        in_record,
                     };
                     events.push(OutlierEvent::OnTrial(index));
                 }
-                State::Trial { agreed, .. } if server.total >= relapse_at => {
-                    let until = server.hold(now);
-                    server.state = match agreed {
-                        true => State::Out { until },
-                        false => State::Avoided { until },
+                State::Probation { in_record, .. }
+                    if server.ramped_evidence >= probation_threshold =>
+                {
+                    let until = server.start_hold(now);
+                    server.state = match in_record {
+                        true => State::Ejected { until },
+                        false => State::Suspected { until },
                     };
                     events.push(OutlierEvent::Suspected(index));
                 }
-                State::Trial {
+                State::Probation {
                     stage,
                     since,
-                    agreed,
-                } if now >= since + TRIAL_STAGE => {
+                    in_record,
+                } if now >= since + PROBATION_STAGE => {
                     let stage = stage + 1;
-                    if stage < TRIAL_SHARES.len() {
-                        server.state = State::Trial {
+                    if stage < PROBATION_SHARES.len() {
+                        server.state = State::Probation {
                             stage,
                             since: now,
-                            agreed,
+                            in_record,
                         };
                         continue;
                     }
-                    server.state = match agreed {
+                    server.state = match in_record {
                         true => State::Returned {
-                            until: now + RETURN_SPREAD,
+                            until: now + RETURN_SETTLING_TIME,
                         },
-                        false => State::In,
+                        false => State::Active,
                     };
                     events.push(OutlierEvent::Returned(index));
                 }
-                State::Returned { until } if now >= until => server.state = State::In,
+                State::Returned { until } if now >= until => server.state = State::Active,
                 _ => {}
             }
         }
     }
 
-    /// Takes servers out of the ejected when others have left meanwhile and the floor
-    /// would not hold; they stay avoided, the least often ejected first.
+    /// Turns ejected servers back into suspected ones while the available slots are below
+    /// the floor, as when other servers have started draining. Those with the fewest
+    /// recent holds come first.
     fn release_for_floor(&mut self, now: Instant) {
         while self.available_slots() < self.floor_slots {
             let ejected = self.servers.iter_mut();
-            let ejected = ejected.filter(|s| s.is_ejected() && !s.leaving);
-            let Some(server) = ejected.min_by_key(|server| server.relapses) else {
+            let ejected = ejected.filter(|s| s.is_ejected() && !s.draining);
+            let Some(server) = ejected.min_by_key(|server| server.recent_holds) else {
                 return;
             };
-            server.state = State::Avoided {
+            server.state = State::Suspected {
                 until: now + FIRST_HOLD,
             };
         }
     }
 
-    /// Suspects that are sick from everywhere they are used, the sickest first.
-    fn suspects(&self) -> Vec<&Judged> {
-        let suspected = |server: &&Judged| {
-            let avoided = matches!(server.state, State::Avoided { .. });
-            avoided && !server.is_well_from_anywhere()
+    /// Returns the suspected servers that no data centre finds healthy, those with the
+    /// most evidence first.
+    fn suspects(&self) -> Vec<&MonitoredServer> {
+        let suspected = |server: &&MonitoredServer| {
+            let is_suspected = matches!(server.state, State::Suspected { .. });
+            is_suspected && !server.is_healthy_from_anywhere()
         };
-        let mut suspects: Vec<&Judged> = self.servers.iter().filter(suspected).collect();
+        let mut suspects: Vec<&MonitoredServer> =
+            self.servers.iter().filter(suspected).collect();
         suspects.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
         suspects
     }
 }
 
-impl Judged {
+impl MonitoredServer {
     fn new(server: &crate::BackendServer) -> Self {
         Self {
             name: server.name.clone(),
             slots: server.slots,
-            leaving: false,
+            draining: false,
             by_box: BTreeMap::new(),
             evidence: 0.0,
-            total: 0.0,
+            ramped_evidence: 0.0,
             by_data_centre: BTreeMap::new(),
-            over_since: None,
-            state: State::In,
-            relapses: 0,
-            ended: None,
+            over_threshold_since: None,
+            state: State::Active,
+            recent_holds: 0,
+            holds_changed_at: None,
         }
     }
 
-    /// Adds up what the boxes make of the server, each up to `most`.
-    fn settle(&mut self, most: f64, step: f64, now: Instant) {
-        self.by_box.retain(|_, opinion| {
-            now.saturating_duration_since(opinion.at) < OBSERVER_TTL
+    /// Sums the evidence of the boxes on the server, each up to `max_per_box`. The ramped
+    /// evidence rises by at most `max_rise`. One recent hold is forgotten every
+    /// `HOLD_MEMORY`.
+    fn sum_evidence(&mut self, max_per_box: f64, max_rise: f64, now: Instant) {
+        self.by_box.retain(|_, box_evidence| {
+            now.saturating_duration_since(box_evidence.at) < OBSERVER_TTL
         });
         let mut sums = Evidence::default();
         self.by_data_centre.clear();
-        for opinion in self.by_box.values() {
+        for box_evidence in self.by_box.values() {
             let local = self
                 .by_data_centre
-                .entry(opinion.data_centre.clone())
+                .entry(box_evidence.data_centre.clone())
                 .or_default();
-            local.observations_per_s += opinion.observations_per_s;
-            local.sum += opinion.sums.into_iter().fold(0.0, f64::max);
-            for (sum, own) in sums.iter_mut().zip(opinion.sums) {
-                *sum += own.min(most);
+            local.observations_per_s += box_evidence.observations_per_s;
+            local.sum += box_evidence.sums.into_iter().fold(0.0, f64::max);
+            for (sum, sum_of_box) in sums.iter_mut().zip(box_evidence.sums) {
+                *sum += sum_of_box.min(max_per_box);
             }
         }
         self.evidence = sums.into_iter().fold(0.0, f64::max);
-        // One moment alone, however bad, never crosses the threshold.
-        self.total = self.evidence.min(self.total + step);
-        let forgiven = self
-            .ended
-            .is_some_and(|at| now.saturating_duration_since(at) > RELAPSE_TTL);
-        if forgiven && self.relapses > 0 {
-            self.relapses -= 1;
-            self.ended = Some(now);
+        // A single evaluation, however bad, never crosses the threshold.
+        self.ramped_evidence = self.evidence.min(self.ramped_evidence + max_rise);
+        let hold_expired = self
+            .holds_changed_at
+            .is_some_and(|at| now.saturating_duration_since(at) > HOLD_MEMORY);
+        if hold_expired && self.recent_holds > 0 {
+            self.recent_holds -= 1;
+            self.holds_changed_at = Some(now);
         }
     }
 
-    /// The share of the boxes that report on the server and hold something against it.
+    /// Returns the share of the boxes reporting on the server that have evidence against
+    /// it, or `None` if none reports.
     fn busy_share(&self) -> Option<f64> {
-        let busy = |opinion: &&Opinion| opinion.sums.iter().any(|sum| *sum > 0.0);
-        let count = self.by_box.values().filter(busy).count();
+        let has_evidence =
+            |box_evidence: &&BoxEvidence| box_evidence.sums.iter().any(|sum| *sum > 0.0);
+        let count = self.by_box.values().filter(has_evidence).count();
         let all = self.by_box.len();
         (all > 0).then(|| count as f64 / all as f64)
     }
 
-    /// Boxes that have something to say about the server.
+    /// Returns the number of boxes that use the server or have evidence against it.
     fn observers(&self) -> usize {
-        let says = |opinion: &&Opinion| {
-            opinion.observations_per_s > 0.0 || opinion.sums != Evidence::default()
+        let has_observed = |box_evidence: &&BoxEvidence| {
+            box_evidence.observations_per_s > 0.0
+                || box_evidence.sums != Evidence::default()
         };
-        self.by_box.values().filter(says).count()
+        self.by_box.values().filter(has_observed).count()
     }
 
-    /// The evidence that tells whether many are uneasy: one that is held back for good
-    /// reason is not.
-    fn unease(&self) -> f64 {
-        if self.is_ejected() { 0.0 } else { self.total }
+    /// Returns the evidence that counts when checking whether many servers show evidence
+    /// at once: 0 for an ejected server.
+    fn correlation_score(&self) -> f64 {
+        if self.is_ejected() {
+            0.0
+        } else {
+            self.ramped_evidence
+        }
     }
 
-    /// When a hold that begins now ends; each relapse doubles it.
-    fn hold(&mut self, now: Instant) -> Instant {
-        let hold = FIRST_HOLD * 2u32.pow(self.relapses.min(MOST_DOUBLINGS));
-        self.relapses += 1;
-        self.ended = Some(now);
+    /// Records a hold that begins now and returns its end; each recent hold doubles it.
+    fn start_hold(&mut self, now: Instant) -> Instant {
+        let hold = FIRST_HOLD * 2u32.pow(self.recent_holds.min(MAX_HOLD_DOUBLINGS));
+        self.recent_holds += 1;
+        self.holds_changed_at = Some(now);
         now + hold
     }
 
-    fn forget_evidence(&mut self) {
-        self.total = 0.0;
+    fn clear_evidence(&mut self) {
+        self.ramped_evidence = 0.0;
         self.by_data_centre.clear();
         self.by_box.clear();
     }
@@ -547,7 +589,11 @@
     fn is_ejected(&self) -> bool {
         matches!(
             self.state,
-            State::Out { .. } | State::Trial { agreed: true, .. }
+            State::Ejected { .. }
+                | State::Probation {
+                    in_record: true,
+                    ..
+                }
         )
     }
 
@@ -555,49 +601,56 @@
         matches!(self.state, State::Returned { .. })
     }
 
-    fn counts_as_out(&self) -> bool {
-        !self.leaving && (self.is_ejected() || self.is_returned())
+    fn counts_as_missing(&self) -> bool {
+        !self.draining && (self.is_ejected() || self.is_returned())
     }
 
-    /// Whether boxes of a data centre use the server a good deal and find it well.
-    fn is_well_from(&self, data_centre: &DataCentreId) -> bool {
-        self.by_data_centre.get(data_centre).is_some_and(is_well)
+    /// Whether boxes of a data centre use the server often enough and find it healthy.
+    fn is_healthy_from(&self, data_centre: &DataCentreId) -> bool {
+        self.by_data_centre.get(data_centre).is_some_and(is_healthy)
     }
 
-    fn is_well_from_anywhere(&self) -> bool {
-        self.by_data_centre.values().any(is_well)
+    fn is_healthy_from_anywhere(&self) -> bool {
+        self.by_data_centre.values().any(is_healthy)
     }
 }
 
-/// Whether a good deal of work shows a server well.
-fn is_well(view: &LocalView) -> bool {
-    view.observations_per_s >= WELL_RATE && view.sum < WELL_SCORE
+/// Whether enough requests of a data centre show that a server is healthy.
+fn is_healthy(evidence: &DataCentreEvidence) -> bool {
+    evidence.observations_per_s >= HEALTHY_MIN_REQUESTS_PER_S
+        && evidence.sum < HEALTHY_MAX_SCORE
 }
 
-fn sorted_names<'a>(servers: impl Iterator<Item = &'a Judged>) -> Vec<String> {
+fn sorted_names<'a>(servers: impl Iterator<Item = &'a MonitoredServer>) -> Vec<String> {
     let mut names: Vec<String> = servers.map(|server| server.name.clone()).collect();
     names.sort();
     names
 }
 
-/// How often the judge looks; the threshold counts in these.
-const STEP: Duration = Duration::from_millis(100);
-/// So many boxes can decide about a server.
-const LEAST_OBSERVERS: usize = 3;
-const STEPS_TO_CROSS: f64 = 3.0;
-/// The noise of a service is learned over about ten seconds.
+/// Shortest time between two evaluations.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of boxes using a server that is enough to decide on it.
+const MIN_OBSERVERS: usize = 3;
+/// Smallest number of evaluations in which the ramped evidence can reach the threshold.
+const TICKS_TO_CROSS: f64 = 3.0;
+/// Weight of an evaluation in the noise level, which follows changes within about 10 s.
 const BUSY_WEIGHT: f64 = 0.01;
-const LEAST_SPAN_S: f64 = 0.05;
+const MIN_SPAN_S: f64 = 0.05;
 const OBSERVER_TTL: Duration = Duration::from_secs(3);
-/// On trial, this share of the threshold is enough to put it out again.
-const RELAPSE_SHARE: f64 = 0.5;
-const FORGIVEN: f64 = 1.0;
-const WELL_SCORE: f64 = 2.0;
-const WELL_RATE: f64 = 2.0;
+/// Share of the threshold that ends a server's probation and starts a new hold.
+const PROBATION_THRESHOLD_SHARE: f64 = 0.5;
+/// Evidence below which a suspected server is cleared before its hold is over.
+const CLEARED_SCORE: f64 = 1.0;
+/// Evidence of a data centre below which it finds a server healthy, if it sends the
+/// server `HEALTHY_MIN_REQUESTS_PER_S` requests a second.
+const HEALTHY_MAX_SCORE: f64 = 2.0;
+const HEALTHY_MIN_REQUESTS_PER_S: f64 = 2.0;
 const FIRST_HOLD: Duration = Duration::from_secs(5);
-const MOST_DOUBLINGS: u32 = 6;
-const RELAPSE_TTL: Duration = Duration::from_secs(600);
-const TRIAL_SHARES: [f32; 3] = [0.02, 0.1, 0.4];
-const TRIAL_STAGE: Duration = Duration::from_secs(2);
-/// A returned server counts as out until every older verdict has expired.
-const RETURN_SPREAD: Duration = Duration::from_secs(4);
+const MAX_HOLD_DOUBLINGS: u32 = 6;
+/// Time after which one recent hold is forgotten.
+const HOLD_MEMORY: Duration = Duration::from_secs(600);
+/// Shares of its usual requests that a server takes in the stages of its probation.
+const PROBATION_SHARES: [f32; 3] = [0.02, 0.1, 0.4];
+const PROBATION_STAGE: Duration = Duration::from_secs(2);
+/// How long a returned server counts as missing: until every older verdict has expired.
+const RETURN_SETTLING_TIME: Duration = Duration::from_secs(4);
--- a/crates/wingspur-state/src/service_table.rs
+++ b/crates/wingspur-state/src/service_table.rs
@@ -1,4 +1,5 @@
-//! One box's table of a service: its servers, its attempts and what they show.
+//! One box's view of a service: its servers, its attempts in flight and the evidence from
+//! them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,35 +9,36 @@
 
 use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
 use crate::evidence::{
-    Evidence, EvidenceEntry, EvidenceReport, LEAST_BUSY_SHARE, Score, ejection_threshold,
+    Evidence, EvidenceEntry, EvidenceReport, MIN_BUSY_SHARE, Score, ejection_threshold,
     healthy_evidence,
 };
-use crate::history::{LatencyHistory, Present, ServiceHistory};
+use crate::history::{CurrentConditions, LatencyHistory, ServiceHistory};
 use crate::outlier_detector::{OutlierStatus, Verdict};
 use crate::{
     AttemptId, Candidate, EjectionState, RetryBudget, RouteClass, ServerIndex, Service,
     pick,
 };
 
-/// What a box knows of a service and its backend servers.
+/// What a box knows about a service and its backend servers.
 #[derive(Debug)]
 pub struct ServiceTable {
     service: Arc<Service>,
     tag: u64,
     servers: Vec<ServerEntry>,
-    /// In order, so that a replay adds up alike each time.
+    /// In order, so that a replay sums the evidence in the same order each time.
     attempts: BTreeMap<AttemptId, Attempt>,
     next_attempt: AttemptId,
     history: ServiceHistory,
     /// The servers of each data centre.
     groups: Vec<Vec<ServerIndex>>,
     budget: RetryBudget,
+    /// Evidence sum from which a server is suspected.
     threshold: f64,
-    reported: Option<Instant>,
-    ticked: Option<Instant>,
+    last_report: Option<Instant>,
+    last_tick: Option<Instant>,
     verdict_expires: Option<Instant>,
-    /// Until when there is something to weigh or to report.
-    busy_until: Option<Instant>,
+    /// Until when there may be something to evaluate or to report.
+    active_until: Option<Instant>,
 }
 
 #[derive(Debug, Clone)]
@@ -45,67 +47,73 @@
     connection_share: u32,
     outstanding: u32,
     load_hint: f64,
-    listed_leaving: bool,
+    listed_draining: bool,
     draining: bool,
     verdict: OutlierStatus,
     history: LatencyHistory,
-    /// This box's own sums: reported, and used alone when no verdict is to be had.
+    /// This box's own evidence sums: reported to the outlier detector, and used alone
+    /// while there is no valid verdict.
     score: Score,
-    /// What the sums were measured against.
-    present: Present,
-    /// Since when they are over the threshold.
-    over_since: Option<Instant>,
-    /// Whether this box avoids the server on its own account.
-    avoided: bool,
-    /// The largest of them when it was last reported.
+    /// Service conditions that the sums were computed against.
+    conditions: CurrentConditions,
+    /// Since when the sums have been over the threshold.
+    over_threshold_since: Option<Instant>,
+    /// Whether this box suspects the server by its own evidence.
+    locally_suspected: bool,
+    /// The largest sum when it was last reported.
     reported_sum: f64,
+    /// Attempts that were first counted as evidence since the last report.
     observations: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     server: ServerIndex,
-    /// The start, or the last progress of a long answer.
+    /// When the attempt was sent, or when bytes of its response last arrived.
     since: Instant,
-    /// The survival evidence that has been counted already.
+    /// The evidence that has already been counted for the time without progress.
     counted: Evidence,
+    /// Whether the attempt has been counted as an observation.
     observed: bool,
-    /// Whether the head came: what follows is judged by progress alone.
+    /// Whether the response head has arrived; from then on only a stalled or failed body
+    /// is evidence.
     streaming: bool,
 }
 
-/// How an attempt ended, as far as it tells of the server.
+/// How an attempt ended, as evidence about the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A good answer.
+    /// A good response.
     Answered,
-    /// An answer that is an error, or a connection that failed.
+    /// An error response, or a connection that failed.
     Failed,
-    /// Given up by us or the caller, or refused by a server that sheds load.
+    /// Given up by this box or the caller, or refused by a server that sheds load; not
+    /// evidence.
     Abandoned,
 }
 
 impl ServiceTable {
-    /// A fresh table for a box in `home`, one of `boxes` that share the servers.
+    /// Creates a table without observations for a box in the data centre `home`, one of
+    /// `boxes` that share the servers.
     pub fn new(service: Arc<Service>, tag: u64, home: &str, boxes: u32) -> Self {
         let entry = |server: &crate::BackendServer| ServerEntry {
             same_data_centre: server.data_centre == home,
             connection_share: (server.connections / boxes.max(1)).max(1),
             outstanding: 0,
             load_hint: 0.0,
-            listed_leaving: false,
+            listed_draining: false,
             draining: false,
             verdict: OutlierStatus::Active,
             history: LatencyHistory::default(),
             score: Score::default(),
-            present: Present::default(),
-            over_since: None,
-            avoided: false,
+            conditions: CurrentConditions::default(),
+            over_threshold_since: None,
+            locally_suspected: false,
             reported_sum: 0.0,
             observations: 0,
         };
         let groups = groups_of(&service);
-        let knob = service.detection.false_ejections_per_server_day;
+        let allowed_false_ejections = service.detection.false_ejections_per_server_day;
         Self {
             tag,
             servers: service.servers.iter().map(entry).collect(),
@@ -114,55 +122,61 @@
             history: ServiceHistory::new(service.servers.len(), groups.clone()),
             groups,
             budget: RetryBudget::new(service.retry.budget_percent),
-            // The allowance is the fleet's: each box has its share of it.
+            // The allowed number of false ejections is for the fleet; each box gets its
+            // share.
             threshold: ejection_threshold(
-                knob / f64::from(boxes.max(1)),
+                allowed_false_ejections / f64::from(boxes.max(1)),
                 1,
-                LEAST_BUSY_SHARE,
+                MIN_BUSY_SHARE,
             ),
-            reported: None,
-            ticked: None,
+            last_report: None,
+            last_tick: None,
             verdict_expires: None,
-            busy_until: None,
+            active_until: None,
             service,
         }
     }
 
-    /// Takes over what a table of an older bundle learned of the same servers.
+    /// Takes over what the table of an older bundle learned of the same servers; servers
+    /// are the same if their addresses are equal.
     pub fn inherit_state(&mut self, older: &Self) {
         for (index, server) in self.service.servers.iter().enumerate() {
             let same = |old: &crate::BackendServer| old.address == server.address;
-            let Some(old) = older.service.servers.iter().position(same) else {
+            let Some(old_index) = older.service.servers.iter().position(same) else {
                 continue;
             };
-            let kept = &older.servers[old];
+            let old_entry = &older.servers[old_index];
             let entry = &mut self.servers[index];
-            entry.history = kept.history;
-            entry.verdict = kept.verdict;
-            entry.score = kept.score;
-            entry.listed_leaving = kept.listed_leaving;
-            entry.draining = kept.draining && self.tag == older.tag;
+            entry.history = old_entry.history;
+            entry.verdict = old_entry.verdict;
+            entry.score = old_entry.score;
+            entry.listed_draining = old_entry.listed_draining;
+            entry.draining = old_entry.draining && self.tag == older.tag;
         }
         self.history.inherit(&older.history);
         self.verdict_expires = older.verdict_expires;
     }
 
-    /// The service as the bundle declares it.
+    /// Returns the service as the bundle declares it.
     pub fn service(&self) -> &Arc<Service> {
         &self.service
     }
 
-    /// Stands for the service and its exact list of servers in evidence.
+    /// Returns the tag that identifies the service and its exact list of servers in
+    /// evidence reports.
     pub fn tag(&self) -> u64 {
         self.tag
     }
 
-    /// The retry budget.
+    /// Returns the retry budget.
     pub fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
 
-    /// Picks a server for a request, none of those in `tried` if another will do.
+    /// Picks a server for a request, one of those in `tried` only if no other can be
+    /// used.
+    ///
+    /// Returns `None` if no server may take the request.
     pub fn pick(
         &self,
         class: RouteClass,
@@ -170,20 +184,20 @@
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<ServerIndex> {
-        let all: Vec<Candidate> = (0..self.servers.len())
+        let candidates: Vec<Candidate> = (0..self.servers.len())
             .map(|server| self.candidate(server, class.is_retry_safe(), now))
             .collect();
-        let fresh = all
+        let untried = candidates
             .iter()
             .filter(|candidate| !tried.contains(&candidate.server));
-        let fresh: Vec<Candidate> = fresh.copied().collect();
+        let untried: Vec<Candidate> = untried.copied().collect();
         let safe = class.is_retry_safe();
-        pick(&fresh, safe, random).or_else(|| pick(&all, safe, random))
+        pick(&untried, safe, random).or_else(|| pick(&candidates, safe, random))
     }
 
-    /// Counts an attempt at a server as begun.
+    /// Records that an attempt is sent to a server, and returns its id.
     pub fn begin(&mut self, server: ServerIndex, now: Instant) -> AttemptId {
-        self.busy_until = Some(now + BUSY_AFTER_WORK);
+        self.active_until = Some(now + ACTIVE_AFTER_REQUEST);
         let id = self.next_attempt;
         self.next_attempt += 1;
         self.servers[server].outstanding += 1;
@@ -198,7 +212,8 @@
         id
     }
 
-    /// Weighs the arrival of an answer's head; its body is judged by its progress.
+    /// Records the arrival of the response head as evidence. From then on, the attempt
+    /// counts against the server if its body stalls or fails.
     pub fn record_response_head(
         &mut self,
         id: AttemptId,
@@ -208,7 +223,7 @@
         let Some(mut attempt) = self.attempts.remove(&id) else {
             return;
         };
-        self.weigh_end(&attempt, outcome, now);
+        self.add_outcome_evidence(&attempt, outcome, now);
         attempt.streaming = true;
         attempt.since = now;
         attempt.counted = Evidence::default();
@@ -216,7 +231,7 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// Notes that bytes of an answer came.
+    /// Records that bytes of the response body arrived.
     pub fn record_response_progress(&mut self, id: AttemptId, now: Instant) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.since = now;
@@ -224,7 +239,7 @@
         }
     }
 
-    /// Counts an attempt as ended.
+    /// Records the end of an attempt.
     pub fn finish(&mut self, id: AttemptId, outcome: AttemptOutcome, now: Instant) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -232,127 +247,133 @@
         let entry = &mut self.servers[attempt.server];
         entry.outstanding = entry.outstanding.saturating_sub(1);
         if !attempt.streaming {
-            self.weigh_end(&attempt, outcome, now);
+            self.add_outcome_evidence(&attempt, outcome, now);
             return;
         }
         if outcome == AttemptOutcome::Failed {
-            self.weigh_end(&attempt, outcome, now);
+            self.add_outcome_evidence(&attempt, outcome, now);
         }
     }
 
-    /// Takes in a server's load report, 0 (idle) to 1 (full): a hint only.
+    /// Adds a load value that a server reported, from 0 (idle) to 1 (full), to its
+    /// smoothed load hint.
     pub fn set_load_hint(&mut self, server: ServerIndex, hint: f64) {
-        let old = &mut self.servers[server].load_hint;
-        *old += LOAD_HINT_WEIGHT * (hint - *old);
+        let smoothed = &mut self.servers[server].load_hint;
+        *smoothed += LOAD_HINT_WEIGHT * (hint - *smoothed);
     }
 
-    /// Notes what the platform's list says of a server; a leaving one gets nothing new.
-    pub fn set_listed_leaving(&mut self, server: ServerIndex, leaving: bool) {
-        self.servers[server].listed_leaving = leaving;
+    /// Sets whether the platform's list says that a server is draining; a draining server
+    /// gets no new requests.
+    pub fn set_listed_leaving(&mut self, server: ServerIndex, draining: bool) {
+        self.servers[server].listed_draining = draining;
     }
 
-    /// Notes that a server said itself that it leaves; it stays out until the bundle
-    /// changes its service.
+    /// Records that a server has announced itself that it is draining. It gets no new
+    /// requests until a bundle changes its service.
     pub fn set_draining(&mut self, server: ServerIndex) {
         self.servers[server].draining = true;
     }
 
-    /// Whether the server is known to be leaving.
+    /// Whether the server is known to be draining.
     pub fn is_leaving(&self, server: ServerIndex) -> bool {
         self.servers[server].is_leaving()
     }
 
-    /// Weighs the age of work that has not come back, and reports what was seen.
+    /// Adds the evidence from attempts without a response and returns a report if one is
+    /// due.
     ///
-    /// Call it each `TICK`. A report comes at once when there is something to tell,
-    /// and else each `REPORT_EVERY`, which also keeps verdicts fresh.
+    /// Must be called every `EVIDENCE_TICK`. A report is due soon when a sum has changed
+    /// by `MIN_REPORTED_CHANGE`, and otherwise every `REPORT_INTERVAL`, which also keeps
+    /// verdicts from expiring.
     pub fn tick(&mut self, now: Instant) -> Option<EvidenceReport> {
         if self.is_idle(now) {
-            // A box works with few of many services at a time.
+            // A box uses only a few of many services at a time.
             return None;
         }
         self.history.refresh(now);
-        self.weigh_ages(now);
-        let passed = self.ticked.map_or(0.0, |last| seconds(now, last));
-        self.ticked = Some(now);
+        self.add_pending_evidence(now);
+        let elapsed_s = self.last_tick.map_or(0.0, |last| seconds(now, last));
+        self.last_tick = Some(now);
         for (server, entry) in self.servers.iter_mut().enumerate() {
-            entry.score.forgive(passed);
-            if entry.present.follow(self.history.present(server)) {
+            entry.score.decay(elapsed_s);
+            if entry.conditions.update(self.history.conditions_for(server)) {
                 entry.score = Score::default();
             }
         }
-        self.settle_own(now);
-        let last = *self.reported.get_or_insert(now);
+        self.update_local_suspicion(now);
+        let last = *self.last_report.get_or_insert(now);
         let since = now.saturating_duration_since(last);
-        let telling = self.servers.iter().any(ServerEntry::has_updates);
-        if since >= REPORT_EVERY || (telling && since >= REPORT_SOONEST) {
-            self.reported = Some(now);
+        let has_updates = self.servers.iter().any(ServerEntry::has_updates);
+        if since >= REPORT_INTERVAL || (has_updates && since >= MIN_REPORT_INTERVAL) {
+            self.last_report = Some(now);
             return Some(self.take_report(since));
         }
         None
     }
 
-    /// Whether there is nothing to weigh or to report.
+    /// Whether there is nothing to evaluate or to report.
     pub fn is_idle(&self, now: Instant) -> bool {
-        let busy = self.busy_until.is_some_and(|until| now < until);
-        !busy && self.attempts.is_empty()
+        let active = self.active_until.is_some_and(|until| now < until);
+        !active && self.attempts.is_empty()
     }
 
-    /// Puts the judge's verdict in force until it expires.
+    /// Activates a verdict of the outlier detector until it expires. A verdict with the
+    /// tag of another service or server list is ignored.
     pub fn apply(&mut self, verdict: &Verdict, now: Instant) {
         if verdict.service_tag != self.tag {
             return;
         }
-        let mut standings = vec![OutlierStatus::Active; self.servers.len()];
-        for (server, standing) in &verdict.standings {
-            if let Some(slot) = standings.get_mut(usize::from(*server)) {
-                *slot = *standing;
+        let mut statuses = vec![OutlierStatus::Active; self.servers.len()];
+        for (server, status) in &verdict.standings {
+            if let Some(entry_status) = statuses.get_mut(usize::from(*server)) {
+                *entry_status = *status;
             }
         }
-        for (entry, standing) in self.servers.iter_mut().zip(standings) {
-            let was_held = matches!(
+        for (entry, status) in self.servers.iter_mut().zip(statuses) {
+            let was_restricted = matches!(
                 entry.verdict,
                 OutlierStatus::Excluded | OutlierStatus::Suspected
             );
-            let returns =
-                !matches!(standing, OutlierStatus::Excluded | OutlierStatus::Suspected);
-            if was_held && returns {
-                // What it did before the hold must not speak against it after.
+            let is_restored =
+                !matches!(status, OutlierStatus::Excluded | OutlierStatus::Suspected);
+            if was_restricted && is_restored {
+                // Evidence from before the hold must not count after it.
                 entry.score = Score::default();
             }
-            entry.verdict = standing;
+            entry.verdict = status;
         }
         self.verdict_expires = Some(now + VERDICT_TTL);
     }
 
-    /// How a server stands with this box now.
+    /// Returns whether and how this box may use a server now.
     pub fn ejection_state(&self, server: ServerIndex, now: Instant) -> EjectionState {
         let entry = &self.servers[server];
         if entry.is_leaving() {
             return EjectionState::Excluded;
         }
-        let fresh = self.has_verdict(now);
-        let own = if entry.avoided {
+        let has_verdict = self.has_verdict(now);
+        let local_state = if entry.locally_suspected {
             EjectionState::Suspected
         } else {
             EjectionState::Active
         };
-        if !fresh {
-            // Without a judge nobody may take capacity away: suspects are used last.
+        if !has_verdict {
+            // Without a valid verdict no box may take capacity away: servers that the
+            // last verdict restricted are used when no other has room.
             return match entry.verdict {
-                OutlierStatus::Active | OutlierStatus::Watched => own,
+                OutlierStatus::Active | OutlierStatus::Watched => local_state,
                 _ => EjectionState::Suspected,
             };
         }
         match entry.verdict {
-            OutlierStatus::Active | OutlierStatus::Watched => own,
+            OutlierStatus::Active | OutlierStatus::Watched => local_state,
             OutlierStatus::Probation(share) => EjectionState::Probation(f64::from(share)),
             OutlierStatus::Suspected => EjectionState::Suspected,
             OutlierStatus::Excluded => EjectionState::Excluded,
         }
     }
 
-    /// Attempts that are out now.
+    /// Returns the number of attempts in flight.
     pub fn outstanding(&self) -> usize {
         self.attempts.len()
     }
@@ -379,39 +400,44 @@
         }
     }
 
-    /// Settles which servers this box avoids on its own account.
-    fn settle_own(&mut self, now: Instant) {
-        let judged = self.has_verdict(now);
-        let uneasy_at = self.threshold * UNEASY_SHARE;
+    /// Updates which servers this box suspects by its own evidence.
+    fn update_local_suspicion(&mut self, now: Instant) {
+        let has_verdict = self.has_verdict(now);
+        let correlation_threshold = self.threshold * UNEASY_SHARE;
         let scores = self.servers.iter().map(|entry| entry.score.sum());
-        let unease = Unease::new(scores, &self.groups, uneasy_at);
+        let correlated = Unease::new(scores, &self.groups, correlation_threshold);
         for (server, entry) in self.servers.iter_mut().enumerate() {
             if entry.score.sum() < self.threshold {
-                entry.over_since = None;
-                entry.avoided = false;
+                entry.over_threshold_since = None;
+                entry.locally_suspected = false;
                 continue;
             }
-            let since = *entry.over_since.get_or_insert(now);
+            let since = *entry.over_threshold_since.get_or_insert(now);
             let over = now.saturating_duration_since(since);
-            // A judge that is heard decides for all, and sooner; what only this box
-            // sees must last.
-            let patience = if judged { OWN_PATIENCE } else { Duration::ZERO };
-            entry.avoided |= over >= patience && unease.allows(server, over);
+            // While verdicts arrive, the outlier detector decides for all boxes, and
+            // sooner; evidence that only this box has must persist for longer.
+            let min_duration = if has_verdict {
+                LOCAL_SUSPICION_DELAY
+            } else {
+                Duration::ZERO
+            };
+            entry.locally_suspected |=
+                over >= min_duration && correlated.allows(server, over);
         }
     }
 
-    fn weigh_ages(&mut self, now: Instant) {
-        if !self.history.is_settled() {
+    fn add_pending_evidence(&mut self, now: Instant) {
+        if !self.history.has_enough_responses() {
             return;
         }
         for attempt in self.attempts.values_mut() {
             let entry = &mut self.servers[attempt.server];
-            let reference = self.history.reference(attempt.server, &entry.history);
+            let baseline = self.history.baseline_for(attempt.server, &entry.history);
             let age_ms = seconds(now, attempt.since) * 1000.0;
-            let evidence = reference.survival(age_ms);
+            let evidence = baseline.pending_evidence(age_ms);
             let step: Evidence =
                 std::array::from_fn(|index| evidence[index] - attempt.counted[index]);
-            if largest(step) < LEAST_STEP {
+            if largest(step) < MIN_EVIDENCE_STEP {
                 continue;
             }
             entry.add(step, !std::mem::replace(&mut attempt.observed, true));
@@ -419,19 +445,26 @@
         }
     }
 
-    fn weigh_end(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: Instant) {
+    fn add_outcome_evidence(
+        &mut self,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
+        now: Instant,
+    ) {
         let entry = &mut self.servers[attempt.server];
         let trusted = entry.is_trusted();
         let latency_ms = seconds(now, attempt.since) * 1000.0;
-        let settled = self.history.is_settled();
-        let reference = self.history.reference(attempt.server, &entry.history);
+        let has_enough_responses = self.history.has_enough_responses();
+        let baseline = self.history.baseline_for(attempt.server, &entry.history);
         let evidence = match outcome {
             AttemptOutcome::Abandoned => return,
-            AttemptOutcome::Failed => reference.error(),
-            AttemptOutcome::Answered if settled => reference.answer(latency_ms),
+            AttemptOutcome::Failed => baseline.error_evidence(),
+            AttemptOutcome::Answered if has_enough_responses => {
+                baseline.response_evidence(latency_ms)
+            }
             AttemptOutcome::Answered => healthy_evidence(),
         };
-        // What its age has told already is not told twice.
+        // Evidence that was already counted for the attempt's age must not count twice.
         let step: Evidence =
             std::array::from_fn(|index| evidence[index] - attempt.counted[index]);
         entry.add(step, !attempt.observed);
@@ -439,9 +472,9 @@
         if !failed {
             let own = &mut entry.history;
             self.history
-                .learn_answer(attempt.server, own, latency_ms, trusted, now);
+                .record_response(attempt.server, own, latency_ms, trusted, now);
         }
-        self.history.learn_end(attempt.server, failed, now);
+        self.history.record_outcome(attempt.server, failed, now);
     }
 
     fn take_report(&mut self, span: Duration) -> EvidenceReport {
@@ -476,12 +509,13 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.listed_leaving || self.draining
+        self.listed_draining || self.draining
     }
 
-    /// Whether the judge should hear of this before the next regular report.
+    /// Whether the sum has changed so much that it is reported before the next regular
+    /// report.
     fn has_updates(&self) -> bool {
-        (self.score.sum() - self.reported_sum).abs() >= NEWS
+        (self.score.sum() - self.reported_sum).abs() >= MIN_REPORTED_CHANGE
     }
 
     fn is_trusted(&self) -> bool {
@@ -497,19 +531,23 @@
     now.saturating_duration_since(since).as_secs_f64()
 }
 
-/// How often `ServiceTable::tick` wants to be called.
+/// Interval at which `ServiceTable::tick` is to be called.
 pub const EVIDENCE_TICK: Duration = Duration::from_millis(50);
-/// A verdict is in force for so long unless it is renewed.
+/// Time after which a verdict expires unless it is renewed.
 pub const VERDICT_TTL: Duration = Duration::from_secs(3);
-/// A table without work is left alone after this: the present is forgotten by then.
-const BUSY_AFTER_WORK: Duration = Duration::from_secs(4);
-const REPORT_EVERY: Duration = Duration::from_secs(1);
-const REPORT_SOONEST: Duration = Duration::from_millis(50);
-/// A change of a sum that is worth a report of its own.
-const NEWS: f64 = 1.0;
-/// Smaller steps of an attempt's evidence wait for the next tick.
-const LEAST_STEP: f64 = 0.25;
-/// What only this box sees counts when it has lasted so long.
-const OWN_PATIENCE: Duration = Duration::from_secs(1);
+/// Time after the last request from which a table without attempts is idle; the current
+/// service conditions have expired by then.
+const ACTIVE_AFTER_REQUEST: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
+/// Change of a sum that is reported before the next regular report.
+const MIN_REPORTED_CHANGE: f64 = 1.0;
+/// Smallest increase of an attempt's evidence that is added; smaller ones wait for a
+/// later tick.
+const MIN_EVIDENCE_STEP: f64 = 0.25;
+/// How long a server must be over the threshold by this box's evidence alone to be
+/// suspected while verdicts arrive.
+const LOCAL_SUSPICION_DELAY: Duration = Duration::from_secs(1);
+/// Evidence sum below which a server's responses are added to the histories.
 const TRUSTED_SCORE: f64 = 3.0;
 const LOAD_HINT_WEIGHT: f64 = 0.3;
