--- a/crates/wingspur-state/src/tally.rs
+++ b/crates/wingspur-state/src/tally.rs
@@ -1,38 +1,41 @@
-//! What boxes tell each other of backend servers and services, in sums that add up.
+//! Tallies: counters per backend server and per service that boxes send each other and
+//! that can be summed over boxes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ServerKey;
 
-/// What one box, or all boxes behind one hub, have seen of a server.
+/// Counters of one box, or of all boxes behind one hub, for one server.
 ///
-/// Counts only grow and wrap around; a reader that knows an earlier tally of the same
-/// sender takes the difference.
+/// `in_flight` and `silence_quarters` are gauges. The other fields are counters that only
+/// grow and wrap around; a receiver takes the difference from the sender's previous
+/// tally.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerTally {
-    /// Requests that are out now.
+    /// Requests in flight now.
     pub in_flight: u32,
-    /// What the silence of those tells, in quarters of a failure.
+    /// Failure evidence from the requests in flight that have had no response yet, in
+    /// quarters of a failure.
     pub silence_quarters: u32,
-    /// Good answers.
+    /// Good responses.
     pub good: u32,
-    /// Errors, broken and spoiled answers, and no answers at all.
+    /// Errors, interrupted or corrupt responses, and missing responses.
     pub failed: u32,
-    /// Requests that it refused, or that never reached it.
+    /// Requests that the server refused, or that did not reach it.
     pub refused: u32,
-    /// How long good answers took, as a sum of percentages of the usual time.
+    /// Sum over good responses of the time taken, in percent of the usual time.
     pub slowness_percent: u32,
 }
 
-/// What has been sent to a service.
+/// Counters of the requests for one service; they only grow and wrap around.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTally {
-    /// Requests of callers.
+    /// Requests of callers, each counted once.
     pub requests: u32,
-    /// Requests sent to a server after their first.
+    /// Attempts after the first one of a request: retries and hedges.
     pub resends: u32,
-    /// Requests of callers that got no good answer, without those that tried an unused server:
-    /// counted, the tries that a loss asks for would keep it up.
+    /// Requests of callers that got no good response, except those sent as idle probes. A
+    /// high loss causes more idle probes; counting their failures would keep the loss up.
     pub lost: u32,
 }
 
@@ -40,7 +43,7 @@
 pub type KeyedTally = (ServerKey, ServerTally);
 
 impl ServerTally {
-    /// The counts that came on top of an earlier tally; gauges as they stand.
+    /// Returns the counts since an earlier tally, with the gauges unchanged.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             in_flight: self.in_flight,
@@ -54,29 +57,31 @@
         }
     }
 
-    /// Whether the server has failed, refused or kept silent since an earlier tally.
+    /// Whether the counts of failures or refusals or the silence gauge differ from those
+    /// of an earlier tally.
     pub fn has_failed_since(&self, earlier: &Self) -> bool {
         let faults = |tally: &Self| (tally.failed, tally.refused, tally.silence_quarters);
         faults(self) != faults(earlier)
     }
 
-    /// What is new since an earlier tally; nothing where a count went back, as it does when
-    /// its sender begins anew.
+    /// Returns the counts since an earlier tally, with the gauges unchanged.
+    ///
+    /// All counts are 0 if any of them went back, as happens when the sender restarts.
     pub fn increase_since(&self, earlier: &Self) -> Self {
-        let updates = self.since(earlier);
+        let increase = self.since(earlier);
         let counts = [
-            updates.good,
-            updates.failed,
-            updates.refused,
-            updates.slowness_percent,
+            increase.good,
+            increase.failed,
+            increase.refused,
+            increase.slowness_percent,
         ];
-        if counts.iter().all(|count| *count <= MOST_INCREASE) {
-            return updates;
+        if counts.iter().all(|count| *count <= MAX_INCREASE) {
+            return increase;
         }
         self.without_counts()
     }
 
-    /// The gauges alone.
+    /// Returns the gauges, with all counts 0.
     fn without_counts(&self) -> Self {
         Self {
             in_flight: self.in_flight,
@@ -85,7 +90,7 @@
         }
     }
 
-    /// The sum of two tallies.
+    /// Adds two tallies.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             in_flight: self.in_flight + other.in_flight,
@@ -97,7 +102,7 @@
         }
     }
 
-    /// What is left of a sum without one of its parts.
+    /// Subtracts one sender's tally from a sum, counts and gauges.
     pub fn minus(&self, part: &Self) -> Self {
         let counts = self.since(part);
         Self {
@@ -107,7 +112,7 @@
         }
     }
 
-    /// A sum without the gauges of one of its parts, whose counts stay.
+    /// Subtracts the gauges of one sender's tally from a sum; its counts stay included.
     pub fn without_stale(&self, part: &Self) -> Self {
         Self {
             in_flight: self.in_flight.saturating_sub(part.in_flight),
@@ -116,7 +121,7 @@
         }
     }
 
-    /// The counts alone: what stays of a sender that is gone.
+    /// Returns the counts, with the gauges 0: what remains of a sender that has ended.
     pub fn without_gauges(&self) -> Self {
         Self {
             in_flight: 0,
@@ -127,7 +132,7 @@
 }
 
 impl ServiceTally {
-    /// The counts that came on top of an earlier tally.
+    /// Returns the counts since an earlier tally.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             requests: self.requests.wrapping_sub(earlier.requests),
@@ -136,9 +141,10 @@
         }
     }
 
-    /// What is new since an earlier tally; nothing of a count that went back.
+    /// Returns the counts since an earlier tally, with 0 for each count that went back.
     ///
-    /// A step back would count as four billion requests, which earn an unlimited retry budget.
+    /// A step back would otherwise wrap around to four billion requests, which would earn
+    /// an unlimited retry budget.
     pub fn increase_since(&self, earlier: &Self) -> Self {
         Self {
             requests: ahead_of(self.requests, earlier.requests),
@@ -147,13 +153,15 @@
         }
     }
 
-    /// What a later tally of the same source is compared with: requests as far as they ever
-    /// were, the rest as it stands.
+    /// Returns the tally that the next one of the same source is compared with:
+    /// `requests` never goes back from `earlier`, and the other counts are those of this
+    /// tally.
     ///
-    /// While a box has links to two hubs it hears of one of them on two ways, which leave
-    /// out different parts of its sums. Requests that went back and forth earned budget with
-    /// each step: seven steps of 110 requests in 0.3 s let 40 boxes make 299 resends where
-    /// 296 were allowed. Resends counted too often only make the budget smaller.
+    /// A box with links to two hubs receives the tallies of one of them over two paths,
+    /// which leave out different parts of its sums. If `requests` could go back and
+    /// forth, each step forward would earn retry budget again: seven steps of 110
+    /// requests within 0.3 s let 40 boxes make 299 resends where 296 were allowed.
+    /// Resends that are counted more than once only make the budget smaller.
     pub fn mark_after(&self, earlier: &Self) -> Self {
         let further = earlier
             .requests
@@ -164,7 +172,7 @@
         }
     }
 
-    /// The sum of two tallies.
+    /// Adds two tallies.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             requests: self.requests.wrapping_add(other.requests),
@@ -174,11 +182,12 @@
     }
 }
 
-/// Counts that wrap around make a step back look like one of billions.
-const MOST_INCREASE: u32 = u32::MAX / 8;
+/// A difference above this is a counter that went back, not an increase: the subtraction
+/// wraps around.
+const MAX_INCREASE: u32 = u32::MAX / 8;
 
-/// How far a count that wraps around is ahead of another; 0 where it is behind.
+/// Returns how far a wrapping counter is ahead of another, or 0 if it is behind.
 fn ahead_of(count: u32, other: u32) -> u32 {
     let ahead = count.wrapping_sub(other);
-    if ahead <= MOST_INCREASE { ahead } else { 0 }
+    if ahead <= MAX_INCREASE { ahead } else { 0 }
 }
--- a/crates/wingspur-state/src/tracked_server.rs
+++ b/crates/wingspur-state/src/tracked_server.rs
@@ -1,4 +1,4 @@
-//! One backend server as a box tracks it, and the requests that are out there.
+//! A backend server as tracked by a box, and the attempts in flight at servers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,40 +9,41 @@
     AnnouncedState, ServerKey, ServerRecord, ServerTally, ServiceTime, SourceId,
 };
 
-/// A backend server with all that a box knows of it.
+/// A backend server with everything that a box knows about it.
 #[derive(Debug)]
 pub struct Server {
-    /// As it announces itself.
+    /// The record that the server has announced.
     pub record: Arc<ServerRecord>,
-    /// How far it is from this box.
+    /// Distance from this box.
     pub distance: Distance,
-    /// Until when it is slow from its start.
+    /// End of the warm-up after its start, during which it is slow.
     pub cold_until: Instant,
     /// This box's own tally.
     pub own: ServerTally,
-    /// Whether it has changed since it was last reported.
+    /// Whether `own` has changed since it was last sent to other boxes.
     pub changed: bool,
-    /// What other boxes have out there, by who told it.
+    /// Latest tallies of other boxes, by the source that sent them.
     pub remote: BTreeMap<SourceId, ServerTally>,
-    /// What all boxes' outcomes say.
+    /// Health estimate from the outcomes of all boxes.
     pub health: Health,
-    /// What this box's own say, with requests that did not reach the server.
+    /// Health estimate from this box's own outcomes, in which a request that could not
+    /// reach the server counts as failed.
     pub path: Health,
-    /// When a box last sent it a request, as far as is known.
+    /// When any box last sent it a request, as far as is known.
     pub sent: Instant,
-    /// When it last answered one well.
+    /// When it last gave a good response.
     pub answered: Option<Instant>,
-    /// When it last failed one.
+    /// When it last failed a request.
     pub failed: Option<Instant>,
-    /// When it last refused one.
+    /// When it last refused a request.
     pub refused: Option<Instant>,
-    /// When it last failed one that left hardly a doubt that it is sick.
+    /// When it last failed a request after which it was almost certainly unhealthy.
     pub surely_sick: Option<Instant>,
-    /// When another box last told of it.
+    /// When a report on it last arrived from another box.
     pub heard: Option<Instant>,
-    /// What it has said of itself, and what binds by that.
+    /// State that the server has announced: draining, backoff, replaced, rate limit.
     pub standing: AnnouncedState,
-    /// Whether it was a suspect when this was last reviewed.
+    /// Whether it was suspected at the last check for changes.
     pub suspect: bool,
 }
 
@@ -57,49 +58,51 @@
     OtherRegion,
 }
 
-/// A request that is out at a server.
+/// An attempt in flight at a server.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The server.
+    /// The server that the attempt was sent to.
     pub server: ServerKey,
-    /// Since when.
+    /// When the attempt was sent.
     pub since: Instant,
-    /// When its answer should be there.
+    /// How long the response is expected to take.
     pub expected: ExpectedLatency,
-    /// How many quarters of a failure its silence was counted as.
+    /// Failure evidence that was already counted for the missing response, in quarters of
+    /// a failure.
     pub silence_quarters: u32,
-    /// Whether the beginning of its answer is here.
+    /// Whether the response has begun.
     pub answering: bool,
 }
 
-/// When the answer of an attempt should be there.
+/// How long the response to an attempt is expected to take.
 #[derive(Debug, Clone, Copy)]
 pub struct ExpectedLatency {
-    /// At a server that takes the usual time, in milliseconds.
+    /// Expected time at a server of usual speed, in milliseconds.
     pub baseline_ms: f64,
-    /// At this server while it is well, in milliseconds.
+    /// Expected time at this server while it is healthy, in milliseconds.
     pub healthy_ms: f64,
-    /// How good answers spread around that.
+    /// Distribution of the times of good responses around the expected one.
     pub service_time: ServiceTime,
 }
 
-/// How an attempt ended, as far as it tells of the server.
+/// How an attempt ended, as evidence of the server's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthOutcome {
-    /// A good answer.
+    /// A good response.
     Good,
-    /// An error, or a broken, spoiled or missing answer.
+    /// An error, or an interrupted, corrupt or missing response.
     Failed,
-    /// The server refused it before running it.
+    /// The server refused the request before running it.
     Refused,
     /// This box could not reach the server.
     Unreached,
-    /// It was given up, or its time was over: a failure only if good answers come sooner.
+    /// The attempt was given up or timed out. It counts as failed only if nearly all good
+    /// responses take less time.
     Abandoned,
 }
 
 impl HealthOutcome {
-    /// The end as a metric label.
+    /// Returns the outcome as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Good => "good",
@@ -112,7 +115,10 @@
 }
 
 impl Server {
-    /// Takes in outcomes; whether they have made a suspect of it.
+    /// Adds outcomes of all boxes. Returns true if they make the server so much more
+    /// probably unhealthy that other boxes should know at once.
+    ///
+    /// `usual` is the share of requests that fail at a healthy server.
     pub fn observe(&mut self, outcomes: &ServerTally, usual: f64, now: Instant) -> bool {
         let before = self.health.at(now).sickness();
         self.health.add(outcomes, usual, now);
@@ -124,39 +130,42 @@
         }
         if outcomes.failed > 0 {
             self.failed = Some(now);
-            if self.health.sickness() >= SURE {
+            if self.health.sickness() >= ALMOST_CERTAIN {
                 self.surely_sick = Some(now);
             }
         }
-        self.health.sickness() - before >= ALARMING
+        self.health.sickness() - before >= URGENT_INCREASE
     }
 
-    /// For how long it has not answered well; none where it never has.
+    /// Returns the time since the last good response, or `None` if there was none.
     pub fn unanswered_for(&self, now: Instant) -> Option<Duration> {
         let answered = self.answered?;
         Some(now.saturating_duration_since(answered))
     }
 
-    /// Requests that the fleet has out there.
+    /// Returns the number of requests of all boxes that are in flight at the server.
     pub fn in_flight(&self) -> u32 {
         let remote: u32 = self.remote.values().map(|tally| tally.in_flight).sum();
         self.own.in_flight + remote
     }
 
-    /// What the silence of those tells, in quarters of a failure.
+    /// Returns the failure evidence from those of them that have had no response yet, in
+    /// quarters of a failure.
     pub fn silence_quarters(&self) -> u32 {
-        let told = self.remote.values().map(|tally| tally.silence_quarters);
-        self.own.silence_quarters + told.sum::<u32>()
+        let remote = self.remote.values().map(|tally| tally.silence_quarters);
+        self.own.silence_quarters + remote.sum::<u32>()
     }
 
-    /// Takes back what the silence of an attempt told that is over.
+    /// Removes the failure evidence of an attempt that has ended or whose response has
+    /// begun, in quarters of a failure.
     pub fn take_back_silence(&mut self, quarters: u32) {
-        let told = &mut self.own.silence_quarters;
-        *told = told.saturating_sub(quarters);
+        let counted = &mut self.own.silence_quarters;
+        *counted = counted.saturating_sub(quarters);
         self.changed |= quarters > 0;
     }
 
-    /// The worse of what the fleet and what this box alone makes of the server.
+    /// Returns the failure probability of a request: the higher of the estimates from all
+    /// boxes and from this box alone.
     pub fn failure_share(&self, usual: f64, now: Instant) -> f64 {
         let fleet = self
             .health
@@ -171,61 +180,68 @@
 }
 
 impl Attempt {
-    /// How many quarters of a failure its silence tells of now.
+    /// Returns the failure evidence from the missing response at `now`, in quarters of a
+    /// failure; 0 once the response has begun.
     pub fn silence_at(&self, now: Instant) -> u32 {
         if self.answering {
             return 0;
         }
-        let out_ms = now.saturating_duration_since(self.since).as_secs_f64() * 1000.0;
-        let ratio = out_ms / self.expected.healthy_ms.max(LEAST_USUAL_MS);
+        let age_ms = now.saturating_duration_since(self.since).as_secs_f64() * 1000.0;
+        let ratio = age_ms / self.expected.healthy_ms.max(MIN_EXPECTED_MS);
         let service_time = &self.expected.service_time;
-        let known = UNKNOWN_ROUTE_QUARTERS.saturating_add(service_time.answers());
-        service_time.silence_quarters(ratio).min(known)
+        let limit = UNKNOWN_ROUTE_SILENCE_QUARTERS.saturating_add(service_time.answers());
+        service_time.silence_quarters(ratio).min(limit)
     }
 
-    /// What its end tells of the server.
-    pub fn outcome(&self, ended: HealthOutcome, now: Instant) -> ServerTally {
-        let mut seen = ServerTally::default();
-        match ended {
+    /// Returns the tally that the end of the attempt adds for the server.
+    pub fn outcome(&self, outcome: HealthOutcome, now: Instant) -> ServerTally {
+        let mut tally = ServerTally::default();
+        match outcome {
             HealthOutcome::Good => {
-                seen.good = 1;
-                let took = now.saturating_duration_since(self.since).as_secs_f64();
-                let ratio = took * 1000.0 / self.expected.baseline_ms.max(LEAST_USUAL_MS);
-                seen.slowness_percent = (ratio * 100.0).min(MOST_PERCENT) as u32;
+                tally.good = 1;
+                let elapsed_s = now.saturating_duration_since(self.since).as_secs_f64();
+                let ratio =
+                    elapsed_s * 1000.0 / self.expected.baseline_ms.max(MIN_EXPECTED_MS);
+                tally.slowness_percent = (ratio * 100.0).min(MAX_SLOWNESS_PERCENT) as u32;
             }
-            HealthOutcome::Failed => seen.failed = 1,
-            HealthOutcome::Refused | HealthOutcome::Unreached => seen.refused = 1,
-            HealthOutcome::Abandoned if self.silence_at(now) >= ABANDONED_FAILED => {
-                seen.failed = 1;
+            HealthOutcome::Failed => tally.failed = 1,
+            HealthOutcome::Refused | HealthOutcome::Unreached => tally.refused = 1,
+            HealthOutcome::Abandoned
+                if self.silence_at(now) >= ABANDONED_FAILURE_QUARTERS =>
+            {
+                tally.failed = 1;
             }
             HealthOutcome::Abandoned => {}
         }
-        seen
+        tally
     }
 }
 
-/// What an outcome says about this box's way to the server.
-pub fn path_outcome(ended: HealthOutcome, seen: &ServerTally) -> ServerTally {
-    match ended {
+/// Converts an outcome to what it says about this box's path to the server: a server that
+/// could not be reached counts as failed instead of as refused.
+pub fn path_outcome(outcome: HealthOutcome, tally: &ServerTally) -> ServerTally {
+    match outcome {
         HealthOutcome::Unreached => ServerTally {
             failed: 1,
             ..ServerTally::default()
         },
-        _ => *seen,
+        _ => *tally,
     }
 }
 
-/// A route of which no answer has been seen may be one whose work never ends in its time:
-/// its silence alone makes no failure. Each answer adds a quarter.
-const UNKNOWN_ROUTE_QUARTERS: u32 = 2;
-/// An attempt that was given up is a failure where its silence told of three quarters of
-/// one: fewer than 4 in 100 good answers take as long.
-const ABANDONED_FAILED: u32 = 3;
-/// What two failures in a row come to, and one does not: a well server fails two in a row
-/// once in thousands of requests.
-const SURE: f64 = 0.95;
-/// News that make a server's sickness so much likelier do not wait for the next tick: what
-/// comes on top of a server known to be sick does.
-const ALARMING: f64 = 0.1;
-const LEAST_USUAL_MS: f64 = 1.0;
-const MOST_PERCENT: f64 = 1200.0;
+/// Bound on the silence evidence, in quarters of a failure, on a route without a response
+/// so far; each response raises it by a quarter. The requests of such a route may never
+/// finish in time, so a missing response alone must not count as a failure.
+const UNKNOWN_ROUTE_SILENCE_QUARTERS: u32 = 2;
+/// An abandoned attempt counts as failed from this silence evidence on, in quarters of a
+/// failure: fewer than 4 % of good responses take as long.
+const ABANDONED_FAILURE_QUARTERS: u32 = 3;
+/// Probability from which a server is almost certainly unhealthy. Two failures in a row
+/// reach it and one does not; a healthy server fails two in a row once in thousands of
+/// requests.
+const ALMOST_CERTAIN: f64 = 0.95;
+/// Increase of the probability of being unhealthy that is sent to other boxes before the
+/// next tick. Further failures of a server known to be unhealthy raise it less and wait.
+const URGENT_INCREASE: f64 = 0.1;
+const MIN_EXPECTED_MS: f64 = 1.0;
+const MAX_SLOWNESS_PERCENT: f64 = 1200.0;
