--- a/crates/wingspur-state/src/retry.rs
+++ b/crates/wingspur-state/src/retry.rs
@@ -1,4 +1,5 @@
-//! The retry policy: a table over attempt state, class, deadline and budget.
+//! The retry policy: decides from an attempt's outcome, the route class, the deadline and
+//! the retry budget whether a request is sent again.
 
 use std::time::Duration;
 
@@ -9,20 +10,20 @@
 pub enum AttemptEnd {
     /// Nothing of the request left this box.
     NotSent,
-    /// The server refused by a status declared to mean that it did not run.
+    /// The server refused with a status that the route declares to mean "not run".
     RefusedBeforeRunning,
-    /// The request left, and no answer came: it may have run.
+    /// The request was sent and no response came, so it may have run.
     InDoubt,
-    /// A whole head came back; the answer belongs to the caller.
+    /// A complete response head arrived; the response is passed on to the caller.
     Answered,
-    /// The server answered that it failed, and nothing of that was passed on.
+    /// The server responded with an error, and nothing of it was passed on to the caller.
     ServerError,
-    /// The answer broke off midway, after its beginning was passed on.
+    /// The response was interrupted after its beginning was passed on to the caller.
     Cut,
 }
 
 impl AttemptEnd {
-    /// Whether the request surely did not run in this attempt.
+    /// Whether it is certain that the request did not run in this attempt.
     pub fn surely_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::RefusedBeforeRunning)
     }
@@ -31,18 +32,18 @@
 /// Why a request is sent again; each reason has a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RetryReason {
-    /// The former attempt never left this box.
+    /// Nothing of the previous attempt left this box.
     NotSent,
-    /// The server refused the former attempt before running it.
+    /// The server refused the previous attempt before running it.
     RefusedBeforeRunning,
-    /// The former attempt is in doubt and the class may repeat.
+    /// The previous attempt may have run, and the route class is retry-safe.
     InDoubt,
-    /// The server failed in the former attempt and the class may repeat.
+    /// The server failed the previous attempt, and the route class is retry-safe.
     ServerError,
 }
 
 impl RetryReason {
-    /// The reason as a metric label.
+    /// Returns the reason as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -53,31 +54,32 @@
     }
 }
 
-/// What follows a failed attempt.
+/// What to do after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Send again to another server.
+    /// Send the request again, to another server.
     Retry(RetryReason),
-    /// Hand on what came, or give up.
+    /// Pass on the response, if there is one, or give up.
     Stop(StopReason),
 }
 
 /// Why a request is not sent again; each reason has a counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StopReason {
-    /// The answer, or its beginning, belongs to the caller.
+    /// The response, or its beginning, is passed on to the caller.
     Answered,
-    /// It may have run, and the class may not repeat.
+    /// The request may have run, and the route class is not retry-safe.
     MayHaveRun,
-    /// Its body is not kept.
+    /// The request body was not kept, so it cannot be sent a second time.
     BodyNotBuffered,
-    /// It was sent to as many servers as its route allows.
+    /// The request was sent as many times as its route allows.
     AttemptsSpent,
-    /// The time that is left is too short.
+    /// Too little time is left before the deadline.
     TimeSpent,
     /// The service's retry budget is spent.
     BudgetSpent,
-    /// Servers have ended under it: each time that it is sent again is decided anew.
+    /// The request is quarantined because servers crashed on it: each further send needs
+    /// a decision of its own.
     Quarantined,
 }
 
@@ -93,7 +95,7 @@
         Self::Quarantined,
     ];
 
-    /// The reason as a metric label.
+    /// Returns the reason as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -109,9 +111,9 @@
 
 /// Decides whether a request is sent again.
 ///
-/// `remaining` is the time to the deadline, `tried` the attempts made so far,
-/// `body_kept` whether the request's body can be sent a second time, and `in_budget`
-/// whether the service's budget has room for one more.
+/// `remaining` is the time to the deadline, `tried` the number of attempts made so far,
+/// `body_kept` whether the request body can be sent a second time, and `in_budget`
+/// whether the service's retry budget permits one more retry.
 pub fn decide_retry(
     end: AttemptEnd,
     class: RouteClass,
@@ -139,7 +141,7 @@
     if tried >= usize::from(max_attempts) {
         return RetryDecision::Stop(StopReason::AttemptsSpent);
     }
-    if remaining < LEAST_REMAINING {
+    if remaining < MIN_REMAINING {
         return RetryDecision::Stop(StopReason::TimeSpent);
     }
     if !in_budget {
@@ -148,7 +150,8 @@
     RetryDecision::Retry(reason)
 }
 
-/// Retries allowed as a share of recent successes.
+/// One box's retry budget for a service, a token bucket: each success earns a share of a
+/// retry, and each retry costs one token.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     tokens: f64,
@@ -156,7 +159,10 @@
 }
 
 impl RetryBudget {
-    /// Starts with a small allowance, so that a fresh box may retry at all.
+    /// Creates a budget in which a success earns `budget_percent` hundredths of a retry.
+    ///
+    /// It starts with some tokens, so that a newly started box may retry before its first
+    /// successes.
     pub fn new(budget_percent: u8) -> Self {
         Self {
             tokens: STARTING_TOKENS,
@@ -164,9 +170,9 @@
         }
     }
 
-    /// Counts a success, which earns a share of a retry.
+    /// Adds the share of a retry that a success earns, up to the maximum.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.per_success).min(MOST_TOKENS);
+        self.tokens = (self.tokens + self.per_success).min(MAX_TOKENS);
     }
 
     /// Whether a retry is allowed now.
@@ -174,13 +180,13 @@
         self.tokens >= 1.0
     }
 
-    /// Counts a retry that was made.
+    /// Takes the token of a retry that was made.
     pub fn spend(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
 
-/// With less time than this a retry could not be answered.
-const LEAST_REMAINING: Duration = Duration::from_millis(5);
+/// A retry with less time left could not be answered before the deadline.
+const MIN_REMAINING: Duration = Duration::from_millis(5);
 const STARTING_TOKENS: f64 = 10.0;
-const MOST_TOKENS: f64 = 100.0;
+const MAX_TOKENS: f64 = 100.0;
--- a/crates/wingspur-state/src/retry_after.rs
+++ b/crates/wingspur-state/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! When callers that were refused may ask again.
+//! Schedules the `Retry-After` times that refused callers are given.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,77 +6,83 @@
 use rand::Rng;
 use rand::RngExt;
 
-/// The moments that one box has promised to the callers of a service.
+/// Retry times that one box has given to refused callers of a service.
 #[derive(Debug, Default)]
 pub struct RetryAfterSchedule {
-    /// When the next caller of each priority may come.
+    /// The next free retry time of each priority.
     next: BTreeMap<Priority, Instant>,
 }
 
-/// A caller's rank: its account's, and among equals its route's; 0 goes first.
+/// A caller's priority: that of its account in the high byte, that of its route in the
+/// low byte. 0 is the most urgent.
 pub type Priority = u16;
 
-/// What a refusal finds.
+/// What the retry time of a refused caller depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryAfterInputs {
-    /// The caller's rank; 0 goes first.
+    /// The caller's priority; 0 is the most urgent.
     pub priority: Priority,
     /// The shortest wait for a slot now.
     pub min_queue_wait: Duration,
-    /// Callers that the service can take back from this box in a second.
+    /// Refused callers of this box that the service can readmit per second.
     pub spare_per_s: f64,
 }
 
 impl RetryAfterSchedule {
-    /// Promises a caller a place in the capacity to come.
+    /// Reserves a retry time for a refused caller and returns the wait until then, at
+    /// most `LONGEST_RETURN`.
     ///
-    /// The load pattern that it answers: many callers are refused at once, come back
-    /// together and are refused again. Each gets a place of its own behind those that are as
-    /// urgent or more, as far apart as the service has room for them; asking again sooner
-    /// gains nothing, since a new refusal names a later place.
+    /// Staggering keeps callers that were refused at once from coming back together and
+    /// being refused again. Each caller gets a time of its own after those of callers
+    /// with the same or a more urgent priority, spaced by the spare capacity. Asking
+    /// again sooner gains nothing, since the next refusal gives a later time.
     pub fn schedule(
         &mut self,
         inputs: &RetryAfterInputs,
         now: Instant,
         random: &mut impl Rng,
     ) -> Duration {
-        let step =
-            Duration::from_secs_f64(1.0 / inputs.spare_per_s.max(LEAST_SPARE_PER_S));
-        let step = step.min(LONGEST_RETURN);
-        // Boxes that refuse at the same time do not all name the same moment.
-        let phase = step.mul_f64(random.random());
-        let earliest = now + inputs.min_queue_wait.max(SOONEST_RETURN) + phase;
-        let behind = self.next.range(..=inputs.priority).map(|(_, at)| *at).max();
-        let place = behind.map_or(earliest, |behind| behind.max(earliest));
-        // A caller whose place is too far off is told the last one, and takes none.
+        let interval =
+            Duration::from_secs_f64(1.0 / inputs.spare_per_s.max(MIN_SPARE_PER_S));
+        let interval = interval.min(LONGEST_RETURN);
+        // A random offset keeps boxes that refuse at the same time from giving equal
+        // times.
+        let phase = interval.mul_f64(random.random());
+        let earliest = now + inputs.min_queue_wait.max(MIN_RETRY_AFTER) + phase;
+        let reserved = self.next.range(..=inputs.priority).map(|(_, at)| *at).max();
+        let retry_at = reserved.map_or(earliest, |reserved| reserved.max(earliest));
+        // A caller whose time would be past the limit gets the limit and reserves
+        // nothing.
         let limit = now + LONGEST_RETURN;
-        if place < limit {
-            self.next.insert(inputs.priority, place + step);
+        if retry_at < limit {
+            self.next.insert(inputs.priority, retry_at + interval);
         }
-        place.min(limit).saturating_duration_since(now)
+        retry_at.min(limit).saturating_duration_since(now)
     }
 }
 
-/// The rank of a caller by those of its account and its route.
+/// Combines the priorities of an account and a route; the account's takes precedence.
 pub fn priority_of(account: u8, route: u8) -> Priority {
     Priority::from_be_bytes([account, route])
 }
 
-/// How many callers a box's part of a service has room for in a second.
+/// Returns one box's share of the requests that a service can readmit per second.
 ///
-/// `capacity_per_s` is what the service's servers do in a second, `asked_per_s` what is
-/// asked of it, both over all `boxes`.
+/// `capacity_per_s` is the number of requests that the service's servers complete per
+/// second, `asked_per_s` the request rate, both over all `boxes`.
 pub fn spare_capacity_per_s(capacity_per_s: f64, asked_per_s: f64, boxes: usize) -> f64 {
-    let spare = (capacity_per_s - asked_per_s).max(capacity_per_s * LEAST_SPARE_SHARE);
+    let spare = (capacity_per_s - asked_per_s).max(capacity_per_s * MIN_SPARE_SHARE);
     spare / boxes.max(1) as f64
 }
 
-/// Sooner than this nothing has changed: a request takes a few tenths of a second.
-const SOONEST_RETURN: Duration = Duration::from_millis(100);
-/// Callers wait no longer than a third of their time, which is a few seconds.
+/// An earlier retry would find the servers as busy as before: a request takes a few
+/// tenths of a second.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// The longest wait that a caller is given: a third of its time limit of a few seconds.
 pub const LONGEST_RETURN: Duration = Duration::from_secs(2);
-/// Also a service that is asked for more than it can do ends some work all the time: this
-/// part of its capacity goes to those who come back.
-const LEAST_SPARE_SHARE: f64 = 0.1;
-/// With less room than a caller in two seconds all places are too far off.
-const LEAST_SPARE_PER_S: f64 = 0.5;
+/// Share of the capacity that is readmitted at least: an overloaded service also
+/// completes requests all the time.
+const MIN_SPARE_SHARE: f64 = 0.1;
+/// One caller in 2 s: at a lower rate the interval between two callers would be longer
+/// than `LONGEST_RETURN`.
+const MIN_SPARE_PER_S: f64 = 0.5;
