--- a/tests/tests/judging.rs
+++ b/tests/tests/judging.rs
@@ -1,4 +1,5 @@
-//! The judge under arbitrary and hostile histories.
+//! Outlier detection under random and hostile sequences of reports, restarts and store
+//! accesses: no sequence may eject servers below the capacity floor.
 
 use std::time::{Duration, Instant};
 
@@ -37,43 +38,44 @@
     format!("box-{index}")
 }
 
-/// One thing that happens to the two judges and the store.
+/// One event in the life of two outlier detectors and the store.
 #[derive(Debug, Clone)]
-enum Happening {
-    /// A box reports to one of the judges.
+enum Event {
+    /// A box reports to one of the detectors.
     Report {
-        judge: usize,
+        detector: usize,
         from: usize,
         sums: Vec<(u16, u16)>,
     },
-    /// Time passes, and both judges step.
+    /// Time passes, then both detectors evaluate.
     Pass { ms: u64 },
-    /// A judge tries to write its proposal on what it last read.
-    Write { judge: usize },
-    /// A judge reads the record.
-    Read { judge: usize },
-    /// A judge is lost and begins anew from the record.
-    Restart { judge: usize },
-    /// A server leaves, or is back.
+    /// A detector tries to write its record, which the store accepts only if the detector
+    /// has read the latest revision.
+    Write { detector: usize },
+    /// A detector reads the record.
+    Read { detector: usize },
+    /// A detector is lost and a new one starts from the record.
+    Restart { detector: usize },
+    /// A server starts or stops draining.
     Leave { server: usize, leaving: bool },
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = Event> {
     let sums = proptest::collection::vec((0..12u16, 0..6000u16), 0..8);
     prop_oneof![
         6 => (0..2usize, 0..BOXES, sums)
-            .prop_map(|(judge, from, sums)| Happening::Report { judge, from, sums }),
-        6 => (50..3000u64).prop_map(|ms| Happening::Pass { ms }),
-        4 => (0..2usize).prop_map(|judge| Happening::Write { judge }),
-        2 => (0..2usize).prop_map(|judge| Happening::Read { judge }),
-        1 => (0..2usize).prop_map(|judge| Happening::Restart { judge }),
+            .prop_map(|(detector, from, sums)| Event::Report { detector, from, sums }),
+        6 => (50..3000u64).prop_map(|ms| Event::Pass { ms }),
+        4 => (0..2usize).prop_map(|detector| Event::Write { detector }),
+        2 => (0..2usize).prop_map(|detector| Event::Read { detector }),
+        1 => (0..2usize).prop_map(|detector| Event::Restart { detector }),
         1 => (0..SERVERS, any::<bool>())
-            .prop_map(|(server, leaving)| Happening::Leave { server, leaving }),
+            .prop_map(|(server, leaving)| Event::Leave { server, leaving }),
     ]
 }
 
-/// The store's record with its revision, and the revision that each judge read.
-struct Agreed {
+/// The store's record with its revision, and the revision that each detector last read.
+struct Store {
     record: EjectionRecord,
     revision: u64,
     read: [u64; 2],
@@ -82,108 +84,118 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Whatever happens, the agreed record leaves the floor in service, among the servers
-    /// that its writer knew not to be leaving.
+    /// The record always leaves the floor available among the servers that its writer
+    /// knew not to be draining.
     #[test]
     fn the_agreed_record_never_undercuts_the_floor(
         floor in 30..95u8,
-        history in proptest::collection::vec(happening(), 1..120),
+        history in proptest::collection::vec(event(), 1..120),
     ) {
         let service = service(floor);
         let mut now = Instant::now();
-        let mut judges = [0, 1].map(|_| OutlierDetector::new(&service, 1, None, now));
-        let mut agreed =
-            Agreed { record: EjectionRecord::default(), revision: 0, read: [0, 0] };
-        let mut leaving = [false; SERVERS];
-        for happening in history {
-            match happening {
-                Happening::Report { judge, from, sums } => {
+        let mut detectors = [0, 1].map(|_| OutlierDetector::new(&service, 1, None, now));
+        let mut store =
+            Store { record: EjectionRecord::default(), revision: 0, read: [0, 0] };
+        let mut draining = [false; SERVERS];
+        for event in history {
+            match event {
+                Event::Report { detector, from, sums } => {
                     let home = HOME.to_owned();
-                    judges[judge].record_report(&box_id(from), &home, &report(&sums), now);
+                    detectors[detector]
+                        .record_report(&box_id(from), &home, &report(&sums), now);
                 }
-                Happening::Pass { ms } => {
+                Event::Pass { ms } => {
                     now += Duration::from_millis(ms);
-                    judges.iter_mut().for_each(|judge| {
-                        judge.tick(now);
+                    detectors.iter_mut().for_each(|detector| {
+                        detector.tick(now);
                     });
                 }
-                Happening::Write { judge } => {
+                Event::Write { detector } => {
                     now += Duration::from_millis(100);
-                    judges[judge].tick(now);
-                    let proposal = judges[judge].pending_record();
-                    let current = agreed.read[judge] == agreed.revision;
+                    detectors[detector].tick(now);
+                    let proposal = detectors[detector].pending_record();
+                    let current = store.read[detector] == store.revision;
                     if let (Some(record), true) = (proposal, current) {
-                        check(&service, &record, &leaving)?;
-                        agreed.record = record;
-                        agreed.revision += 1;
+                        check(&service, &record, &draining)?;
+                        store.record = record;
+                        store.revision += 1;
                     }
-                    agreed.read[judge] = agreed.revision;
-                    judges[judge].apply_record(agreed.record.clone(), now);
+                    store.read[detector] = store.revision;
+                    detectors[detector].apply_record(store.record.clone(), now);
                 }
-                Happening::Read { judge } => {
-                    agreed.read[judge] = agreed.revision;
-                    judges[judge].apply_record(agreed.record.clone(), now);
+                Event::Read { detector } => {
+                    store.read[detector] = store.revision;
+                    detectors[detector].apply_record(store.record.clone(), now);
                 }
-                Happening::Restart { judge } => {
-                    agreed.read[judge] = agreed.revision;
-                    let record = Some(agreed.record.clone());
-                    judges[judge] = OutlierDetector::new(&service, 1, record, now);
-                    for (server, leaving) in leaving.iter().enumerate() {
-                        judges[judge].set_leaving(server, *leaving);
+                Event::Restart { detector } => {
+                    store.read[detector] = store.revision;
+                    let record = Some(store.record.clone());
+                    detectors[detector] = OutlierDetector::new(&service, 1, record, now);
+                    for (server, draining) in draining.iter().enumerate() {
+                        detectors[detector].set_leaving(server, *draining);
                     }
                 }
-                Happening::Leave { server, leaving: leaves } => {
-                    leaving[server] = leaves;
-                    judges.iter_mut().for_each(|judge| judge.set_leaving(server, leaves));
+                Event::Leave { server, leaving: is_leaving } => {
+                    draining[server] = is_leaving;
+                    detectors
+                        .iter_mut()
+                        .for_each(|detector| detector.set_leaving(server, is_leaving));
                 }
             }
         }
     }
 
-    /// One box alone, saying what it likes, ejects nothing where others report too.
+    /// A single box with arbitrary reports causes no suspicion while other boxes report
+    /// that all servers are healthy.
     #[test]
     fn one_lying_box_ejects_nothing(
-        lies in proptest::collection::vec(
+        false_reports in proptest::collection::vec(
             proptest::collection::vec((0..12u16, any::<u16>()), 0..12), 1..60),
     ) {
         let service = service(60);
         let mut now = Instant::now();
-        let mut judge = OutlierDetector::new(&service, 1, None, now);
+        let mut detector = OutlierDetector::new(&service, 1, None, now);
         let home = HOME.to_owned();
-        for sums in lies {
+        for sums in false_reports {
             for honest in 1..BOXES {
-                let well: Vec<(u16, u16)> = (0..10).map(|server| (server, 0)).collect();
-                judge.record_report(&box_id(honest), &home, &report(&well), now);
+                let healthy: Vec<(u16, u16)> =
+                    (0..10).map(|server| (server, 0)).collect();
+                detector.record_report(&box_id(honest), &home, &report(&healthy), now);
             }
-            judge.record_report(&box_id(0), &home, &report(&sums), now);
+            detector.record_report(&box_id(0), &home, &report(&sums), now);
             now += Duration::from_millis(100);
-            let events = judge.tick(now);
+            let events = detector.tick(now);
             let suspected = |event: &OutlierEvent| matches!(event, OutlierEvent::Suspected(_));
             prop_assert!(!events.iter().any(suspected));
-            prop_assert_eq!(judge.available_slots(), 30);
+            prop_assert_eq!(detector.available_slots(), 30);
         }
     }
 }
 
-/// A record that takes any server away must leave the floor.
+/// Checks that a record that ejects any server leaves the floor available.
 fn check(
     service: &Service,
     record: &EjectionRecord,
-    leaving: &[bool],
+    draining: &[bool],
 ) -> Result<(), TestCaseError> {
-    let taken = service.servers.iter().enumerate();
-    let mut taken = taken.filter(|(index, _)| !leaving[*index]);
-    if !taken.any(|(_, server)| record.ejected.contains(&server.name)) {
+    let servers = service.servers.iter().enumerate();
+    let mut servers = servers.filter(|(index, _)| !draining[*index]);
+    if !servers.any(|(_, server)| record.ejected.contains(&server.name)) {
         return Ok(());
     }
-    let stays = |(index, server): (usize, &wingspur_state::BackendServer)| {
-        let out = record.ejected.contains(&server.name);
-        (!leaving[index] && !out).then_some(server.slots)
+    let available = |(index, server): (usize, &wingspur_state::BackendServer)| {
+        let is_ejected = record.ejected.contains(&server.name);
+        (!draining[index] && !is_ejected).then_some(server.slots)
     };
-    let slots: u32 = service.servers.iter().enumerate().filter_map(stays).sum();
+    let slots: u32 = service
+        .servers
+        .iter()
+        .enumerate()
+        .filter_map(available)
+        .sum();
     prop_assert!(
         slots >= service.floor_slots(),
-        "{slots} slots stay of a floor of {}",
+        "{slots} slots are available, below the floor of {}",
         service.floor_slots()
     );
     Ok(())
@@ -193,53 +205,53 @@
 fn with_three_sick_and_room_for_two_the_least_sick_is_only_avoided() {
     let service = service(80);
     let mut now = Instant::now();
-    let mut judge = OutlierDetector::new(&service, 1, None, now);
+    let mut detector = OutlierDetector::new(&service, 1, None, now);
     let home = HOME.to_owned();
     for _ in 0..20 {
         for index in 0..BOXES {
             let mut sums: Vec<(u16, u16)> = (0..10).map(|server| (server, 0)).collect();
             (sums[1].1, sums[4].1, sums[8].1) = (600, 400, 700);
-            judge.record_report(&box_id(index), &home, &report(&sums), now);
+            detector.record_report(&box_id(index), &home, &report(&sums), now);
         }
         now += Duration::from_millis(100);
-        judge.tick(now);
-        if let Some(record) = judge.pending_record() {
-            judge.apply_record(record, now);
+        detector.tick(now);
+        if let Some(record) = detector.pending_record() {
+            detector.apply_record(record, now);
         }
     }
-    let standings = judge.verdict(&home).standings;
-    let of = |server: u16| standings.iter().find(|(index, _)| *index == server);
-    assert_eq!(of(8), Some(&(8, OutlierStatus::Excluded)));
-    assert_eq!(of(1), Some(&(1, OutlierStatus::Excluded)));
-    assert_eq!(of(4), Some(&(4, OutlierStatus::Suspected)));
-    assert_eq!(judge.available_slots(), 24);
+    let statuses = detector.verdict(&home).standings;
+    let status_of = |server: u16| statuses.iter().find(|(index, _)| *index == server);
+    assert_eq!(status_of(8), Some(&(8, OutlierStatus::Excluded)));
+    assert_eq!(status_of(1), Some(&(1, OutlierStatus::Excluded)));
+    assert_eq!(status_of(4), Some(&(4, OutlierStatus::Suspected)));
+    assert_eq!(detector.available_slots(), 24);
 }
 
 #[test]
 fn a_server_that_one_data_centre_cannot_reach_is_ejected_for_nobody() {
     let service = service(60);
     let mut now = Instant::now();
-    let mut judge = OutlierDetector::new(&service, 1, None, now);
-    let (cut, well) = ("data-centre-1".to_owned(), "data-centre-2".to_owned());
+    let mut detector = OutlierDetector::new(&service, 1, None, now);
+    let (cut_off, healthy) = ("data-centre-1".to_owned(), "data-centre-2".to_owned());
     for _ in 0..20 {
         for index in 0..BOXES {
-            let feels = index < 3;
+            let is_cut_off = index < 3;
             let sums: Vec<(u16, u16)> = (0..10)
-                .map(|server| (server, if feels && server == 3 { 900 } else { 0 }))
+                .map(|server| (server, if is_cut_off && server == 3 { 900 } else { 0 }))
                 .collect();
-            let home = if feels { &cut } else { &well };
-            judge.record_report(&box_id(index), home, &report(&sums), now);
+            let home = if is_cut_off { &cut_off } else { &healthy };
+            detector.record_report(&box_id(index), home, &report(&sums), now);
         }
         now += Duration::from_millis(100);
-        judge.tick(now);
-        if let Some(record) = judge.pending_record() {
-            judge.apply_record(record, now);
+        detector.tick(now);
+        if let Some(record) = detector.pending_record() {
+            detector.apply_record(record, now);
         }
     }
     assert_eq!(
-        judge.verdict(&cut).standings,
+        detector.verdict(&cut_off).standings,
         [(3, OutlierStatus::Suspected)]
     );
-    assert_eq!(judge.verdict(&well).standings, []);
-    assert_eq!(judge.available_slots(), 30);
+    assert_eq!(detector.verdict(&healthy).standings, []);
+    assert_eq!(detector.available_slots(), 30);
 }
