--- a/crates/wingspur-state/src/suspects.rs
+++ b/crates/wingspur-state/src/suspects.rs
@@ -1,9 +1,10 @@
-//! Requests under which servers have ended, as far as one box has heard.
+//! Requests that were in flight at servers that ended, as far as one box knows.
 //!
-//! A request that ends each server which begins to run it comes again, at any box. So boxes
-//! tell each other which request was out at a server that ended. Most of those only ran
-//! beside another one: nothing is held against a request before servers have ended under it
-//! twice, and one whole answer anywhere clears it.
+//! A request that ends every server which starts to run it is sent again by its caller,
+//! to any box. So boxes send each other which requests were in flight at a server that
+//! ended. Most of these only ran beside the one that ended it: a request is quarantined
+//! only after two servers have ended under it, and one complete answer at any box clears
+//! it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,65 +13,65 @@
 
 use crate::{RequestFingerprint, ServerKey, SourceId, StoreEra, StorePosition};
 
-/// The requests under which servers have ended.
+/// The requests that were in flight at servers that ended.
 #[derive(Debug, Default)]
 pub struct SuspectRequests {
     suspects: HashMap<RequestFingerprint, Suspect>,
-    /// Attempts that broke off at servers which may have ended, oldest first.
+    /// Attempts that were interrupted at servers which may have ended, oldest first.
     broken: VecDeque<BrokenAttempt>,
-    /// When this box last answered a request whole, of the last few seconds.
+    /// When this box last answered each request completely, for the last few seconds.
     answered: RecentAnswers,
 }
 
-/// The requests that a box has answered whole a moment ago.
+/// The requests that a box has answered completely in the last few seconds.
 #[derive(Debug, Default)]
 struct RecentAnswers {
     last: HashMap<RequestFingerprint, Instant>,
-    /// In the order of time; those that were answered again since stand more than once.
+    /// Oldest first. A request that was answered several times has several entries.
     order: VecDeque<(RequestFingerprint, Instant)>,
 }
 
-/// Something that one box has seen, and others should hear.
+/// An event observed by one box, to be sent to the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuspectUpdate {
     /// The request.
     pub request: RequestFingerprint,
-    /// What was seen.
+    /// What was observed.
     pub seen: SuspectEvent,
-    /// When.
+    /// When it was observed.
     pub at: Instant,
 }
 
-/// What was seen of a request.
+/// What was observed of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectEvent {
-    /// A server has ended while the request was out there.
+    /// A server ended while the request was in flight there.
     ServerEnded(ServerKey),
-    /// It was answered whole, so it does not end each server that runs it.
+    /// It was answered completely, so it does not end every server that runs it.
     AnsweredWhole,
 }
 
-/// The same as boxes tell it each other.
+/// A `SuspectUpdate` as sent between boxes, with its age in place of an instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectMessage {
     /// The request.
     pub request: RequestFingerprint,
-    /// What was seen.
+    /// What was observed.
     pub seen: SuspectEvent,
-    /// How long ago, in milliseconds, when this was told.
+    /// How long before this message was sent it was observed, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What the store holds of a request that is in quarantine.
+/// The store's entry of a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredQuarantine {
-    /// Where in the store's history this was written.
+    /// The position in the store's history at which the entry was written.
     pub position: StorePosition,
-    /// How often it was let through since it is in quarantine.
+    /// How many trials of the request were permitted since it is in quarantine.
     pub tries: u32,
-    /// Who has counted that.
+    /// The source that counted the latest of these trials.
     pub counted_by: SourceId,
-    /// When this box learned of that.
+    /// When this box learned of the entry.
     pub heard: Instant,
 }
 
@@ -95,14 +96,16 @@
 }
 
 impl SuspectRequests {
-    /// Notes that an attempt broke off at a server that may have ended.
+    /// Records that an attempt was interrupted at a server that may have ended.
+    ///
+    /// At most `MAX_BROKEN_ATTEMPTS` are kept; a further one replaces the oldest.
     pub fn record_broken_attempt(
         &mut self,
         request: RequestFingerprint,
         server: ServerKey,
         at: Instant,
     ) {
-        if self.broken.len() >= MOST_BROKEN {
+        if self.broken.len() >= MAX_BROKEN_ATTEMPTS {
             self.broken.pop_front();
         }
         self.broken.push_back(BrokenAttempt {
@@ -112,7 +115,10 @@
         });
     }
 
-    /// Takes out what broke off a while ago at a server that is now known to have ended.
+    /// Removes the interrupted attempts at a server that is now known to have ended, and
+    /// returns them as updates.
+    ///
+    /// Attempts older than `BROKEN_ATTEMPT_TTL` are dropped, whatever their server.
     pub fn take_broken_attempts(
         &mut self,
         server: ServerKey,
@@ -121,7 +127,7 @@
         let (ended, others): (Vec<_>, Vec<_>) = self
             .broken
             .drain(..)
-            .filter(|broken| age(broken.at, now) <= ENDS_WITHIN)
+            .filter(|broken| age(broken.at, now) <= BROKEN_ATTEMPT_TTL)
             .partition(|broken| broken.server == server);
         self.broken = others.into();
         let updates = ended.into_iter().map(|broken| SuspectUpdate {
@@ -132,23 +138,25 @@
         updates.collect()
     }
 
-    /// Notes that this box has answered a request whole; whether others should hear, since
-    /// servers have ended under it.
+    /// Records that this box has answered a request completely.
+    ///
+    /// Returns whether other boxes should be notified, because the request is suspected.
     pub fn record_complete_answer(
         &mut self,
         request: RequestFingerprint,
         now: Instant,
     ) -> bool {
-        self.answered.note(request, now);
+        self.answered.record(request, now);
         self.is_suspect(request)
     }
 
-    /// When this box answered a request whole that is in quarantine, so shortly before
-    /// servers ended under it that others should hear.
+    /// Returns when this box last answered a quarantined request completely, if the other
+    /// boxes should be notified of that answer; otherwise `None`.
     ///
-    /// Pages that many ask for are out at several servers at any time. When servers
-    /// end together, all that is out of such a page may be lost, and nothing is left that
-    /// could clear it.
+    /// They should where the answer came shortly enough before a server ended to clear
+    /// that ending, and is later than the latest known one. A popular page is in flight
+    /// at several servers at any time. When these end together, all its requests may be
+    /// lost, and no later answer is left that could clear it.
     pub fn answered_before(
         &self,
         request: RequestFingerprint,
@@ -161,60 +169,65 @@
         (is_quarantined && is_new && suspect.would_clear(answered)).then_some(answered)
     }
 
-    /// Takes in what this box or another has seen; whether that is news here.
-    pub fn apply_update(&mut self, updates: &SuspectUpdate, now: Instant) -> bool {
-        if age(updates.at, now) >= SUSPECT_RETENTION {
+    /// Applies an update of this or another box, and returns whether it is new here.
+    ///
+    /// Updates as old as `SUSPECT_RETENTION` are ignored.
+    pub fn apply_update(&mut self, update: &SuspectUpdate, now: Instant) -> bool {
+        if age(update.at, now) >= SUSPECT_RETENTION {
             return false;
         }
-        match updates.seen {
+        match update.seen {
             SuspectEvent::ServerEnded(server) => {
-                self.make_room(updates.request, now);
+                self.evict_if_full(update.request, now);
                 let ending = Ending {
                     server,
-                    at: updates.at,
+                    at: update.at,
                 };
-                self.suspects
-                    .entry(updates.request)
-                    .or_default()
-                    .add(ending)
+                self.suspects.entry(update.request).or_default().add(ending)
             }
             SuspectEvent::AnsweredWhole => {
-                let suspect = self.suspects.get_mut(&updates.request);
-                suspect.is_some_and(|suspect| suspect.clear(updates.at))
+                let suspect = self.suspects.get_mut(&update.request);
+                suspect.is_some_and(|suspect| suspect.clear(update.at))
             }
         }
     }
 
-    /// Whether a whole answer to a request would be news.
+    /// Returns whether a request is suspected, so that a complete answer would clear it.
     pub fn is_suspect(&self, request: RequestFingerprint) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| {
-            suspect.counted().next().is_some() || suspect.standing().is_some()
+            suspect.counted_endings().next().is_some()
+                || suspect.active_quarantine().is_some()
         })
     }
 
-    /// Whether a request may be sent with a permit only.
+    /// Returns whether a request is quarantined and may be sent with a permit only.
     pub fn is_quarantined(&self, request: RequestFingerprint, now: Instant) -> bool {
         let suspect = self.suspects.get(&request);
         suspect.is_some_and(|suspect| {
-            suspect.endings_lately(now) >= QUARANTINE_THRESHOLD
-                || suspect.standing().is_some()
+            suspect.recent_endings(now) >= QUARANTINE_THRESHOLD
+                || suspect.active_quarantine().is_some()
         })
     }
 
-    /// How many servers have ended under a request since it was last answered.
+    /// Returns how many servers have ended under a request within `SUSPECT_RETENTION`,
+    /// except those that a complete answer has cleared.
     pub fn endings(&self, request: RequestFingerprint, now: Instant) -> usize {
         let suspect = self.suspects.get(&request);
-        suspect.map_or(0, |suspect| suspect.endings_lately(now))
+        suspect.map_or(0, |suspect| suspect.recent_endings(now))
     }
 
-    /// What the store holds of a request, as far as it has not been answered since.
+    /// Returns the store's entry of a request; `None` if there is none, or if the request
+    /// has been answered completely since.
     pub fn quarantine(&self, request: RequestFingerprint) -> Option<StoredQuarantine> {
-        self.suspects.get(&request)?.standing().copied()
+        self.suspects.get(&request)?.active_quarantine().copied()
     }
 
-    /// Requests that may rather have ended the servers that this one was out at: one of them is
-    /// the same, and there are more of them, or as many and chance decides.
+    /// Returns the requests that more probably ended the servers at which this one was in
+    /// flight.
+    ///
+    /// They share at least one ended server with it and have more ended servers in all,
+    /// or as many and the greater fingerprint.
     pub fn likelier_culprits(
         &self,
         request: RequestFingerprint,
@@ -222,29 +235,36 @@
         let Some(suspect) = self.suspects.get(&request) else {
             return Vec::new();
         };
-        let endings = suspect.counted().count();
+        let endings = suspect.counted_endings().count();
         let others = self.suspects.iter().filter(|(name, other)| {
-            let order = (other.counted().count(), **name);
-            order > (endings, request) && suspect.shares_an_ending(other)
+            let order = (other.counted_endings().count(), **name);
+            order > (endings, request) && suspect.shares_ended_server(other)
         });
         others.map(|(other, _)| *other).collect()
     }
 
-    /// Until when a request that was let through may still be out at a server, at the
-    /// latest: it has neither been answered since, nor has a server ended under it.
+    /// Returns the latest time until which a permitted trial of a request may still be in
+    /// flight, where a trial takes at most `max_duration`.
+    ///
+    /// `None` if no trial was counted, or if the request has been answered or a server
+    /// has ended under it since.
     pub fn permit_in_flight_until(
         &self,
         request: RequestFingerprint,
-        lasts: Duration,
+        max_duration: Duration,
     ) -> Option<Instant> {
         let suspect = self.suspects.get(&request)?;
-        let known = suspect.standing().filter(|known| known.tries > 0)?;
-        let is_over = suspect.counted().any(|ending| ending.at > known.heard);
-        (!is_over).then(|| known.heard + lasts)
+        let known = suspect
+            .active_quarantine()
+            .filter(|known| known.tries > 0)?;
+        let is_over = suspect
+            .counted_endings()
+            .any(|ending| ending.at > known.heard);
+        (!is_over).then(|| known.heard + max_duration)
     }
 
-    /// Takes in what the store holds of a request; what is older than the known
-    /// changes nothing.
+    /// Applies the store's entry of a request; an entry that is not newer than the known
+    /// one changes nothing.
     pub fn apply_quarantine(
         &mut self,
         request: RequestFingerprint,
@@ -253,15 +273,16 @@
         let suspect = self.suspects.entry(request).or_default();
         suspect.quarantine = Some(match suspect.quarantine {
             Some(before) if before.position >= known.position => before,
-            Some(before) => before.followed_by(known),
+            Some(before) => before.merge_newer(known),
             None => known,
         });
     }
 
-    /// Takes in what a restored store holds of the requests in quarantine; returns what it has
-    /// lost, to be written again.
+    /// Merges the entries of a restored store, and returns those that it has lost and
+    /// that must be written again.
     ///
-    /// Tries that were counted stay counted, and a quarantine that it lacks goes on.
+    /// Trials that were counted stay counted, and a quarantine that the restored store
+    /// lacks continues.
     pub fn reconcile_restored(
         &mut self,
         era: StoreEra,
@@ -269,39 +290,42 @@
     ) -> Vec<(RequestFingerprint, StoredQuarantine)> {
         for (request, known) in listed {
             let suspect = self.suspects.entry(*request).or_default();
-            // One that was cleared since the copy was made is only known as answered.
+            // A quarantine that ended after the copy was made is removed here already;
+            // only the answer that cleared it is known.
             let heard = match (suspect.quarantine, suspect.answered) {
                 (None, Some(answered)) => answered,
                 _ => known.heard,
             };
             self.apply_quarantine(*request, StoredQuarantine { heard, ..*known });
         }
-        let nothing = StorePosition::start_of(era);
+        let era_start = StorePosition::start_of(era);
         for suspect in self.suspects.values_mut() {
             if let Some(known) = &mut suspect.quarantine {
-                known.position = known.position.max(nothing);
+                known.position = known.position.max(era_start);
             }
         }
-        let held = |request: &RequestFingerprint, tries: u32| {
+        let is_recorded = |request: &RequestFingerprint, tries: u32| {
             let mut listed = listed.iter();
             listed.any(|(other, known)| other == request && known.tries >= tries)
         };
         let known = self.suspects.iter();
-        let known =
-            known.filter_map(|(request, suspect)| Some((*request, *suspect.standing()?)));
+        let known = known.filter_map(|(request, suspect)| {
+            Some((*request, *suspect.active_quarantine()?))
+        });
         known
-            .filter(|(request, known)| !held(request, known.tries))
+            .filter(|(request, known)| !is_recorded(request, known.tries))
             .collect()
     }
 
-    /// Takes in that the store holds nothing of a request any more.
+    /// Applies the removal of the store's entry of a request.
     pub fn remove_quarantine(&mut self, request: RequestFingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.quarantine = None;
         }
     }
 
-    /// All that the store holds, as far as this box knows.
+    /// Iterates over all entries of the store that this box knows, those of cleared
+    /// requests included.
     pub fn quarantines(
         &self,
     ) -> impl Iterator<Item = (RequestFingerprint, StoredQuarantine)> {
@@ -309,66 +333,71 @@
         suspects.filter_map(|(request, suspect)| Some((*request, suspect.quarantine?)))
     }
 
-    /// What the store still holds of requests that were answered whole since.
+    /// Returns the entries that the store still holds although their requests have been
+    /// answered completely since.
     pub fn cleared_quarantines(&self) -> Vec<(RequestFingerprint, StoredQuarantine)> {
-        let held = self.quarantines();
-        let outlived = held.filter(|(request, _)| self.quarantine(*request).is_none());
-        outlived.collect()
+        let stored = self.quarantines();
+        let cleared = stored.filter(|(request, _)| self.quarantine(*request).is_none());
+        cleared.collect()
     }
 
-    /// What a box that has just linked with this one should hear: what ended servers last,
-    /// most endings first, and no more than a frame should hold.
+    /// Returns the updates to send to a box that has just linked with this one.
+    ///
+    /// The requests with the most endings come first, and among these the ones with the
+    /// latest ending. The number is limited to what one frame should hold.
     pub fn initial_updates(&self, now: Instant) -> Vec<SuspectUpdate> {
         let mut suspects: Vec<_> = self.suspects.iter().collect();
         suspects.sort_by_key(|(_, suspect)| {
             let newest = suspect.endings.iter().map(|ending| ending.at).max();
-            std::cmp::Reverse((suspect.endings_lately(now), newest))
+            std::cmp::Reverse((suspect.recent_endings(now), newest))
         });
         let updates = suspects.into_iter().flat_map(|(request, suspect)| {
-            let endings = suspect.counted().map(|ending| SuspectUpdate {
+            let endings = suspect.counted_endings().map(|ending| SuspectUpdate {
                 request: *request,
                 seen: SuspectEvent::ServerEnded(ending.server),
                 at: ending.at,
             });
             endings.collect::<Vec<_>>()
         });
-        updates.take(MOST_GREETING).collect()
+        updates.take(MAX_INITIAL_UPDATES).collect()
     }
 
-    /// Forgets what is too old to count.
+    /// Drops endings and answers past their retention, and requests of which nothing is
+    /// left.
     pub fn evict_expired(&mut self, now: Instant) {
-        self.answered.tidy(now);
+        self.answered.evict_expired(now);
         self.suspects.retain(|_, suspect| {
             suspect
                 .endings
                 .retain(|ending| age(ending.at, now) < SUSPECT_RETENTION);
-            let is_fresh = |at: Instant| age(at, now) < ANSWER_REMEMBERED;
+            let is_fresh = |at: Instant| age(at, now) < ANSWER_RETENTION;
             !suspect.endings.is_empty()
                 || suspect.quarantine.is_some()
                 || suspect.answered.is_some_and(is_fresh)
         });
     }
 
-    /// How many requests something is known of.
+    /// Returns the number of requests of which an ending, answer or quarantine is known.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Whether nothing is known of any.
+    /// Returns whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Forgets the request that fewest servers have ended under, longest ago, where a new
-    /// one would be too many.
-    fn make_room(&mut self, request: RequestFingerprint, now: Instant) {
-        if self.suspects.len() < MOST_SUSPECTS || self.suspects.contains_key(&request) {
+    /// Drops one request if a new one would exceed `MAX_SUSPECTS`: the one under which
+    /// the fewest servers have ended, and of several the one whose latest ending is the
+    /// oldest. Requests without an entry in the store go first.
+    fn evict_if_full(&mut self, request: RequestFingerprint, now: Instant) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
         }
         let least = self.suspects.iter().min_by_key(|(_, suspect)| {
             let newest = suspect.endings.iter().map(|ending| ending.at).max();
-            let is_held = suspect.quarantine.is_some();
-            (is_held, suspect.endings_lately(now), newest)
+            let is_stored = suspect.quarantine.is_some();
+            (is_stored, suspect.recent_endings(now), newest)
         });
         if let Some(least) = least.map(|(request, _)| *request) {
             self.suspects.remove(&least);
@@ -377,9 +406,9 @@
 }
 
 impl StoredQuarantine {
-    /// What is known after a newer record. A restored store may have lost tries that were
-    /// counted.
-    fn followed_by(self, newer: Self) -> Self {
+    /// Merges a newer entry of the store. A restored store may have lost trials that were
+    /// counted; the greater count is kept.
+    fn merge_newer(self, newer: Self) -> Self {
         let is_restored = self.position.era() < newer.position.era();
         match is_restored && newer.tries < self.tries {
             true => Self {
@@ -392,83 +421,90 @@
 }
 
 impl Suspect {
-    /// Takes in an ending; whether it is a server that is not counted yet.
+    /// Adds an ending; returns `false` if its server is counted already or the ending is
+    /// cleared by an answer.
     fn add(&mut self, ending: Ending) -> bool {
         let is_known = |known: &Ending| known.server == ending.server;
         if self.endings.iter().any(is_known) || !self.counts(&ending) {
             return false;
         }
-        if self.endings.len() >= MOST_ENDINGS {
+        if self.endings.len() >= MAX_ENDINGS {
             self.endings.remove(0);
         }
         self.endings.push(ending);
         true
     }
 
-    /// Takes in a whole answer; whether it clears anything.
+    /// Records a complete answer; returns whether the request was suspected and the
+    /// answer is later than the latest known one.
     fn clear(&mut self, at: Instant) -> bool {
         if self.answered.is_some_and(|answered| answered >= at) {
             return false;
         }
-        let was_suspect = self.counted().next().is_some() || self.standing().is_some();
+        let was_suspect =
+            self.counted_endings().next().is_some() || self.active_quarantine().is_some();
         self.answered = Some(at);
         let endings = std::mem::take(&mut self.endings);
-        let counted = endings.into_iter().filter(|ending| self.counts(ending));
-        self.endings = counted.collect();
+        let counted_endings = endings.into_iter().filter(|ending| self.counts(ending));
+        self.endings = counted_endings.collect();
         was_suspect
     }
 
-    /// The endings that no whole answer has cleared.
-    fn counted(&self) -> impl Iterator<Item = &Ending> {
+    /// Iterates over the endings that no complete answer has cleared.
+    fn counted_endings(&self) -> impl Iterator<Item = &Ending> {
         self.endings.iter().filter(|ending| self.counts(ending))
     }
 
-    fn shares_an_ending(&self, other: &Self) -> bool {
-        let is_others = |ending: &Ending| {
-            other.counted().any(|others| others.server == ending.server)
+    fn shares_ended_server(&self, other: &Self) -> bool {
+        let is_shared = |ending: &Ending| {
+            other
+                .counted_endings()
+                .any(|others| others.server == ending.server)
         };
-        self.counted().any(is_others)
+        self.counted_endings().any(is_shared)
     }
 
-    /// Whether an ending counts: not if the request was answered whole since, or so shortly
-    /// before that it does not end each server.
+    /// Returns whether an ending counts. It does not if the request was answered
+    /// completely since, or so shortly before that it evidently does not end every
+    /// server.
     fn counts(&self, ending: &Ending) -> bool {
-        let clears = |answered| ending.at > answered + ANSWER_CLEARS;
+        let clears = |answered| ending.at > answered + CLEARING_WINDOW;
         self.answered.is_none_or(clears)
     }
 
-    /// Whether a whole answer at a moment would clear any ending.
+    /// Returns whether a complete answer at this instant would clear any ending.
     fn would_clear(&self, answered: Instant) -> bool {
-        let clears = |ending: &Ending| ending.at <= answered + ANSWER_CLEARS;
-        self.counted().any(clears)
+        let clears = |ending: &Ending| ending.at <= answered + CLEARING_WINDOW;
+        self.counted_endings().any(clears)
     }
 
-    fn endings_lately(&self, now: Instant) -> usize {
-        let lately = |ending: &&Ending| age(ending.at, now) < SUSPECT_RETENTION;
-        self.counted().filter(lately).count()
+    fn recent_endings(&self, now: Instant) -> usize {
+        let is_recent = |ending: &&Ending| age(ending.at, now) < SUSPECT_RETENTION;
+        self.counted_endings().filter(is_recent).count()
     }
 
-    /// What the store holds, unless a whole answer came after this box had learned of it.
-    fn standing(&self) -> Option<&StoredQuarantine> {
+    /// Returns the store's entry, unless a complete answer came after this box learned of
+    /// it, or at most `MAX_RECORD_DELAY` before.
+    fn active_quarantine(&self) -> Option<&StoredQuarantine> {
         let known = self.quarantine.as_ref()?;
-        let clears = |answered| answered + RECORD_LATE >= known.heard;
+        let clears = |answered| answered + MAX_RECORD_DELAY >= known.heard;
         let is_cleared = self.answered.is_some_and(clears);
         (!is_cleared).then_some(known)
     }
 }
 
 impl RecentAnswers {
-    fn note(&mut self, request: RequestFingerprint, now: Instant) {
+    fn record(&mut self, request: RequestFingerprint, now: Instant) {
         self.last.insert(request, now);
         self.order.push_back((request, now));
-        if self.order.len() > MOST_ANSWERS {
+        if self.order.len() > MAX_RECENT_ANSWERS {
             self.drop_oldest();
         }
     }
 
-    fn tidy(&mut self, now: Instant) {
+    fn evict_expired(&mut self, now: Instant) {
         let is_old = |(_, at): &(RequestFingerprint, Instant)| {
-            age(*at, now) > ANSWER_CLEARS + NEWS_LATE
+            age(*at, now) > CLEARING_WINDOW + MAX_UPDATE_DELAY
         };
         while self.order.front().is_some_and(is_old) {
             self.drop_oldest();
@@ -486,7 +522,7 @@
 }
 
 impl SuspectUpdate {
-    /// As it is told to another box now.
+    /// Converts the update to a message that is sent to another box now.
     pub fn to_message(&self, now: Instant) -> SuspectMessage {
         let age_ms = age(self.at, now).as_millis().min(u128::from(u32::MAX));
         SuspectMessage {
@@ -498,8 +534,10 @@
 }
 
 impl SuspectMessage {
-    /// As it is heard now. What it took on its way is taken for none: the box that tells and
-    /// this one need not agree on a clock.
+    /// Converts a message received now to an update on the local clock.
+    ///
+    /// The transit time counts as zero: the clocks of the sending and of this box need
+    /// not agree.
     pub fn to_update(&self, now: Instant) -> SuspectUpdate {
         let age = Duration::from_millis(self.age_ms.into());
         SuspectUpdate {
@@ -514,38 +552,41 @@
     now.saturating_duration_since(at)
 }
 
-/// From so many servers that ended under it on, a request needs a permit. One is what each
-/// request meets that runs beside another; a third is allowed before permits are counted, and
-/// with the second known everywhere it is the first of them.
+/// Number of servers that ended under a request from which it needs a permit. One ended
+/// server is counted for every request that runs beside the one to blame. A third ended
+/// server is allowed before permits are counted; if every box knows of the second one,
+/// the third is that of the first permit.
 pub const QUARANTINE_THRESHOLD: usize = 2;
-/// For how long an ending counts, and a request stays in quarantine: a caller that comes
-/// again after a longer pause begins anew.
+/// How long an ending counts and a quarantine lasts. A caller that sends the request
+/// again after a longer pause starts from zero.
 pub const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
-/// An ending so shortly after a whole answer tells nothing: a page that many ask for is
-/// answered several times a second. Longer, a request that ends servers since they were
-/// replaced by others would be found later.
-const ANSWER_CLEARS: Duration = Duration::from_secs(2);
-/// What the store holds of a request may have been written before a whole answer was heard
-/// of, and be heard itself so much later. Only a request that has been answered whole gains.
-const RECORD_LATE: Duration = Duration::from_secs(10);
-/// News of an ending takes less.
-const NEWS_LATE: Duration = Duration::from_secs(3);
-/// Whole answers that a box remembers: 800 a second for five seconds, 200 kilobytes. A box of
-/// the largest fleet that is planned has 90 a second.
-const MOST_ANSWERS: usize = 4096;
-/// A whole answer is remembered for longer than news of earlier endings is on its way.
-const ANSWER_REMEMBERED: Duration = Duration::from_secs(30);
-/// A server that ends while its connections break off has gone from the store within this:
-/// three of its heartbeats are some five seconds.
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
-/// More endings tell nothing more.
-const MOST_ENDINGS: usize = 8;
-/// Requests that are remembered: 40 servers that end at once leave some 400, a quarter of a
-/// megabyte is 2,048.
-const MOST_SUSPECTS: usize = 2048;
-/// Broken attempts that are remembered: with a rack of 40 servers a box of a small fleet has
-/// some hundred.
-const MOST_BROKEN: usize = 256;
-/// What a new link is told at most: 64 endings are three kilobytes, and 270 members of a hub
-/// that has just taken over are told that at once.
-const MOST_GREETING: usize = 64;
+/// A complete answer clears endings up to this long after it, since a popular page is
+/// answered several times a second. With a longer time, a request that ends servers only
+/// since they were replaced by others would be detected later.
+const CLEARING_WINDOW: Duration = Duration::from_secs(2);
+/// A store entry of which a box learns up to this long after a complete answer may have
+/// been written before the answer was known, and does not count. Only requests that were
+/// answered completely profit from this.
+const MAX_RECORD_DELAY: Duration = Duration::from_secs(10);
+/// An update about an ending reaches a box within this time, faster than a store entry.
+const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
+/// Complete answers that a box remembers: 800 a second for five seconds, 200 kilobytes. A
+/// box of the largest planned fleet gives 90 a second.
+const MAX_RECENT_ANSWERS: usize = 4096;
+/// How long the last complete answer of a suspected request is kept: longer than updates
+/// about earlier endings are in transit.
+const ANSWER_RETENTION: Duration = Duration::from_secs(30);
+/// A server that ends while its connections break off has disappeared from the store
+/// within this time: its entry expires after three heartbeats, some five seconds.
+const BROKEN_ATTEMPT_TTL: Duration = Duration::from_secs(10);
+/// Endings kept for each request; more of them would change nothing.
+const MAX_ENDINGS: usize = 8;
+/// Requests that are remembered: 40 servers that end at once leave some 400; 2,048 take a
+/// quarter of a megabyte.
+const MAX_SUSPECTS: usize = 2048;
+/// Interrupted attempts that are remembered: when a rack of 40 servers is lost, a box of
+/// a small fleet has some hundred.
+const MAX_BROKEN_ATTEMPTS: usize = 256;
+/// Endings sent on a new link at most: 64 take three kilobytes, and a hub that has just
+/// taken over sends them to 270 members at once.
+const MAX_INITIAL_UPDATES: usize = 64;
--- a/tests/tests/quarantine_bound.rs
+++ b/tests/tests/quarantine_bound.rs
@@ -1,5 +1,6 @@
-//! How often a request that ends servers is sent once three have ended under it, and whether
-//! any other is refused for it: with all faults in pairs, and several such requests at once.
+//! How often a request that ends servers is sent after three servers have ended under it,
+//! and how many other requests are refused because of it: with all faults alone and in
+//! pairs, and with up to three such requests at once.
 //!
 //! By hand: `WINGSPUR_SEEDS=50 WINGSPUR_BOXES=8,40,113,450 cargo test --release -p
 //! wingspur-tests --test quarantine_bound -- --nocapture`.
@@ -35,21 +36,21 @@
 }
 
 fn fleets() -> Vec<usize> {
-    let told = std::env::var("WINGSPUR_BOXES").unwrap_or("8,40".to_owned());
-    let sizes = told.split(',').map(|size| size.parse());
+    let value = std::env::var("WINGSPUR_BOXES").unwrap_or("8,40".to_owned());
+    let sizes = value.split(',').map(|size| size.parse());
     sizes
         .map(|size| size.expect("WINGSPUR_BOXES holds numbers"))
         .collect()
 }
 
 fn seeds() -> u64 {
-    let told = std::env::var("WINGSPUR_SEEDS").unwrap_or("2".to_owned());
-    told.parse().expect("WINGSPUR_SEEDS holds a number")
+    let value = std::env::var("WINGSPUR_SEEDS").unwrap_or("2".to_owned());
+    value.parse().expect("WINGSPUR_SEEDS holds a number")
 }
 
 #[test]
 fn a_request_that_ends_servers_is_held_back_and_no_other() {
-    let (mut count, mut broken, mut refusing) = (0, Vec::new(), Vec::new());
+    let (mut count, mut violations, mut refusing) = (0, Vec::new(), Vec::new());
     let (mut fatals, mut harmless) = (0, 0);
     let mut sum = Outcome::default();
     plays(|name, outcome| {
@@ -57,8 +58,8 @@
         for fatal in &outcome.fatal {
             fatals += 1;
             harmless += usize::from(fatal.ended < 3);
-            if fatal.sent_in_touch > MOST_SENT {
-                broken.push(format!("{name}: {fatal:?}"));
+            if fatal.sent_in_touch > MAX_SENT {
+                violations.push(format!("{name}: {fatal:?}"));
             }
             sum.most_sent = sum.most_sent.max(fatal.sent);
         }
@@ -69,26 +70,28 @@
     });
     println!("{count} plays: {sum:#?}\nwith refusals: {refusing:#?}");
     assert!(
-        broken.is_empty(),
-        "{} of {count}: {broken:#?}",
-        broken.len()
+        violations.is_empty(),
+        "{} of {count}: {violations:#?}",
+        violations.len()
     );
-    // One that was always out beside another may end fewer itself.
+    // A request that was always in flight beside another one may end fewer servers
+    // itself.
     assert!(
         harmless * 20 <= fatals,
         "{harmless} of {fatals} ended fewer than three"
     );
-    // Nine servers of which 20 end in eight seconds, or three requests at once that each end
-    // some: what few are refused had been out at five that ended, one after the other.
+    // The few refused requests had been in flight at five servers that ended one after
+    // the other: in plays with nine servers, 20 of which end within eight seconds, or
+    // with three requests at once that each end some.
     let refused = sum.refused.no_try + sum.refused.no_store + sum.refused.waited;
     assert!(
-        refused * FEW <= sum.well,
+        refused * REFUSED_ONE_IN <= sum.well,
         "{refused} of {} refused",
         sum.well
     );
 }
 
-/// After the third server, as the users allow.
-const MOST_SENT: usize = 3;
-/// One request in so many may be refused for what others did.
-const FEW: usize = 10_000;
+/// Times that a request may be sent after the third server has ended under it.
+const MAX_SENT: usize = 3;
+/// One other request in so many may be refused because of those that end servers.
+const REFUSED_ONE_IN: usize = 10_000;
--- a/tests/tests/suspects.rs
+++ b/tests/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! What is held against a request under which servers ended, by one box and at its hub.
+//! Requests under which servers ended: when one box suspects, quarantines and clears
+//! them, and how many trials the registries of all boxes permit.
 
 use std::time::{Duration, Instant};
 
@@ -71,9 +72,9 @@
     assert!(!suspects.is_quarantined(request("b"), now));
     assert!(suspects.apply_update(&answered("a", now + SECOND), now + SECOND));
     assert!(!suspects.is_quarantined(request("a"), now + SECOND));
-    // News of what was before comes late, and changes nothing.
+    // A late update about an ending before the answer changes nothing.
     assert!(!suspects.apply_update(&ended("a", 3, now), now + SECOND));
-    // What comes after counts anew.
+    // Endings after the answer are counted from zero.
     let later = now + 10 * SECOND;
     suspects.apply_update(&ended("a", 4, later), later);
     assert!(!suspects.is_quarantined(request("a"), later));
@@ -89,12 +90,12 @@
     for server in 0..5 {
         suspects.apply_update(&ended("popular", server, now + SECOND), now + SECOND);
     }
-    let heard = now + SECOND;
-    let before = suspects.answered_before(request("popular"), heard);
-    assert_eq!(before, Some(now), "others should hear of it");
-    suspects.apply_update(&answered("popular", now), heard);
-    assert!(!suspects.is_quarantined(request("popular"), heard));
-    // Long before, it tells nothing: servers were replaced since, maybe.
+    let ended_at = now + SECOND;
+    let before = suspects.answered_before(request("popular"), ended_at);
+    assert_eq!(before, Some(now), "the other boxes should be notified");
+    suspects.apply_update(&answered("popular", now), ended_at);
+    assert!(!suspects.is_quarantined(request("popular"), ended_at));
+    // An answer long before proves nothing: the servers may have been replaced since.
     let later = now + 20 * SECOND;
     suspects.evict_expired(later);
     suspects.apply_update(&ended("popular", 8, later), later);
@@ -109,12 +110,16 @@
     let mut suspects = SuspectRequests::default();
     suspects.apply_quarantine(request("a"), known(5, 1, now));
     assert!(suspects.is_quarantined(request("a"), now));
-    // An older revision is old news.
+    // An older revision is ignored.
     suspects.apply_quarantine(request("a"), known(4, 0, now));
     assert_eq!(suspects.quarantine(request("a")).map(|q| q.tries), Some(1));
     suspects.apply_update(&answered("a", now + SECOND), now + SECOND);
     assert!(!suspects.is_quarantined(request("a"), now + SECOND));
-    assert_eq!(suspects.cleared_quarantines().len(), 1, "it is to be ended");
+    assert_eq!(
+        suspects.cleared_quarantines().len(),
+        1,
+        "the quarantine should be ended"
+    );
     suspects.remove_quarantine(request("a"));
     assert!(suspects.cleared_quarantines().is_empty());
 }
@@ -128,13 +133,13 @@
         ..known(revision, tries, now)
     };
     suspects.apply_quarantine(request("a"), at(1, 9, 2));
-    // The copy is of before the second try.
+    // The copy was made before the second trial was counted.
     suspects.apply_quarantine(request("a"), at(2, 7, 1));
-    let stands = suspects
+    let merged = suspects
         .quarantine(request("a"))
-        .expect("it is in quarantine");
+        .expect("the request is in quarantine");
     assert_eq!(
-        (stands.tries, stands.position),
+        (merged.tries, merged.position),
         (2, StorePosition::new(2, 7))
     );
 }
@@ -176,7 +181,7 @@
     suspects.apply_quarantine(request("a"), known(5, 3, now));
     suspects.apply_update(&answered("a", now + SECOND), now + SECOND);
     suspects.remove_quarantine(request("a"));
-    // The copy still holds it, and comes long after the answer.
+    // The copy still holds the entry, and is restored long after the answer.
     let later = now + 20 * SECOND;
     let listed = StoredQuarantine {
         position: StorePosition::new(1, 5),
@@ -187,7 +192,11 @@
         []
     );
     assert!(!suspects.is_quarantined(request("a"), later));
-    assert_eq!(suspects.cleared_quarantines().len(), 1, "it is to be ended");
+    assert_eq!(
+        suspects.cleared_quarantines().len(),
+        1,
+        "the quarantine should be ended"
+    );
 }
 
 #[test]
@@ -199,12 +208,12 @@
         ..known(5, 1, now - 10 * SECOND)
     };
     suspects.apply_quarantine(request("a"), of_era(1));
-    let mut desk = QuarantineRegistry::new(7);
-    desk.note_era(2);
-    let step = desk.request_trial(request("a"), &suspects, now);
+    let mut registry = QuarantineRegistry::new(7);
+    registry.note_era(2);
+    let step = registry.request_trial(request("a"), &suspects, now);
     assert!(matches!(step, TrialDecision::Later(_)), "{step:?}");
     suspects.reconcile_restored(2, &[(request("a"), of_era(2))]);
-    let step = desk.request_trial(request("a"), &suspects, now);
+    let step = registry.request_trial(request("a"), &suspects, now);
     assert!(
         matches!(step, TrialDecision::Count(count) if count.tries == 2),
         "{step:?}"
@@ -222,9 +231,9 @@
     assert!(suspects.len() <= 2_048, "{}", suspects.len());
     let later = now + 10 * SECOND;
     assert!(suspects.is_quarantined(request("worst"), later));
-    let greeting = suspects.initial_updates(later);
-    assert!(greeting.len() <= 64, "{}", greeting.len());
-    assert_eq!(greeting[0].request, request("worst"));
+    let initial = suspects.initial_updates(later);
+    assert!(initial.len() <= 64, "{}", initial.len());
+    assert_eq!(initial[0].request, request("worst"));
     suspects.evict_expired(now + SUSPECT_RETENTION + 10 * SECOND);
     assert!(suspects.is_empty());
 }
@@ -241,45 +250,50 @@
         suspects
             .take_broken_attempts(1, now + 5 * SECOND)
             .is_empty(),
-        "once"
+        "an attempt is returned once"
     );
     let late = suspects.take_broken_attempts(2, now + 60 * SECOND);
-    assert!(late.is_empty(), "it ended for another reason");
+    assert!(
+        late.is_empty(),
+        "an old attempt is not related to the ending"
+    );
 }
 
-/// Whatever hubs know of each other, the store takes one count for each revision.
+/// Hubs that do not know of each other's trials never permit more than three in all,
+/// since the store accepts one count for each revision.
 #[test]
 fn all_boxes_together_let_a_request_through_three_times() {
     let now = Instant::now();
     let a = request("a");
-    let mut stands: Option<StoredQuarantine> = None;
-    let mut lent = 0;
-    let mut desks: Vec<_> = (0..5).map(QuarantineRegistry::new).collect();
+    let mut stored: Option<StoredQuarantine> = None;
+    let mut permitted = 0;
+    let mut registries: Vec<_> = (0..5).map(QuarantineRegistry::new).collect();
     for round in 0..20 {
         let at = now + round * 2 * SECOND;
-        for (n, desk) in desks.iter_mut().enumerate() {
+        for (n, registry) in registries.iter_mut().enumerate() {
             let mut suspects = quarantined("a", now);
-            // Every other box has heard nothing of what the others did.
-            if let Some(known) = stands.filter(|_| n % 2 == 0) {
+            // Every other box knows nothing of the trials that the others counted.
+            if let Some(known) = stored.filter(|_| n % 2 == 0) {
                 suspects.apply_quarantine(a, known);
             }
-            let TrialDecision::Count(count) = desk.request_trial(a, &suspects, at) else {
+            let TrialDecision::Count(count) = registry.request_trial(a, &suspects, at)
+            else {
                 continue;
             };
-            let revision = stands.map_or(0, |known| known.position.wire_revision());
+            let revision = stored.map_or(0, |known| known.position.wire_revision());
             let outcome = match count.expected_position.wire_revision() == revision {
                 true => RecordOutcome::Stands,
                 false => RecordOutcome::Overtaken,
             };
             if outcome == RecordOutcome::Stands {
-                stands = Some(known(revision + 1, count.tries, at));
+                stored = Some(known(revision + 1, count.tries, at));
             }
-            if desk.trial_recorded(a, outcome, true, at) == TrialDecision::Lend {
-                lent += 1;
+            if registry.trial_recorded(a, outcome, true, at) == TrialDecision::Lend {
+                permitted += 1;
             }
         }
     }
-    assert_eq!(lent, MAX_TRIALS);
+    assert_eq!(permitted, MAX_TRIALS);
 }
 
 #[test]
@@ -289,7 +303,7 @@
     let suspects = quarantined("a", now);
     let mut member = QuarantineRegistry::new(1);
     let mut hub = QuarantineRegistry::new(2);
-    let mut lent = 0;
+    let mut permitted = 0;
     for round in 0..20 {
         let at = now + round * 10 * SECOND;
         if let TrialDecision::Count(_) = member.request_trial(a, &suspects, at) {
@@ -298,10 +312,10 @@
         }
         if let TrialDecision::Count(_) = hub.request_trial(a, &suspects, at) {
             let step = hub.trial_recorded(a, RecordOutcome::Unknown, true, at);
-            lent += u32::from(step == TrialDecision::Lend);
+            permitted += u32::from(step == TrialDecision::Lend);
         }
     }
-    assert_eq!(lent, 2);
+    assert_eq!(permitted, 2);
 }
 
 #[test]
@@ -309,18 +323,23 @@
     let now = Instant::now();
     let a = request("a");
     let mut suspects = quarantined("a", now);
-    let mut desk = QuarantineRegistry::new(7);
+    let mut registry = QuarantineRegistry::new(7);
     assert!(matches!(
-        desk.request_trial(a, &suspects, now),
+        registry.request_trial(a, &suspects, now),
         TrialDecision::Count(_)
     ));
-    let step = desk.trial_recorded(a, RecordOutcome::Unknown, true, now);
-    assert_eq!(step, TrialDecision::Lend, "on its own account");
-    // The store held it after all, and tells so.
+    let step = registry.trial_recorded(a, RecordOutcome::Unknown, true, now);
+    assert_eq!(
+        step,
+        TrialDecision::Lend,
+        "a hub permits it without the store"
+    );
+    // The write had reached the store after all, and the box learns of it.
     suspects.apply_quarantine(a, known(1, 1, now));
-    let TrialDecision::Count(count) = desk.request_trial(a, &suspects, now + 5 * SECOND)
+    let TrialDecision::Count(count) =
+        registry.request_trial(a, &suspects, now + 5 * SECOND)
     else {
-        panic!("there are two more");
+        panic!("two more trials are allowed");
     };
     assert_eq!(count.tries, 2);
 }
@@ -332,21 +351,21 @@
     for server in 1..4 {
         suspects.apply_update(&ended("fatal", server, now), now);
     }
-    let tried = now + SECOND;
-    suspects.apply_quarantine(request("fatal"), known(3, 1, tried));
-    let mut desk = QuarantineRegistry::new(7);
-    let step = desk.request_trial(request("beside"), &suspects, tried);
+    let trial_at = now + SECOND;
+    suspects.apply_quarantine(request("fatal"), known(3, 1, trial_at));
+    let mut registry = QuarantineRegistry::new(7);
+    let step = registry.request_trial(request("beside"), &suspects, trial_at);
     assert!(
         matches!(step, TrialDecision::Later(_)),
-        "the other is out: {step:?}"
+        "the likelier one is in flight: {step:?}"
     );
-    // News of another try may be on its way.
-    let quiet = tried + SECOND;
-    let step = desk.request_trial(request("beside"), &suspects, quiet);
+    // An update about another trial may be in transit.
+    let quiet = trial_at + SECOND;
+    let step = registry.request_trial(request("beside"), &suspects, quiet);
     assert!(matches!(step, TrialDecision::Later(_)), "{step:?}");
-    let step = desk.request_trial(request("beside"), &suspects, quiet + SECOND);
+    let step = registry.request_trial(request("beside"), &suspects, quiet + SECOND);
     assert!(matches!(step, TrialDecision::Count(_)), "{step:?}");
-    // The likelier one waits for nobody.
-    let step = desk.request_trial(request("fatal"), &suspects, quiet + SECOND);
+    // The likelier one does not wait for others.
+    let step = registry.request_trial(request("fatal"), &suspects, quiet + SECOND);
     assert!(matches!(step, TrialDecision::Count(_)), "{step:?}");
 }
