--- a/crates/wingspur-state/src/server_registry.rs
+++ b/crates/wingspur-state/src/server_registry.rs
@@ -1,10 +1,12 @@
-//! The backend servers that are announced now, and those that may only seem gone.
+//! The backend servers that are announced now, and those whose entries have vanished
+//! although the servers may still run.
 //!
-//! An entry of a server that cannot reach the store lapses, and while the store is away
-//! entries lapse that nobody could renew. So an entry that vanishes around an outage is kept
-//! until the store has been back for `RETURN_GRACE`: a living server has written anew by
-//! then. A restored store brings back entries of servers that were gone; those are used only
-//! once they must have been written since.
+//! The entry of a server that cannot reach the store expires, and while the store is
+//! unavailable entries expire that nobody could renew. So an entry that vanishes around
+//! an outage is kept until the store has been available again for `STORE_RECOVERY_GRACE`:
+//! a running server has written its entry again by then. A restored store brings back
+//! entries of servers that were removed before; these are used only once they must have
+//! been written after the restore.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -15,116 +17,128 @@
 #[derive(Debug, Default)]
 pub struct ServerRegistry {
     entries: BTreeMap<ServerId, Entry>,
-    store: StoreStanding,
+    store: StoreStatus,
     era: StoreEra,
-    gone: GoneRuns,
-    /// Entries that a restored store has brought back of runs that were gone.
-    returned: BTreeMap<ServerId, ReturnedEntry>,
+    removed: RemovedInstances,
+    /// Entries that a restored store has brought back of instances that were removed
+    /// before.
+    suppressed: BTreeMap<ServerId, SuppressedEntry>,
 }
 
-/// What became of a server, for the tables that follow the directory.
+/// A change of the registry, for the tables that follow it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegistryChange {
-    /// It is new, or its record has changed.
+    /// The server is new, or its record has changed.
     Updated(ServerRecord),
-    /// It has started again under its id: nothing of the run before holds any more.
+    /// The server has started again under its id: nothing known of the previous instance
+    /// is valid any more.
     Restarted {
-        /// The run that is over.
+        /// The record of the previous instance.
         before: ServerRecord,
-        /// The run that has begun.
+        /// The record of the new instance.
         record: ServerRecord,
     },
-    /// It is gone.
+    /// The server was removed.
     Removed(ServerRecord),
 }
 
 #[derive(Debug)]
 struct Entry {
     record: ServerRecord,
-    /// Its entry in the store has vanished in or around an outage.
+    /// The server's entry in the store has vanished during or around an outage.
     missing: bool,
-    /// A change told that it was written in the store's present era.
+    /// A change has shown that the entry was written in the store's current era.
     is_written: bool,
 }
 
-/// An entry whose server was gone before the store was restored.
+/// An entry whose server was removed before the store was restored.
 #[derive(Debug)]
-struct ReturnedEntry {
+struct SuppressedEntry {
     record: ServerRecord,
-    /// The era whose listing brought it back.
+    /// The era whose snapshot brought the entry back.
     era: StoreEra,
-    /// The store drops the entry before then unless a server has written it.
+    /// The store drops the entry before this instant unless a server has written it
+    /// again.
     trusted_at: Instant,
 }
 
-/// The runs of servers whose entries have gone.
+/// The instances of servers whose entries were removed.
 #[derive(Debug, Default)]
-struct GoneRuns {
-    /// When the run began, and the era in which its entry went.
-    runs: HashMap<ServerId, (u64, StoreEra)>,
+struct RemovedInstances {
+    /// The start time of each instance, in milliseconds, and the era in which its entry
+    /// was removed.
+    instances: HashMap<ServerId, (u64, StoreEra)>,
     /// Oldest first.
     order: VecDeque<ServerId>,
 }
 
-/// Whether the store's silence about a server means anything.
+/// Whether an entry that is absent from the store means that its server is gone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-enum StoreStanding {
+enum StoreStatus {
+    /// An absent entry means that the server is gone.
     #[default]
-    Sound,
-    Away,
-    DoubtfulUntil(Instant),
+    Reliable,
+    /// The store is unavailable, so an absent entry means nothing.
+    Unavailable,
+    /// The store has recovered or was restored: until this instant an absent entry means
+    /// nothing.
+    UnreliableUntil(Instant),
 }
 
 impl ServerRegistry {
-    /// Notes that the store does not answer.
+    /// Records that the store is unavailable.
     pub fn store_lost(&mut self) {
-        self.store = StoreStanding::Away;
+        self.store = StoreStatus::Unavailable;
     }
 
-    /// Notes that the store answers again; changes nothing while it was not lost.
+    /// Records that the store has recovered; changes nothing if it was not unavailable.
     pub fn store_recovered(&mut self, now: Instant) {
-        if self.store == StoreStanding::Away {
-            self.store = StoreStanding::DoubtfulUntil(now + STORE_RECOVERY_GRACE);
+        if self.store == StoreStatus::Unavailable {
+            self.store = StoreStatus::UnreliableUntil(now + STORE_RECOVERY_GRACE);
         }
     }
 
-    /// Notes that the store has come back from an older copy: servers write again what it
-    /// lacks.
+    /// Records that the store was restored from an older copy. Servers write the entries
+    /// that it lacks again within `STORE_RECOVERY_GRACE`.
     pub fn store_restored(&mut self, era: StoreEra, now: Instant) {
         self.era = era;
-        self.store = StoreStanding::DoubtfulUntil(now + STORE_RECOVERY_GRACE);
+        self.store = StoreStatus::UnreliableUntil(now + STORE_RECOVERY_GRACE);
         for entry in self.entries.values_mut() {
             entry.is_written = false;
         }
     }
 
-    /// Notes that another box read the store, and for how long what it found may be
-    /// doubted.
-    pub fn store_read_by_peer(&mut self, doubtful: Duration, now: Instant) {
-        let until = now + doubtful;
+    /// Records that another box read the store, and for how long an entry absent there
+    /// may still mean nothing.
+    pub fn store_read_by_peer(&mut self, unreliable: Duration, now: Instant) {
+        let until = now + unreliable;
         match self.store {
-            StoreStanding::DoubtfulUntil(held) if held >= until => {}
-            // A doubt that is over for the other box ends here with what is known as of then.
-            StoreStanding::DoubtfulUntil(_) if doubtful.is_zero() => {}
-            _ if doubtful.is_zero() && self.missing().next().is_none() => {
-                self.store = StoreStanding::Sound;
+            StoreStatus::UnreliableUntil(known) if known >= until => {}
+            // The other box's grace is over; here `settle` ends it once the changes up to
+            // that instant are known.
+            StoreStatus::UnreliableUntil(_) if unreliable.is_zero() => {}
+            _ if unreliable.is_zero() && self.missing().next().is_none() => {
+                self.store = StoreStatus::Reliable;
             }
-            _ => self.store = StoreStanding::DoubtfulUntil(until),
+            _ => self.store = StoreStatus::UnreliableUntil(until),
         }
     }
 
-    /// For how long a vanished entry may still mean nothing.
+    /// Returns for how long a vanished entry may still mean nothing; zero if it means
+    /// that the server is gone.
     pub fn removal_grace_left(&self, now: Instant) -> Duration {
         match self.store {
-            StoreStanding::Sound => Duration::ZERO,
-            StoreStanding::Away => STORE_RECOVERY_GRACE,
-            StoreStanding::DoubtfulUntil(until) => until.saturating_duration_since(now),
+            StoreStatus::Reliable => Duration::ZERO,
+            StoreStatus::Unavailable => STORE_RECOVERY_GRACE,
+            StoreStatus::UnreliableUntil(until) => until.saturating_duration_since(now),
         }
     }
 
-    /// Takes in an entry as it stands in the store; that less is left of a cold start is no
-    /// change, since it was known from the first entry. An entry of an earlier run than the
-    /// one that is known is old news.
+    /// Applies an entry of the store; returns `None` if the tables need no change.
+    ///
+    /// A shorter remaining cold start is no change, since the first entry already gave
+    /// its end. An entry of an earlier instance than the known one is ignored as
+    /// outdated.
     pub fn put(&mut self, record: ServerRecord) -> Option<RegistryChange> {
         self.put_entry(record, true)
     }
@@ -144,8 +158,8 @@
             missing: false,
             is_written: is_written || before.is_some_and(|entry| entry.is_written),
         };
-        self.returned.remove(&record.id);
-        self.gone.forget(&record.id);
+        self.suppressed.remove(&record.id);
+        self.removed.forget_instance(&record.id);
         match self.entries.insert(record.id.clone(), entry) {
             Some(entry) if entry.record.born_ms < record.born_ms => {
                 Some(RegistryChange::Restarted {
@@ -161,25 +175,28 @@
         }
     }
 
-    /// Whether a record would change nothing but what is left of a cold start.
+    /// Returns whether a record would change nothing but the remaining cold start.
     pub fn is_current(&self, record: &ServerRecord) -> bool {
         let entry = self.entries.get(&record.id);
         entry.is_some_and(|entry| {
             let is_old = record.born_ms < entry.record.born_ms;
-            let is_cold_news = changes_cold_start(&entry.record, record, true);
+            let is_cold_change = changes_cold_start(&entry.record, record, true);
             is_old
                 || (!entry.missing
                     && entry.record.eq_ignoring_cold(record)
-                    && !is_cold_news)
+                    && !is_cold_change)
         })
     }
 
-    /// Takes in that an entry has vanished.
+    /// Applies the disappearance of an entry from the store.
+    ///
+    /// Returns `None` if the server is unknown, or if the entry vanished during or around
+    /// an outage; the server is then kept as missing.
     pub fn remove(&mut self, id: &str, now: Instant) -> Option<RegistryChange> {
-        self.returned.remove(id);
+        self.suppressed.remove(id);
         let trusted = self.is_trusted(now);
         let entry = self.entries.get_mut(id)?;
-        // A server that said that it leaves has no need to come back.
+        // A draining server does not write its entry again, so it needs no grace.
         if !trusted && !entry.record.leaving {
             entry.missing = true;
             return None;
@@ -187,67 +204,71 @@
         self.drop_entry(id)
     }
 
-    /// Takes in a whole listing: what it lacks has vanished.
+    /// Applies a snapshot; entries that it lacks have vanished.
     pub fn replace(
         &mut self,
-        listing: Vec<ServerRecord>,
+        snapshot: Vec<ServerRecord>,
         now: Instant,
     ) -> Vec<RegistryChange> {
-        self.replace_restored(listing, &[], now)
+        self.replace_restored(snapshot, &[], now)
     }
 
-    /// The same, where another box knows of servers that were gone before the store was
-    /// restored.
+    /// Applies a snapshot like `replace`; `gone_before` are the servers of which another
+    /// box knows that they were removed before the store was restored.
     pub fn replace_restored(
         &mut self,
-        listing: Vec<ServerRecord>,
+        snapshot: Vec<ServerRecord>,
         gone_before: &[ServerId],
         now: Instant,
     ) -> Vec<RegistryChange> {
-        let listed: HashSet<&ServerId> = listing.iter().map(|r| &r.id).collect();
-        self.returned.retain(|id, _| listed.contains(id));
+        let listed: HashSet<&ServerId> = snapshot.iter().map(|r| &r.id).collect();
+        self.suppressed.retain(|id, _| listed.contains(id));
         let unlisted = self.entries.keys().filter(|id| !listed.contains(id));
         let unlisted: Vec<ServerId> = unlisted.cloned().collect();
         let mut changes = Vec::new();
         for id in unlisted {
             changes.extend(self.remove(&id, now));
         }
-        for record in listing {
-            let is_held = self.returned.contains_key(&record.id);
-            let was_gone = is_held || gone_before.contains(&record.id);
-            match was_gone || self.gone.was_before(&record, self.era) {
-                true => changes.extend(self.hold_back(record, now)),
+        for record in snapshot {
+            let is_suppressed = self.suppressed.contains_key(&record.id);
+            let was_gone = is_suppressed || gone_before.contains(&record.id);
+            match was_gone || self.removed.was_removed_before(&record, self.era) {
+                true => changes.extend(self.suppress(record, now)),
                 false => changes.extend(self.put_entry(record, false)),
             }
         }
         changes
     }
 
-    /// Takes in which listed servers were gone before the store was restored, as another box
-    /// knows.
+    /// Suppresses the listed servers of which another box knows that they were removed
+    /// before the store was restored, except those written again since.
     pub fn suppress_stale(
         &mut self,
         gone_before: &[ServerId],
         now: Instant,
     ) -> Vec<RegistryChange> {
-        let held = gone_before.iter().filter_map(|id| {
+        let stale = gone_before.iter().filter_map(|id| {
             let entry = self.entries.get(id)?;
             (!entry.is_written && !entry.missing).then(|| entry.record.clone())
         });
-        let held: Vec<ServerRecord> = held.collect();
-        held.into_iter()
-            .filter_map(|record| self.hold_back(record, now))
+        let stale: Vec<ServerRecord> = stale.collect();
+        stale
+            .into_iter()
+            .filter_map(|record| self.suppress(record, now))
             .collect()
     }
 
-    /// Takes in a server that a listing lacks, and that another box takes for missing only.
+    /// Adds a server that the snapshot lacks, but that another box keeps as missing.
+    ///
+    /// Returns `None`, and adds nothing, if absent entries mean that their servers are
+    /// gone, or if the server is known here already, as announced or as removed.
     pub fn put_missing(
         &mut self,
         record: ServerRecord,
         now: Instant,
     ) -> Option<RegistryChange> {
         let is_known = self.entries.contains_key(&record.id);
-        if self.is_trusted(now) || is_known || self.gone.holds(&record) {
+        if self.is_trusted(now) || is_known || self.removed.covers(&record) {
             return None;
         }
         let entry = Entry {
@@ -259,47 +280,45 @@
         Some(RegistryChange::Updated(record))
     }
 
-    /// Drops the servers that have not come back in time after an outage, and takes up those
-    /// whose entries a restored store has brought back, if they are still there; `as_of` is
-    /// the moment up to which the store's changes are known.
+    /// Drops the missing servers whose entries were not written again in time after an
+    /// outage, and adds the suppressed ones whose entries the store still holds after
+    /// `ENTRY_TTL`.
+    ///
+    /// `as_of` is the instant up to which the store's changes are known.
     pub fn settle(&mut self, as_of: Instant) -> Vec<RegistryChange> {
-        let mut changes = self.take_returned(as_of);
+        let mut changes = self.release_suppressed(as_of);
         if !self.is_trusted(as_of) {
             return changes;
         }
-        self.store = StoreStanding::Sound;
-        let gone: Vec<ServerId> =
+        self.store = StoreStatus::Reliable;
+        let missing: Vec<ServerId> =
             self.missing().map(|record| record.id.clone()).collect();
-        changes.extend(gone.iter().filter_map(|id| self.drop_entry(id)));
+        changes.extend(missing.iter().filter_map(|id| self.drop_entry(id)));
         changes
     }
 
-    /// Holds a listed entry back that nobody may have written since the restore.
-    fn hold_back(
-        &mut self,
-        record: ServerRecord,
-        now: Instant,
-    ) -> Option<RegistryChange> {
+    /// Suppresses a listed entry that may not have been written since the restore.
+    fn suppress(&mut self, record: ServerRecord, now: Instant) -> Option<RegistryChange> {
         let id = record.id.clone();
-        let returned = ReturnedEntry {
+        let suppressed = SuppressedEntry {
             record,
             era: self.era,
             trusted_at: now + ENTRY_TTL,
         };
-        let held = self.returned.get(&id);
-        if held.is_none_or(|held| held.era < self.era) {
-            self.returned.insert(id.clone(), returned);
+        let known = self.suppressed.get(&id);
+        if known.is_none_or(|known| known.era < self.era) {
+            self.suppressed.insert(id.clone(), suppressed);
         }
         self.drop_entry(&id)
     }
 
-    fn take_returned(&mut self, as_of: Instant) -> Vec<RegistryChange> {
-        let returned = std::mem::take(&mut self.returned);
-        let (trusted, held): (BTreeMap<_, _>, _) = returned
+    fn release_suppressed(&mut self, as_of: Instant) -> Vec<RegistryChange> {
+        let suppressed = std::mem::take(&mut self.suppressed);
+        let (trusted, remaining): (BTreeMap<_, _>, _) = suppressed
             .into_iter()
-            .partition(|(_, returned)| returned.trusted_at <= as_of);
-        self.returned = held;
-        let records = trusted.into_values().map(|returned| returned.record);
+            .partition(|(_, suppressed)| suppressed.trusted_at <= as_of);
+        self.suppressed = remaining;
+        let records = trusted.into_values().map(|suppressed| suppressed.record);
         records
             .filter_map(|record| self.put_entry(record, true))
             .collect()
@@ -307,87 +326,93 @@
 
     fn drop_entry(&mut self, id: &str) -> Option<RegistryChange> {
         let entry = self.entries.remove(id)?;
-        self.gone.put(&entry.record, self.era);
+        self.removed.remember(&entry.record, self.era);
         Some(RegistryChange::Removed(entry.record))
     }
 
-    /// Servers whose entries have vanished in or around an outage.
+    /// Iterates over the servers whose entries have vanished during or around an outage.
     pub fn missing(&self) -> impl Iterator<Item = &ServerRecord> {
         let missing = self.entries.values().filter(|entry| entry.missing);
         missing.map(|entry| &entry.record)
     }
 
-    /// All entries that the store holds, those that are held back included.
+    /// Iterates over all entries that the store holds, suppressed ones included.
     pub fn listed(&self) -> impl Iterator<Item = &ServerRecord> {
         let listed = self.entries.values().filter(|entry| !entry.missing);
         listed.map(|entry| &entry.record).chain(self.suppressed())
     }
 
-    /// The number of servers, missing ones included.
+    /// Returns the number of servers, missing ones included and suppressed ones not.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no server is known.
+    /// Returns whether no server is known, apart from suppressed ones.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Listed entries that are held back, since their servers were gone before the store was
-    /// restored.
+    /// Iterates over the listed entries that are not used, since their servers were
+    /// removed before the store was restored.
     pub fn suppressed(&self) -> impl Iterator<Item = &ServerRecord> {
-        self.returned.values().map(|returned| &returned.record)
+        self.suppressed
+            .values()
+            .map(|suppressed| &suppressed.record)
     }
 
-    /// Whether a vanished entry means that the server is gone.
+    /// Returns whether a vanished entry means that the server is gone.
     fn is_trusted(&self, now: Instant) -> bool {
         match self.store {
-            StoreStanding::Sound => true,
-            StoreStanding::Away => false,
-            StoreStanding::DoubtfulUntil(until) => now >= until,
+            StoreStatus::Reliable => true,
+            StoreStatus::Unavailable => false,
+            StoreStatus::UnreliableUntil(until) => now >= until,
         }
     }
 }
 
-impl GoneRuns {
-    fn put(&mut self, record: &ServerRecord, era: StoreEra) {
+impl RemovedInstances {
+    fn remember(&mut self, record: &ServerRecord, era: StoreEra) {
         let id = record.id.clone();
         if self
-            .runs
+            .instances
             .insert(id.clone(), (record.born_ms, era))
             .is_none()
         {
             self.order.push_back(id);
         }
-        while self.order.len() > MOST_GONE {
+        while self.order.len() > MAX_REMOVED_INSTANCES {
             if let Some(oldest) = self.order.pop_front() {
-                self.runs.remove(&oldest);
+                self.instances.remove(&oldest);
             }
         }
     }
 
-    fn forget(&mut self, id: &str) {
-        if self.runs.remove(id).is_some() {
+    fn forget_instance(&mut self, id: &str) {
+        if self.instances.remove(id).is_some() {
             self.order.retain(|known| known != id);
         }
     }
 
-    fn holds(&self, record: &ServerRecord) -> bool {
-        let gone = self.runs.get(&record.id);
-        gone.is_some_and(|(born_ms, _)| *born_ms >= record.born_ms)
+    /// Returns whether the record's instance, or a later one of the same id, was removed.
+    fn covers(&self, record: &ServerRecord) -> bool {
+        let removed = self.instances.get(&record.id);
+        removed.is_some_and(|(born_ms, _)| *born_ms >= record.born_ms)
     }
 
-    /// Whether a run was gone in an era before this one.
-    fn was_before(&self, record: &ServerRecord, era: StoreEra) -> bool {
-        let gone = self.runs.get(&record.id);
-        gone.is_some_and(|(born_ms, went_in)| {
-            *born_ms == record.born_ms && *went_in < era
+    /// Returns whether this instance was removed in an era before the given one.
+    fn was_removed_before(&self, record: &ServerRecord, era: StoreEra) -> bool {
+        let removed = self.instances.get(&record.id);
+        removed.is_some_and(|(born_ms, removed_in)| {
+            *born_ms == record.born_ms && *removed_in < era
         })
     }
 }
 
-/// Whether a record tells that a server has turned cold again, or is cold no more. A listing
-/// may repeat what was told before; an entry that is written tells only what has changed.
+/// Returns whether a record shows that a server has turned cold again, or is no longer
+/// cold.
+///
+/// A snapshot may repeat a known record, so there an equal remaining time is no change. A
+/// written entry with an equal remaining time is a new cold start.
 fn changes_cold_start(
     known: &ServerRecord,
     record: &ServerRecord,
@@ -399,10 +424,12 @@
     }
 }
 
-/// How long servers have to write anew after the store's return. They write once a heartbeat
-/// of 1.5 s.
+/// How long servers have to write their entries again after the store has recovered. They
+/// write once per heartbeat of 1.5 s.
 pub const STORE_RECOVERY_GRACE: Duration = Duration::from_secs(2);
-/// The store drops an entry that is not written for three heartbeats.
+/// Upper bound on the lifetime of an entry that is not written again: the store drops it
+/// after three heartbeats.
 pub const ENTRY_TTL: Duration = Duration::from_secs(5);
-/// A store comes back from a copy that is seconds old; in that time fewer servers end.
-const MOST_GONE: usize = 4096;
+/// Removed instances that are remembered. A store is restored from a copy that is seconds
+/// old, and fewer servers end in that time.
+const MAX_REMOVED_INSTANCES: usize = 4096;
--- a/tests/tests/foreign_entries.rs
+++ b/tests/tests/foreign_entries.rs
@@ -1,4 +1,5 @@
-//! Entries of other writers: what cannot be read names nothing to use, and hides nothing.
+//! Store entries written by other programs: an unreadable entry is not used, and does not
+//! prevent the other entries from being read.
 
 mod edge;
 
@@ -128,7 +129,7 @@
         wrong["client_accounts"] = accounts.clone();
         let error = read_bundle(&bytes(&wrong)).unwrap_err().to_string();
         assert!(error.contains(fix), "{accounts}: {error}");
-        assert!(!error.contains("same`"), "a key is told: {error}");
+        assert!(!error.contains("same`"), "the error shows a key: {error}");
     }
 }
 
@@ -146,8 +147,8 @@
     let exchange = Exchange::new(workers.spawner(), LinkFaults::default());
     let wait = Duration::from_secs(20);
     let catalog = catalog(store.address, exchange.into(), wait, wait);
-    let listing = smol::block_on((catalog.list)(true)).outcome.unwrap();
-    assert_eq!(listing.servers.len(), 270);
+    let snapshot = smol::block_on((catalog.list)(true)).outcome.unwrap();
+    assert_eq!(snapshot.servers.len(), 270);
     workers.close();
 }
 
@@ -166,7 +167,7 @@
     }
     assert_eq!(servers[0].heads().len(), before);
     deployment.announce("i-0", servers[0].address, "ready");
-    edge::wait_until("its own entry is back", || {
+    edge::wait_until("the server's own entry is used again", || {
         assert_eq!(deployment.call("read", "again").status, 200);
         servers[0].heads().len() > before
     });
@@ -176,32 +177,35 @@
 #[test]
 fn a_server_that_starts_again_under_its_id_is_another_run() {
     let now = Instant::now();
-    let mut directory = ServerRegistry::default();
-    let run = |born: u64| {
+    let mut registry = ServerRegistry::default();
+    let instance = |born: u64| {
         let mut entry = entry();
         entry["born"] = json!(born);
         read_server("i-1", &bytes(&entry)).unwrap()
     };
-    let (first, second) = (run(1_000), run(2_000));
+    let (first, second) = (instance(1_000), instance(2_000));
     assert_ne!(first.key(), second.key());
-    assert_eq!(first.key(), run(1_000).key());
-    directory.put(first.clone());
+    assert_eq!(first.key(), instance(1_000).key());
+    registry.put(first.clone());
     let restarted = RegistryChange::Restarted {
         before: first.clone(),
         record: second.clone(),
     };
-    assert!(!directory.is_current(&second));
-    assert_eq!(directory.put(second.clone()), Some(restarted));
-    assert!(directory.is_current(&first), "old news changes nothing");
-    assert_eq!(directory.put(first), None);
-    assert_eq!(directory.put(second.clone()), None);
-    assert_eq!(directory.listed().collect::<Vec<_>>(), [&second]);
-    let listed = directory.replace(vec![run(1_500)], now);
+    assert!(!registry.is_current(&second));
+    assert_eq!(registry.put(second.clone()), Some(restarted));
+    assert!(
+        registry.is_current(&first),
+        "an earlier instance changes nothing"
+    );
+    assert_eq!(registry.put(first), None);
+    assert_eq!(registry.put(second.clone()), None);
+    assert_eq!(registry.listed().collect::<Vec<_>>(), [&second]);
+    let listed = registry.replace(vec![instance(1_500)], now);
     assert_eq!(listed, []);
-    assert_eq!(directory.listed().collect::<Vec<_>>(), [&second]);
+    assert_eq!(registry.listed().collect::<Vec<_>>(), [&second]);
 }
 
-/// Something else in place of a field, or the field left out.
+/// A value to put in place of a field, or `None` to leave the field out.
 fn spoil() -> impl Strategy<Value = Option<Value>> {
     let value = prop_oneof![
         Just(Value::Null),
@@ -215,7 +219,7 @@
     proptest::option::of(value)
 }
 
-/// Spoils one field and says what was spoiled.
+/// Replaces or removes one field of an entry, and returns the encoded entry.
 fn spoiled(mut entry: Value, field: usize, with: Option<Value>) -> Vec<u8> {
     let map = entry.as_object_mut().unwrap();
     let name = map.keys().nth(field % map.len()).unwrap().clone();
@@ -237,11 +241,11 @@
         flipped in any::<u8>(),
     ) {
         for value in [entry(), announcement(), bundle()] {
-            let whole = spoiled(value, field, with.clone());
-            let mut bent = whole.clone();
-            let at = cut % bent.len();
-            bent[at] ^= flipped;
-            for raw in [&whole[..], &whole[..at], &bent] {
+            let complete = spoiled(value, field, with.clone());
+            let mut altered = complete.clone();
+            let at = cut % altered.len();
+            altered[at] ^= flipped;
+            for raw in [&complete[..], &complete[..at], &altered] {
                 if let Ok(server) = read_server("i-1", raw) {
                     prop_assert!((1..=100_000).contains(&server.slots));
                     prop_assert!(server.cold_ms <= 3_600_000);
--- a/tests/tests/server_list.rs
+++ b/tests/tests/server_list.rs
@@ -1,4 +1,5 @@
-//! Which servers are there: entries that vanish, outages, and lapses that mean nothing.
+//! Which servers are in use when entries vanish: at once, around an outage of the store,
+//! and after it was restored from an older copy.
 
 use std::time::{Duration, Instant};
 
@@ -20,52 +21,59 @@
 }
 
 fn with(ids: &[&str]) -> ServerRegistry {
-    let mut directory = ServerRegistry::default();
+    let mut registry = ServerRegistry::default();
     for id in ids {
-        directory.put(record(id));
+        registry.put(record(id));
     }
-    directory
+    registry
 }
 
-fn gone(id: &str) -> RegistryChange {
+fn removed(id: &str) -> RegistryChange {
     RegistryChange::Removed(record(id))
 }
 
 #[test]
 fn an_entry_that_vanishes_from_a_sound_store_is_gone_at_once() {
     let now = Instant::now();
-    let mut directory = with(&["a", "b"]);
-    assert_eq!(directory.remove("a", now), Some(gone("a")));
-    assert_eq!(directory.len(), 1);
+    let mut registry = with(&["a", "b"]);
+    assert_eq!(registry.remove("a", now), Some(removed("a")));
+    assert_eq!(registry.len(), 1);
 }
 
 #[test]
 fn an_entry_that_lapsed_in_an_outage_has_two_seconds_to_come_back() {
     let now = Instant::now();
-    let mut directory = with(&["back", "lost"]);
-    directory.store_lost();
-    directory.store_recovered(now);
-    assert_eq!(directory.replace(Vec::new(), now), []);
+    let mut registry = with(&["back", "lost"]);
+    registry.store_lost();
+    registry.store_recovered(now);
+    assert_eq!(registry.replace(Vec::new(), now), []);
     let almost = now + STORE_RECOVERY_GRACE - Duration::from_millis(1);
-    assert_eq!(directory.settle(almost), []);
-    assert_eq!(directory.put(record("back")), None, "it was never gone");
-    assert_eq!(directory.settle(now + STORE_RECOVERY_GRACE), [gone("lost")]);
-    assert_eq!(directory.len(), 1);
+    assert_eq!(registry.settle(almost), []);
+    assert_eq!(
+        registry.put(record("back")),
+        None,
+        "the server was never removed"
+    );
+    assert_eq!(
+        registry.settle(now + STORE_RECOVERY_GRACE),
+        [removed("lost")]
+    );
+    assert_eq!(registry.len(), 1);
 }
 
 #[test]
 fn a_server_that_said_it_leaves_is_gone_also_in_an_outage() {
     let now = Instant::now();
-    let mut directory = with(&["a"]);
+    let mut registry = with(&["a"]);
     let leaving = ServerRecord {
         leaving: true,
         ..record("a")
     };
-    let told = directory.put(leaving.clone());
-    assert_eq!(told, Some(RegistryChange::Updated(leaving.clone())));
-    directory.store_lost();
+    let change = registry.put(leaving.clone());
+    assert_eq!(change, Some(RegistryChange::Updated(leaving.clone())));
+    registry.store_lost();
     assert_eq!(
-        directory.remove("a", now),
+        registry.remove("a", now),
         Some(RegistryChange::Removed(leaving))
     );
 }
@@ -73,131 +81,143 @@
 #[test]
 fn a_second_outage_before_the_grace_is_over_starts_it_anew() {
     let now = Instant::now();
-    let mut directory = with(&["a"]);
-    directory.store_lost();
-    directory.store_recovered(now);
-    directory.remove("a", now);
-    directory.store_lost();
-    assert_eq!(directory.settle(now + STORE_RECOVERY_GRACE), []);
-    let back = now + Duration::from_secs(5);
-    directory.store_recovered(back);
-    assert_eq!(directory.settle(back + Duration::from_secs(1)), []);
-    assert_eq!(directory.settle(back + STORE_RECOVERY_GRACE), [gone("a")]);
+    let mut registry = with(&["a"]);
+    registry.store_lost();
+    registry.store_recovered(now);
+    registry.remove("a", now);
+    registry.store_lost();
+    assert_eq!(registry.settle(now + STORE_RECOVERY_GRACE), []);
+    let recovered = now + Duration::from_secs(5);
+    registry.store_recovered(recovered);
+    assert_eq!(registry.settle(recovered + Duration::from_secs(1)), []);
+    assert_eq!(
+        registry.settle(recovered + STORE_RECOVERY_GRACE),
+        [removed("a")]
+    );
 }
 
 #[test]
 fn doubt_that_another_box_tells_of_holds_here_too() {
     let now = Instant::now();
-    let mut directory = with(&["a"]);
-    directory.store_read_by_peer(Duration::from_millis(800), now);
-    assert_eq!(directory.remove("a", now), None);
-    assert_eq!(directory.settle(now + Duration::from_millis(700)), []);
+    let mut registry = with(&["a"]);
+    registry.store_read_by_peer(Duration::from_millis(800), now);
+    assert_eq!(registry.remove("a", now), None);
+    assert_eq!(registry.settle(now + Duration::from_millis(700)), []);
     assert_eq!(
-        directory.settle(now + Duration::from_millis(800)),
-        [gone("a")]
+        registry.settle(now + Duration::from_millis(800)),
+        [removed("a")]
     );
 }
 
 #[test]
 fn what_is_left_of_a_cold_start_is_no_change() {
-    let mut directory = with(&[]);
+    let mut registry = with(&[]);
     let cold = |cold_ms| ServerRecord {
         cold_ms,
         ..record("a")
     };
-    assert!(directory.put(cold(3_000)).is_some());
-    assert!(directory.is_current(&cold(1_500)));
-    assert_eq!(directory.put(cold(1_500)), None);
+    assert!(registry.put(cold(3_000)).is_some());
+    assert!(registry.is_current(&cold(1_500)));
+    assert_eq!(registry.put(cold(1_500)), None);
     let leaving = ServerRecord {
         leaving: true,
         ..cold(0)
     };
-    assert!(!directory.is_current(&leaving));
-    assert!(directory.put(leaving).is_some());
+    assert!(!registry.is_current(&leaving));
+    assert!(registry.put(leaving).is_some());
 }
 
 #[test]
 fn server_that_turns_cold_again_is_a_change() {
-    let mut directory = with(&[]);
+    let mut registry = with(&[]);
     let cold = |cold_ms| ServerRecord {
         cold_ms,
         ..record("a")
     };
     let put = |cold_ms| Some(RegistryChange::Updated(cold(cold_ms)));
-    assert_eq!(directory.put(cold(3_000)), put(3_000));
-    assert_eq!(directory.put(cold(1_500)), None);
+    assert_eq!(registry.put(cold(3_000)), put(3_000));
+    assert_eq!(registry.put(cold(1_500)), None);
     assert!(
-        !directory.is_current(&cold(3_000)),
-        "in the middle of its start"
+        !registry.is_current(&cold(3_000)),
+        "a server that turns cold again before it is warm"
+    );
+    assert_eq!(registry.put(cold(3_000)), put(3_000));
+    assert_eq!(registry.put(cold(0)), put(0), "no longer cold");
+    assert_eq!(registry.put(cold(0)), None);
+    assert_eq!(
+        registry.put(cold(3_000)),
+        put(3_000),
+        "cold again after it was warm"
     );
-    assert_eq!(directory.put(cold(3_000)), put(3_000));
-    assert_eq!(directory.put(cold(0)), put(0), "cold no more");
-    assert_eq!(directory.put(cold(0)), None);
-    assert_eq!(directory.put(cold(3_000)), put(3_000), "once it was warm");
     let listed = vec![cold(3_000)];
-    assert_eq!(directory.replace(listed, Instant::now()), []);
+    assert_eq!(registry.replace(listed, Instant::now()), []);
 }
 
-/// A directory whose server was gone before the store was restored, and is listed again.
-fn restored_with_gone(id: &str, now: Instant) -> ServerRegistry {
-    let mut directory = with(&[id]);
-    assert_eq!(directory.remove(id, now), Some(gone(id)));
-    directory.store_restored(2, now);
-    assert_eq!(directory.replace(vec![record(id)], now), []);
-    directory
+/// A registry whose server was removed before the store was restored, and is listed
+/// again.
+fn restored_with_removed(id: &str, now: Instant) -> ServerRegistry {
+    let mut registry = with(&[id]);
+    assert_eq!(registry.remove(id, now), Some(removed(id)));
+    registry.store_restored(2, now);
+    assert_eq!(registry.replace(vec![record(id)], now), []);
+    registry
 }
 
 #[test]
 fn entry_of_a_gone_server_that_a_restore_brings_back_is_not_used() {
     let now = Instant::now();
-    let mut directory = restored_with_gone("a", now);
-    assert!(directory.is_empty());
+    let mut registry = restored_with_removed("a", now);
+    assert!(registry.is_empty());
     let almost = now + ENTRY_TTL - Duration::from_millis(1);
-    assert_eq!(directory.settle(almost), []);
-    // Another listing of the same era does not make it newer.
-    assert_eq!(directory.replace(vec![record("a")], almost), []);
-    assert_eq!(directory.remove("a", almost), None, "the entry has lapsed");
-    assert_eq!(directory.settle(now + ENTRY_TTL), []);
+    assert_eq!(registry.settle(almost), []);
+    // Another snapshot of the same era does not restart the time.
+    assert_eq!(registry.replace(vec![record("a")], almost), []);
+    assert_eq!(registry.remove("a", almost), None, "the entry has expired");
+    assert_eq!(registry.settle(now + ENTRY_TTL), []);
 }
 
 #[test]
 fn server_that_a_restore_brings_back_is_used_once_it_must_have_been_written() {
     let now = Instant::now();
-    let mut directory = restored_with_gone("a", now);
+    let mut registry = restored_with_removed("a", now);
     let put = RegistryChange::Updated(record("a"));
+    assert_eq!(registry.settle(now + ENTRY_TTL), std::slice::from_ref(&put));
+    let mut registry = restored_with_removed("a", now);
     assert_eq!(
-        directory.settle(now + ENTRY_TTL),
-        std::slice::from_ref(&put)
-    );
-    let mut directory = restored_with_gone("a", now);
-    assert_eq!(
-        directory.put(record("a")),
+        registry.put(record("a")),
         Some(put),
-        "it was written since"
+        "the entry was written after the restore"
     );
 }
 
 #[test]
 fn server_announced_in_the_seconds_that_a_restore_loses_stays_in_use() {
     let now = Instant::now();
-    let mut directory = with(&["kept", "lost"]);
-    directory.store_restored(2, now);
-    assert_eq!(directory.replace(vec![record("kept")], now), []);
-    assert_eq!(directory.len(), 2);
-    assert_eq!(directory.put(record("lost")), None, "it was never gone");
-    assert_eq!(directory.settle(now + STORE_RECOVERY_GRACE), []);
-    assert_eq!(directory.len(), 2);
+    let mut registry = with(&["kept", "lost"]);
+    registry.store_restored(2, now);
+    assert_eq!(registry.replace(vec![record("kept")], now), []);
+    assert_eq!(registry.len(), 2);
+    assert_eq!(
+        registry.put(record("lost")),
+        None,
+        "the server was never removed"
+    );
+    assert_eq!(registry.settle(now + STORE_RECOVERY_GRACE), []);
+    assert_eq!(registry.len(), 2);
 }
 
 #[test]
 fn box_that_starts_after_a_restore_is_told_of_missing_and_of_gone_servers() {
     let now = Instant::now();
-    let mut starts = ServerRegistry::default();
-    starts.store_read_by_peer(STORE_RECOVERY_GRACE, now);
-    let listing = vec![record("kept"), record("gone")];
-    let changes = starts.replace_restored(listing, &["gone".into()], now);
+    let mut starting = ServerRegistry::default();
+    starting.store_read_by_peer(STORE_RECOVERY_GRACE, now);
+    let snapshot = vec![record("kept"), record("gone")];
+    let changes = starting.replace_restored(snapshot, &["gone".into()], now);
     assert_eq!(changes, [RegistryChange::Updated(record("kept"))]);
-    let missing = starts.put_missing(record("missing"), now);
+    let missing = starting.put_missing(record("missing"), now);
     assert_eq!(missing, Some(RegistryChange::Updated(record("missing"))));
-    assert_eq!(starts.settle(now + STORE_RECOVERY_GRACE), [gone("missing")]);
+    assert_eq!(
+        starting.settle(now + STORE_RECOVERY_GRACE),
+        [removed("missing")]
+    );
 }
