--- a/crates/wingspur-state/src/bundle.rs
+++ b/crates/wingspur-state/src/bundle.rs
@@ -11,86 +11,90 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// The version; a box only ever takes a greater one.
+    /// The version; a box only activates a bundle with a greater one than its active
+    /// bundle.
     pub version: BundleVersion,
     /// The fleet that this bundle is for.
     pub fleet: String,
     /// The request header that names the caller's account.
     #[serde(default = "default_account_header")]
     pub account_header: String,
-    /// The services, each a concern of its own.
+    /// The services, each with its own servers, limits and rules.
     pub services: Vec<Service>,
-    /// What callers may send, and how long they may take.
+    /// Limits on the size and duration of what callers send.
     #[serde(default)]
     pub caller_limits: CallerLimits,
-    /// The client accounts; none where callers need no key.
+    /// The client accounts; `None` where callers need no key.
     #[serde(default)]
     pub client_accounts: Option<Vec<Arc<ClientAccount>>>,
     /// Routes by host and path prefix, which may divide their requests among services.
     ///
-    /// It stays the last field: boxes tell each other fields by their place, and one that is
-    /// left out would shift those after it.
+    /// This must stay the last field: boxes send each other the fields by position, and
+    /// one that is left out would shift those after it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub host_routes: Vec<HostRoute>,
 }
 
 /// A route by host and path prefix.
 ///
-/// Among the routes of a host, the one with the longest prefix of the path is taken.
+/// Among the routes of a host, the one with the longest matching prefix of the path is
+/// used.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostRoute {
     /// The name, for logs.
     pub name: String,
-    /// The host as callers name it, without a port.
+    /// The host as in the caller's request, without a port.
     pub host: String,
-    /// The beginning of the path; begins and ends with a slash.
+    /// The prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What kind of work this is.
+    /// The class of the route's requests.
     pub class: RouteClass,
     /// The services that share the requests, by weight.
     pub targets: Vec<RouteTarget>,
-    /// The longest time that a request may be held.
+    /// The maximum time that a request may be held, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most to its caller.
+    /// The latency target in milliseconds: an answer within it is worth most to its
+    /// caller.
     pub target_latency_ms: u64,
-    /// Servers that one request may be sent to.
+    /// The maximum number of servers that one request may be sent to.
     pub max_attempts: u8,
-    /// The rank where a service is short of room; 0 goes first.
+    /// The priority where a service is short of capacity; requests with 0 are served
+    /// first.
     pub priority: u8,
     /// Whether callers need no key here.
     #[serde(default)]
     pub open_to_all: bool,
 }
 
-/// A service's part of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTarget {
     /// The service's name.
     pub service: String,
-    /// Its part, relative to the others' weights.
+    /// The service's share, relative to the weights of the route's other targets.
     pub weight: u32,
 }
 
 impl RouteTarget {
-    /// The target of a route that leads to one service.
+    /// Returns the target of a route that leads to one service only.
     pub fn single(service: String) -> Self {
         Self { service, weight: 1 }
     }
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// The largest head, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub max_head_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a head may take to arrive.
+    /// How long a request's head may take to arrive, in milliseconds.
     pub head_timeout_ms: u64,
-    /// How long a connection may rest between two requests.
+    /// How long a connection may be idle between two requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -111,55 +115,57 @@
 pub struct Service {
     /// The name, unique in the bundle.
     pub name: String,
-    /// How much capacity ejections must leave.
+    /// The capacity that ejections must leave.
     pub floor: Floor,
-    /// How eagerly sick servers are ejected.
+    /// How readily failing servers are ejected.
     #[serde(default)]
     pub detection: Detection,
-    /// What one box lets through to the service at once.
+    /// The limits of one box for this service.
     #[serde(default)]
     pub limits: Limits,
-    /// Which failed attempts may be made again.
+    /// Which failed attempts may be retried, and how often.
     #[serde(default)]
     pub retry: RetryRules,
     /// The backend servers.
     pub servers: Vec<BackendServer>,
     /// The routes that lead to this service.
     pub routes: Vec<Route>,
-    /// Connections that each server accepts, where servers announce themselves.
+    /// Connections that each server accepts, where servers announce themselves; otherwise
+    /// `None`.
     #[serde(default)]
     pub server_connections: Option<u32>,
-    /// Requests a second that a server bears while it is cold; none where it is not limited.
+    /// Requests per second that a cold server can handle; `None` where they are not
+    /// limited.
     #[serde(default)]
     pub cold_requests_per_s: Option<f64>,
 }
 
 impl Service {
-    /// The slots of all servers together.
+    /// Returns the number of slots of all servers together.
     pub fn slots(&self) -> u32 {
         self.servers.iter().map(|server| server.slots).sum()
     }
 
-    /// The slots that ejections must leave in service.
+    /// Returns the number of slots that ejections must leave in service, rounded up.
     pub fn floor_slots(&self) -> u32 {
         let percent = u32::from(self.floor.healthy_slots_percent);
         (self.slots() * percent).div_ceil(100)
     }
 }
 
-/// The least healthy capacity of a service, which ejections never undercut.
+/// The minimum healthy capacity of a service; no ejection reduces it further.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Floor {
-    /// The share of the service's slots that must stay in, in percent.
+    /// The share of the service's slots that must stay in service, in percent.
     pub healthy_slots_percent: u8,
 }
 
-/// The operators' one knob for detection.
+/// The operators' only setting for the detection of failing servers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Detection {
-    /// False ejections allowed for one server in one day.
+    /// False ejections allowed per server and day.
     pub false_ejections_per_server_day: f64,
 }
 
@@ -171,15 +177,16 @@
     }
 }
 
-/// The limits of one box towards one service.
+/// The limits of one box for one service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests in flight at once.
+    /// The maximum number of requests in flight at once.
     pub concurrency: usize,
-    /// Requests that may wait for a place.
+    /// The maximum number of requests that wait until others finish.
     pub queue: usize,
-    /// Requests a second for one caller account; a burst of two seconds passes.
+    /// Requests per second for one caller account; a burst of two seconds' worth is
+    /// allowed.
     pub account_requests_per_s: f64,
 }
 
@@ -193,11 +200,11 @@
     }
 }
 
-/// Which attempts may be repeated, and how often.
+/// Which attempts may be retried, and how often.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryRules {
-    /// Attempts after the first.
+    /// The maximum number of attempts after the first.
     pub retries: u8,
     /// Retries allowed as a share of recent successes, in percent.
     pub budget_percent: u8,
@@ -223,11 +230,11 @@
     pub name: String,
     /// The IP address and port.
     pub address: std::net::SocketAddr,
-    /// Where it stands.
+    /// The data centre in which the server runs.
     pub data_centre: DataCentreId,
-    /// Requests that it works on at once.
+    /// Requests that the server works on at once.
     pub slots: u32,
-    /// Connections that it accepts from all boxes together.
+    /// Connections that the server accepts from all boxes together.
     pub connections: u32,
 }
 
@@ -235,36 +242,38 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The path; `{name}` stands for one segment, `{*rest}` for all that follow.
+    /// The path; `{name}` matches one segment, `{*rest}` all segments that follow.
     pub path: String,
-    /// The methods; a request by any other is refused.
+    /// The methods; a request with any other method is refused.
     pub methods: Vec<String>,
-    /// What kind of work this is.
+    /// The class of the route's requests.
     pub class: RouteClass,
-    /// Time from arrival to the answer's head (and body, but for downloads).
+    /// Time from a request's arrival to the end of its response, in milliseconds; for
+    /// downloads to the end of the response's head.
     pub deadline_ms: u64,
-    /// The header with the operation's key, for once-only routes.
+    /// The header with the operation's key, for once-only routes; the default is
+    /// `idempotency-key`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_header: Option<String>,
 }
 
 impl Route {
-    /// The deadline as a duration.
+    /// Returns the deadline as a duration.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 
-    /// The name of the header that carries the operation's key.
+    /// Returns the name of the header that carries the operation's key.
     pub fn key_header(&self) -> &str {
         self.key_header.as_deref().unwrap_or(DEFAULT_KEY_HEADER)
     }
 }
 
-/// The kinds of work, each with promises of its own.
+/// The classes of requests, each with its own guarantees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteClass {
-    /// May be repeated freely.
+    /// May be resent freely.
     Read,
     /// Must run at most once.
     OnceOnly,
@@ -273,12 +282,12 @@
 }
 
 impl RouteClass {
-    /// Whether an attempt that may have run may be made again.
+    /// Returns whether an attempt that may have run at a server may be retried.
     pub fn is_retry_safe(self) -> bool {
         !matches!(self, Self::OnceOnly)
     }
 
-    /// The class as the bundle spells it, for metric labels.
+    /// Returns the class as spelt in the bundle, for metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Read => "read",
--- a/crates/wingspur-state/src/bundle_patch.rs
+++ b/crates/wingspur-state/src/bundle_patch.rs
@@ -1,4 +1,4 @@
-//! What one bundle changes of the one before it.
+//! The changes from one bundle to the next.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -7,22 +7,23 @@
 
 use crate::{Bundle, BundleVersion, ClientAccount, HostRoute};
 
-/// The difference between two bundles, as far as their host routes and client accounts are
-/// concerned; all else is small and told whole.
+/// The difference between two bundles: changes of their host routes and client accounts,
+/// and all other fields in full, since these are small.
 ///
-/// Most changes touch one route of many: a bundle of 1,420 routes is told in 85 KB, and a
-/// change of three of them in 0.2 KB (encoded as between boxes).
+/// Most changes touch one route of many: a bundle of 1,420 routes takes 85 KB, and a
+/// change of three of them 0.2 KB (encoded as between boxes).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BundlePatch {
-    /// The version of the bundle that it changes.
+    /// The version of the bundle that the patch applies to.
     pub before: BundleVersion,
     /// The new bundle, without its host routes and client accounts.
     rest: Bundle,
     /// Host routes that are new or have changed.
     put: Vec<HostRoute>,
-    /// Host and path prefix of those that are gone.
+    /// Host and path prefix of the routes that were removed.
     removed: Vec<(String, String)>,
-    /// What becomes of the client accounts; none where there are none.
+    /// The changes of the client accounts; `None` where the new bundle declares no
+    /// accounts.
     accounts: Option<AccountsPatch>,
 }
 
@@ -31,20 +32,22 @@
 struct AccountsPatch {
     /// Accounts that are new or have changed.
     put: Vec<Arc<ClientAccount>>,
-    /// Names of those that are gone.
+    /// Names of the accounts that were removed.
     removed: Vec<String>,
 }
 
 impl BundlePatch {
-    /// What leads from one bundle to another; none where a host has a prefix twice, so that
-    /// the order of the routes counts.
+    /// Returns the patch from one bundle to another.
+    ///
+    /// `None` where one of them has two routes with the same host and prefix, since then
+    /// the order of the routes matters, or two accounts with the same name.
     pub fn between(before: &Bundle, after: &Bundle) -> Option<Self> {
         let old = by_key(&before.host_routes)?;
         let new = by_key(&after.host_routes)?;
         let has_changed = |route: &&HostRoute| old.get(&key(route)) != Some(route);
         let put = after.host_routes.iter().filter(has_changed);
-        let is_gone = |route: &&HostRoute| !new.contains_key(&key(route));
-        let removed = before.host_routes.iter().filter(is_gone);
+        let is_removed = |route: &&HostRoute| !new.contains_key(&key(route));
+        let removed = before.host_routes.iter().filter(is_removed);
         let owned = |route: &HostRoute| (route.host.clone(), route.path_prefix.clone());
         Some(Self {
             before: before.version,
@@ -55,13 +58,13 @@
         })
     }
 
-    /// The version of the new bundle.
+    /// Returns the version of the new bundle.
     pub fn version(&self) -> BundleVersion {
         self.rest.version
     }
 
-    /// The new bundle; its routes may stand in another order. None for another bundle than
-    /// the one that is changed.
+    /// Applies the patch and returns the new bundle, whose routes and accounts may be in
+    /// another order; `None` if `before` has another version than the patch applies to.
     pub fn apply(&self, before: &Bundle) -> Option<Bundle> {
         if before.version != self.before {
             return None;
@@ -94,23 +97,24 @@
     }
 }
 
-/// What becomes of the accounts; the outer none where a name stands twice.
+/// Returns the changes of the accounts. The inner `None` means that the new bundle
+/// declares no accounts, the outer one that two accounts of a bundle have the same name.
 fn accounts_between(before: &Bundle, after: &Bundle) -> Option<Option<AccountsPatch>> {
     let Some(new) = &after.client_accounts else {
         return Some(None);
     };
     let old = accounts_by_name(before.client_accounts.as_deref().unwrap_or_default())?;
-    let kept = accounts_by_name(new)?;
+    let new_names = accounts_by_name(new)?;
     let has_changed =
         |account: &&Arc<ClientAccount>| old.get(account.name.as_str()) != Some(account);
-    let gone = old.keys().filter(|name| !kept.contains_key(*name));
+    let removed = old.keys().filter(|name| !new_names.contains_key(*name));
     Some(Some(AccountsPatch {
         put: new.iter().filter(has_changed).cloned().collect(),
-        removed: gone.map(|name| (*name).to_owned()).collect(),
+        removed: removed.map(|name| (*name).to_owned()).collect(),
     }))
 }
 
-/// The accounts by name; none where two have the same.
+/// Returns the accounts by name; `None` if two have the same name.
 fn accounts_by_name(
     accounts: &[Arc<ClientAccount>],
 ) -> Option<HashMap<&str, &Arc<ClientAccount>>> {
@@ -128,7 +132,7 @@
     (&route.host, &route.path_prefix)
 }
 
-/// The routes by host and prefix; none where two have the same.
+/// Returns the routes by host and prefix; `None` if two have the same host and prefix.
 fn by_key(routes: &[HostRoute]) -> Option<HashMap<Key<'_>, &HostRoute>> {
     let by_key: HashMap<_, _> = routes.iter().map(|route| (key(route), route)).collect();
     (by_key.len() == routes.len()).then_some(by_key)
--- a/crates/wingspur-state/src/check.rs
+++ b/crates/wingspur-state/src/check.rs
@@ -1,4 +1,4 @@
-//! Whole-bundle checks: every finding names the field and the fix.
+//! Checks of a complete bundle: every finding names the field and the fix.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::{self, Display, Formatter};
@@ -23,7 +23,7 @@
     }
 }
 
-/// Checks a whole bundle and returns all findings at once.
+/// Checks a complete bundle and returns all findings.
 pub fn check_bundle(bundle: &Bundle) -> Vec<Finding> {
     let mut findings = Vec::new();
     if bundle.version == 0 {
@@ -59,13 +59,13 @@
         }
         check_service(&mut findings, &at, service);
     }
-    check_route_clashes(&mut findings, bundle);
+    check_route_conflicts(&mut findings, bundle);
     let accounts = bundle.client_accounts.as_deref().unwrap_or_default();
     findings.extend(check_accounts(accounts));
     findings
 }
 
-/// Checks the client accounts and returns all findings at once.
+/// Checks the client accounts and returns all findings.
 pub fn check_accounts(accounts: &[Arc<ClientAccount>]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut names = HashSet::new();
@@ -94,9 +94,9 @@
 fn check_account(findings: &mut Vec<Finding>, at: &str, account: &ClientAccount) {
     let is_visible = |byte: u8| byte.is_ascii_graphic();
     let length = account.name.len();
-    let fits = (1..=MOST_NAME_BYTES).contains(&length);
+    let fits = (1..=MAX_NAME_BYTES).contains(&length);
     if !fits || !account.name.bytes().all(is_visible) {
-        // It goes into a header.
+        // The name is sent to servers in a header.
         let found = format!("`{}`", account.name.escape_debug());
         let fix = "use 1 to 128 visible ASCII characters without blanks";
         report(findings, &format!("{at}.name"), &found, fix);
@@ -124,10 +124,15 @@
         let field = format!("{at}.floor.healthy_slots_percent");
         report(findings, &field, &percent.to_string(), "use 1 to 100");
     }
-    let knob = service.detection.false_ejections_per_server_day;
-    if !(1e-6..=100.0).contains(&knob) {
+    let false_ejections = service.detection.false_ejections_per_server_day;
+    if !(1e-6..=100.0).contains(&false_ejections) {
         let field = format!("{at}.detection.false_ejections_per_server_day");
-        report(findings, &field, &knob.to_string(), "use 0.000001 to 100");
+        report(
+            findings,
+            &field,
+            &false_ejections.to_string(),
+            "use 0.000001 to 100",
+        );
     }
     if service.limits.concurrency == 0 {
         let field = format!("{at}.limits.concurrency");
@@ -233,8 +238,9 @@
     }
 }
 
-/// Finds paths that cannot stand beside each other in one route table.
-fn check_route_clashes(findings: &mut Vec<Finding>, bundle: &Bundle) {
+/// Reports routes with the same method and path, and paths that cannot be in one route
+/// table.
+fn check_route_conflicts(findings: &mut Vec<Finding>, bundle: &Bundle) {
     let mut seen: HashMap<(&str, &str), String> = HashMap::new();
     for (s, service) in bundle.services.iter().enumerate() {
         for (r, route) in service.routes.iter().enumerate() {
@@ -249,16 +255,16 @@
         }
     }
     if findings.is_empty()
-        && let Err(clash) = RouteTable::new(bundle)
+        && let Err(conflict) = RouteTable::new(bundle)
     {
         let field = format!(
             "services[{}].routes[{}].path",
-            clash.at.service, clash.at.route
+            conflict.at.service, conflict.at.route
         );
         report(
             findings,
             &field,
-            &clash.to_string(),
+            &conflict.to_string(),
             "write both paths alike",
         );
     }
@@ -269,5 +275,5 @@
     findings.push(Finding { field, found, fix });
 }
 
-/// Headers of backend servers take more, but nobody needs a longer name.
-const MOST_NAME_BYTES: usize = 128;
+/// Backend servers accept longer headers, but no account needs a longer name.
+const MAX_NAME_BYTES: usize = 128;
--- a/crates/wingspur-state/src/fingerprint.rs
+++ b/crates/wingspur-state/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Tells one request from another across its caller's tries and over all boxes.
+//! Identifies a request by its content, across its caller's retries and at all boxes.
 
 use std::fmt::{self, Debug, Display, Formatter};
 use std::str::FromStr;
@@ -6,45 +6,46 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What a backend server is given to work on, as a number.
+/// A digest of the parts of a request that determine what a backend server does for it.
 ///
-/// Two tries of one request have the same fingerprint at any box, whatever their ids, their
-/// deadlines and the addresses they come from. It is a digest: logs and frames that hold it
-/// tell nothing of the path, the caller or the body.
+/// A request and its retries have the same fingerprint at any box, whatever their ids,
+/// their deadlines and the addresses they come from. As a digest it reveals nothing of
+/// the path, the caller or the body in logs and frames.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestFingerprint(u128);
 
-/// The text is no fingerprint.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a fingerprint; give 32 hexadecimal digits")]
 pub struct ParseFingerprintError;
 
-/// What makes a request the one that it is.
+/// The parts of a request that its fingerprint is made of.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestParts<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that it is for.
+    /// The host in the request.
     pub host: &'a str,
-    /// Path and query, as the caller wrote them.
+    /// Path and query, as the caller sent them.
     pub target: &'a str,
-    /// What names its caller to the server: the client account, or else what the caller's
-    /// headers say of it.
+    /// What identifies the caller to the server: the client account, or else the caller's
+    /// headers about itself.
     pub caller: &'a [u8],
-    /// The body, where it is held whole.
+    /// The body, where it is held completely; otherwise empty.
     pub body: &'a [u8],
-    /// The body's length, as far as it is known: all that tells a streamed one.
+    /// The body's length, if it is known. Of a streamed body nothing else is compared.
     pub body_bytes: Option<u64>,
 }
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let mut digest = Sha256::new();
         let texts = [parts.method, parts.host, parts.target];
         let fields = texts.map(str::as_bytes).into_iter();
         for field in fields.chain([parts.caller, parts.body]) {
-            // With its length before it, so that no two requests spell the same bytes.
+            // Each field is preceded by its length, so that different requests never give
+            // the same bytes.
             digest.update((field.len() as u64).to_be_bytes());
             digest.update(field);
         }
@@ -82,5 +83,5 @@
     }
 }
 
-/// A number of 128 bits.
+/// The hexadecimal digits of 128 bits.
 const TEXT_DIGITS: usize = 32;
--- a/crates/wingspur-state/src/host_routes.rs
+++ b/crates/wingspur-state/src/host_routes.rs
@@ -7,12 +7,13 @@
 /// Finds the host route of a request among tens of thousands.
 #[derive(Debug, Default)]
 pub struct HostRoutes {
-    /// For each host, the position of the route of each prefix.
+    /// For each host in lower case, the index of the route of each path prefix.
     hosts: HashMap<String, HashMap<String, usize>>,
 }
 
 impl HostRoutes {
-    /// Builds the table; a later route of the same host and prefix takes the place.
+    /// Builds the table; a later route replaces an earlier one with the same host and
+    /// prefix.
     pub fn new(routes: &[HostRoute]) -> Self {
         let mut hosts: HashMap<String, HashMap<String, usize>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
@@ -22,7 +23,8 @@
         Self { hosts }
     }
 
-    /// Finds the route of a request by its host, which may carry a port, and its path.
+    /// Returns the index of a request's route by its host, which may have a port, and its
+    /// path; `None` if no route matches.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.hosts.get(name) {
--- a/crates/wingspur-state/src/ids.rs
+++ b/crates/wingspur-state/src/ids.rs
@@ -1,26 +1,28 @@
-//! Type aliases for the ids that cross module borders.
+//! Type aliases for the ids that several modules use.
 
-/// Names an entry box; unique in a fleet, reused by the box's replacement.
+/// Identifies a box; unique in a fleet, and reused by the box's replacement.
 pub type BoxId = String;
-/// Names a data centre, as the settings and the bundle spell it.
+/// Identifies a data centre, as spelt in the settings and the bundle.
 pub type DataCentreId = String;
-/// Names a region.
+/// Identifies a region.
 pub type RegionId = String;
 /// The region of each data centre.
 pub type Regions = std::collections::BTreeMap<DataCentreId, RegionId>;
-/// The version of a bundle; only ever grows.
+/// The version of a bundle; it only increases.
 pub type BundleVersion = u64;
-/// The position of a service in the bundle in force.
+/// The index of a service in the active bundle.
 pub type ServiceIndex = usize;
-/// The position of a backend server in its service.
+/// The index of a backend server in its service.
 pub type ServerIndex = usize;
-/// Numbers an attempt within one box.
+/// Identifies an attempt within one box.
 pub type AttemptId = u64;
-/// Names one run of a backend server.
+/// Identifies a backend server; a new instance of the server may keep the id.
 pub type ServerId = String;
-/// Stands for a `ServerId` in tables and between boxes; see `server_key`.
+/// Identifies one instance of a backend server in tables and between boxes; see
+/// `server_key`.
 pub type ServerKey = u64;
-/// Stands for a `BoxId` between boxes: the hash of it.
+/// The hash of a `BoxId`, which identifies the box in messages between boxes.
 pub type BoxKey = u64;
-/// Names who tells of other boxes' work: a hub's start.
+/// Identifies the instance of a box that reports other boxes' work, such as a hub: the
+/// box's incarnation.
 pub type SourceId = u64;
--- a/crates/wingspur-state/src/lib.rs
+++ b/crates/wingspur-state/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of wingspur: pure functions of observations, time and a seed.
+//! The decisions of wingspur as pure functions of observations, time and a seed.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers of its own, so
-//! every decision can be replayed from a trace.
+//! Nothing here does I/O, reads a clock or has a random source of its own, so every
+//! decision can be replayed from a trace.
 
 mod account;
 mod account_limiter;
--- a/crates/wingspur-state/src/route.rs
+++ b/crates/wingspur-state/src/route.rs
@@ -1,4 +1,4 @@
-//! The route table: which route of which service a request takes.
+//! The route table, which maps a request to a route of a service.
 
 use std::collections::HashMap;
 
@@ -7,35 +7,36 @@
 /// Finds the route of a request among tens of thousands.
 #[derive(Debug)]
 pub struct RouteTable {
-    /// One trie for all paths; the value points into `paths`.
+    /// One trie for all paths; a value is an index into `paths`.
     trie: matchit::Router<usize>,
-    /// For each path, what each method leads to: few, so a list is smaller than a map.
+    /// For each path, the route of each method. The methods are few, so a list is smaller
+    /// than a map.
     paths: Vec<Vec<(Box<str>, RouteMatch)>>,
 }
 
-/// Where a request leads.
+/// The service and route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// The service's position in the bundle.
+    /// The service's index in the bundle.
     pub service: ServiceIndex,
-    /// The route's position in the service.
+    /// The route's index in the service.
     pub route: usize,
 }
 
-/// Two paths that cannot stand beside each other.
+/// The error for two paths that cannot be in one route table.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{path}` clashes with `{with}`")]
 pub struct RouteConflict {
-    /// Where the later of the two stands.
+    /// The position of the later route in the bundle.
     pub at: RouteMatch,
-    /// Its path.
+    /// The path of the later route.
     pub path: String,
-    /// The path before it.
+    /// The earlier path, or another reason why the later path is invalid.
     pub with: String,
 }
 
 impl RouteTable {
-    /// Builds the table.
+    /// Builds the table; fails if two paths conflict or a path is invalid.
     pub fn new(bundle: &Bundle) -> Result<Self, RouteConflict> {
         let mut table = Self {
             trie: matchit::Router::new(),
@@ -61,7 +62,10 @@
         Ok(table)
     }
 
-    /// Finds the route; `Ok(None)` means that the path is known by other methods.
+    /// Finds the route of a request.
+    ///
+    /// `None` means that no route has the path, `Some(None)` that the path is known, but
+    /// not with this method.
     pub fn find(&self, method: &str, path: &str) -> Option<Option<RouteMatch>> {
         let found = self.trie.at(path).ok()?;
         let methods = &self.paths[*found.value];
--- a/crates/wingspur-state/src/store_position.rs
+++ b/crates/wingspur-state/src/store_position.rs
@@ -1,16 +1,17 @@
-//! Points in the history of the store that announces bundles, servers and boxes.
+//! Positions in the history of the store in which bundles, servers and boxes are
+//! announced.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// Counts how often the store has come back from an older copy.
+/// A counter that increases each time the store is restored from an older copy.
 pub type StoreEra = u64;
 
-/// A point in the store's history.
+/// A position in the store's history.
 ///
-/// A restored store gives its revisions out again, so a revision means nothing without its
-/// era. Positions are ordered by era first.
+/// A restored store uses its revision numbers again, so a revision is meaningless without
+/// its era. Positions are ordered by era first.
 #[derive(
     Debug,
     Clone,
@@ -30,28 +31,29 @@
 }
 
 impl StorePosition {
-    /// The point right after a change of an era.
+    /// Returns the position right after the change with this revision in an era.
     pub fn new(era: StoreEra, revision: u64) -> Self {
         Self { era, revision }
     }
 
-    /// The point before all changes of an era. As the position of a key, it says that the
-    /// key does not exist.
+    /// Returns the position before all changes of an era. As the position of a key it
+    /// means that the key does not exist.
     pub fn start_of(era: StoreEra) -> Self {
         Self::new(era, 0)
     }
 
-    /// Whether nothing of the history is known yet.
+    /// Returns whether nothing of the era's history is known yet.
     pub fn is_start(&self) -> bool {
         self.revision == 0
     }
 
-    /// The era.
+    /// Returns the era.
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// The bare revision, for calls of the store only: it must not be compared with another.
+    /// Returns the revision without its era, for calls to the store only: it must not be
+    /// compared with another revision.
     pub fn wire_revision(&self) -> u64 {
         self.revision
     }
--- a/tests/tests/cases/mod.rs
+++ b/tests/tests/cases/mod.rs
@@ -1,4 +1,4 @@
-//! What each kind of data file states, and how it is checked.
+//! The formats of the data files, and how the cases in them are checked.
 
 use std::path::Path;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 type TestResult = datatest_stable::Result<()>;
 
-/// Settings or a bundle with the findings that it must give, all of them.
+/// Settings or a bundle with the complete list of findings that it must give.
 #[derive(Deserialize)]
 struct Checked {
     input: Value,
@@ -120,13 +120,13 @@
     .into())
 }
 
-/// A fault of the store at a moment of a bundle's way, and what must come of it.
+/// A fault of the store while a bundle is submitted or accepted, and the expected result.
 #[derive(Deserialize)]
 struct AcceptanceRow {
     fault: String,
     moment: String,
     outcome: String,
-    /// The version that stands in the store in the end.
+    /// The version that the store's pointer has in the end.
     version: u64,
 }
 
@@ -226,23 +226,25 @@
     }
 }
 
-/// Calls that the fault leaves unanswered end after this.
+/// Timeout of calls to the store that the fault leaves unanswered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A scenario with what must come of it, for each seed.
+/// A scenario with its expected result, for each seed.
 #[derive(Deserialize)]
 struct ScenarioCase {
     scenario: Scenario,
     seeds: Vec<u64>,
-    /// The servers that must be held back; no other may be, by any box.
+    /// The servers that all boxes must hold back; no box may hold back any other.
     held: Vec<usize>,
-    /// By when the last of the boxes holds each back, from the onset.
+    /// Maximum time from the start of the first fault until all boxes hold a server back,
+    /// in milliseconds.
     within_ms: f64,
-    /// The boxes that must; none means all.
+    /// The boxes that must hold the servers back; `None` means all.
     by_boxes: Option<Vec<usize>>,
 }
 
-/// Replays a scenario through the real tables and judge, in virtual time.
+/// Replays a scenario in virtual time through the production service tables and outlier
+/// detector.
 pub fn scenarios(path: &Path) -> TestResult {
     let case: ScenarioCase = read(path)?;
     let scenario = &case.scenario;
