--- a/crates/wingspur-state/src/account.rs
+++ b/crates/wingspur-state/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: who a key belongs to, and how much an account may ask for.
+//! Client accounts: which account a key belongs to, and how many requests it may send.
 
 use std::collections::HashMap;
 use std::fmt::{self, Debug, Formatter};
@@ -14,73 +14,76 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// The name, unique in the bundle; backend servers are told it.
+    /// The name, unique in the bundle. It is sent to backend servers.
     pub name: String,
     /// The SHA-256 digests of its keys.
     pub keys_sha256: Vec<KeyDigest>,
-    /// The rank of its requests, before that of their routes; 0 goes first.
+    /// The priority of its requests, which is compared before that of their routes; 0
+    /// goes first.
     #[serde(default)]
     pub priority: u8,
-    /// Requests a second that all boxes together let through; 0 for no limit.
+    /// Requests per second that all boxes together admit; 0 for no limit.
     #[serde(default)]
     pub requests_per_s: f64,
-    /// Requests that may come on top of that at once.
+    /// Requests that are admitted at once on top of that rate.
     #[serde(default)]
     pub burst: f64,
 }
 
-/// The SHA-256 digest of a key: what boxes keep and compare, so that no key can be read
-/// from a bundle, a log line or a frame, and how long a comparison takes tells nothing of it.
+/// The SHA-256 digest of a key. Boxes store and compare only digests, so that no key can
+/// be read from a bundle, a log line or a frame, and the time that a comparison takes
+/// reveals nothing about the key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; KEY_DIGEST_BYTES]);
 
-/// Finds the account of a key.
+/// Looks up client accounts by key or by quota.
 #[derive(Debug, Default)]
 pub struct AccountTable {
     by_key: HashMap<KeyDigest, Arc<ClientAccount>>,
-    by_allowance: HashMap<QuotaKey, Arc<ClientAccount>>,
+    by_quota: HashMap<QuotaKey, Arc<ClientAccount>>,
 }
 
 impl ClientAccount {
-    /// Whether there is a limit to what it may ask for.
+    /// Returns whether the account has a rate limit.
     pub fn is_limited(&self) -> bool {
         self.requests_per_s > 0.0
     }
 
-    /// The name of its allowance among boxes.
+    /// Returns the key of its quota, which identifies it between boxes.
     pub fn allowance(&self) -> QuotaKey {
         server_key(&format!("account/{}", self.name))
     }
 }
 
 impl AccountTable {
-    /// A table of some accounts.
+    /// Creates a table of the given accounts.
     pub fn new(accounts: &[Arc<ClientAccount>]) -> Self {
-        let rows = accounts.iter().flat_map(|account| {
+        let key_entries = accounts.iter().flat_map(|account| {
             let keys = account.keys_sha256.iter();
             keys.map(move |key| (*key, account.clone()))
         });
-        let named = accounts.iter();
-        let named = named.map(|account| (account.allowance(), account.clone()));
+        let quota_entries = accounts.iter();
+        let quota_entries =
+            quota_entries.map(|account| (account.allowance(), account.clone()));
         Self {
-            by_key: rows.collect(),
-            by_allowance: named.collect(),
+            by_key: key_entries.collect(),
+            by_quota: quota_entries.collect(),
         }
     }
 
-    /// The account that a key belongs to.
+    /// Returns the account that a key belongs to, `None` if there is none.
     pub fn find(&self, key: &KeyDigest) -> Option<&Arc<ClientAccount>> {
         self.by_key.get(key)
     }
 
-    /// The account that an allowance is of.
+    /// Returns the account that a quota belongs to, `None` if there is none.
     pub fn of_allowance(&self, key: QuotaKey) -> Option<&Arc<ClientAccount>> {
-        self.by_allowance.get(&key)
+        self.by_quota.get(&key)
     }
 }
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -88,7 +91,7 @@
 
 impl Debug for KeyDigest {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        // Enough to tell two apart.
+        // Eight hexadecimal digits are enough to tell two keys apart.
         write!(f, "KeyDigest({})", &hex::encode(self.0)[..8])
     }
 }
--- a/crates/wingspur-state/src/account_limiter.rs
+++ b/crates/wingspur-state/src/account_limiter.rs
@@ -1,4 +1,4 @@
-//! Limits: how much one caller account may take.
+//! Rate limits of caller accounts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,24 +12,26 @@
 #[derive(Debug, Clone, Copy)]
 struct AccountBucket {
     tokens: f64,
-    refilled: Instant,
+    refilled_at: Instant,
 }
 
 impl AccountLimiter {
-    /// Takes one request from the account's bucket; false when it is empty.
+    /// Takes one token from the account's bucket; returns false if it has less than one.
     pub fn take(&mut self, account: u64, requests_per_s: f64, now: Instant) -> bool {
-        let most = requests_per_s * BURST_S;
-        if self.buckets.len() >= MOST_ACCOUNTS && !self.buckets.contains_key(&account) {
-            self.forget_idle(now);
+        let capacity = requests_per_s * BURST_S;
+        if self.buckets.len() >= MAX_ACCOUNTS && !self.buckets.contains_key(&account) {
+            self.evict_idle(now);
         }
         let full = AccountBucket {
-            tokens: most,
-            refilled: now,
+            tokens: capacity,
+            refilled_at: now,
         };
         let bucket = self.buckets.entry(account).or_insert(full);
-        let passed = now.saturating_duration_since(bucket.refilled).as_secs_f64();
-        bucket.tokens = (bucket.tokens + passed * requests_per_s).min(most);
-        bucket.refilled = now;
+        let elapsed_s = now
+            .saturating_duration_since(bucket.refilled_at)
+            .as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed_s * requests_per_s).min(capacity);
+        bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             return false;
         }
@@ -37,23 +39,23 @@
         true
     }
 
-    /// Accounts held at present.
+    /// Returns the number of accounts that have a bucket.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether no account is held.
+    /// Returns whether no account has a bucket.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Drops buckets that have refilled, and all if none had: a full bucket and a
-    /// missing one decide alike.
-    fn forget_idle(&mut self, now: Instant) {
+    /// Removes buckets that have been idle long enough to be full again, and all buckets
+    /// if none has: a full bucket and a missing one decide the same.
+    fn evict_idle(&mut self, now: Instant) {
         let idle = Duration::from_secs_f64(BURST_S);
         self.buckets
-            .retain(|_, bucket| now.saturating_duration_since(bucket.refilled) < idle);
-        if self.buckets.len() >= MOST_ACCOUNTS {
+            .retain(|_, bucket| now.saturating_duration_since(bucket.refilled_at) < idle);
+        if self.buckets.len() >= MAX_ACCOUNTS {
             self.buckets.clear();
         }
     }
@@ -61,5 +63,5 @@
 
 /// A bucket holds this many seconds of the account's rate.
 const BURST_S: f64 = 2.0;
-/// Buckets kept at most; 32 bytes each with the map's overhead.
-const MOST_ACCOUNTS: usize = 65_536;
+/// Maximum number of buckets; each takes 32 bytes including the map's overhead.
+const MAX_ACCOUNTS: usize = 65_536;
--- a/crates/wingspur-state/src/fleet_retry_budget.rs
+++ b/crates/wingspur-state/src/fleet_retry_budget.rs
@@ -1,4 +1,5 @@
-//! The retry budget of a service, over all boxes and any span of the window's length.
+//! The retry budget of a service, over all boxes and over any time window of the
+//! configured length.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,15 +8,15 @@
 
 use crate::{ResendLedger, ServiceTally};
 
-/// What retries a service may be asked to bear.
+/// Limits on the resends that a service may receive.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryBudgetSettings {
-    /// Resends allowed as a share of the requests of callers.
+    /// Resends allowed per request of a caller, as a ratio.
     pub ratio: f64,
-    /// The span over which both are counted.
+    /// The length of the window over which both are counted, in seconds.
     pub window_s: f64,
-    /// Resends allowed in any window whatever the requests.
+    /// Resends allowed in any window on top of the ratio, over all boxes.
     pub slack: f64,
 }
 
@@ -29,101 +30,106 @@
     }
 }
 
-/// Counts a service's requests and resends and says whether one more resend is allowed.
+/// Counts a service's requests and resends and decides whether one more resend is
+/// allowed.
 ///
-/// A box spends from its own requests, and from its own part of the slack. So the sum over
-/// all boxes stays within the fleet's budget whatever they hear of each other, and however
-/// late. Boxes that spend from the sum of all counts pass the budget by 2 to 61 in 100 in a
-/// burst of resends that are not heard of yet, where a hub is lost with what its members told
-/// it, and after a loss of all boxes (15 plays of 40 boxes).
+/// A box spends from its own requests and from its own share of the slack. The sum over
+/// all boxes therefore stays within the fleet's budget, whatever the boxes know of each
+/// other and however late they know it. If each box spent from the sum of all counts, a
+/// fleet of 40 boxes would exceed the budget by 2 to 61 percent: in a burst of resends
+/// that have not been reported yet, when a hub is lost with the counts that its members
+/// sent it, and after a loss of all boxes.
 #[derive(Debug)]
 pub struct FleetRetryBudget {
     settings: RetryBudgetSettings,
     own: ServiceTally,
     changed: bool,
     ledger: ResendLedger,
-    /// What was counted here lately, and elsewhere.
-    own_lately: Window,
-    elsewhere_lately: Window,
-    /// When any source was heard, and how long it takes from one to the next on average.
-    updates: UpdateGap,
-    division: FleetSize,
+    /// Recent counts of this box, and below those of the other boxes.
+    recent_own: Window,
+    recent_remote: Window,
+    /// When the last report of any source arrived, and the mean interval between reports.
+    report_interval: ReportInterval,
+    fleet_size: FleetSize,
 }
 
-/// How the fleet is divided among data centres, each of which adds up its boxes' counts.
+/// The size of the fleet and the number of data centres, each of which sums up the counts
+/// of its boxes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
-    /// All boxes, this one included.
+    /// All boxes, including this one.
     pub boxes: usize,
     /// The data centres that have boxes.
     pub data_centres: usize,
 }
 
-/// How a box stands with the fleet, as far as the slack is concerned.
+/// A box's membership in the fleet, as far as the slack is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetMembership {
-    /// The boxes that the slack is divided among.
+    /// The number of boxes that the slack is divided among.
     pub boxes: usize,
-    /// Whether this box may use its part.
+    /// Whether this box may use its share of the slack.
     pub state: MembershipState,
 }
 
-/// Whether a box is in touch with the fleet.
+/// Whether a box is connected to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipState {
-    /// It does not hear all data centres.
+    /// The box does not receive reports from all data centres.
     Disconnected,
-    /// It does, but not for long: others may not count it yet, and what a former run of it
-    /// has spent may still count.
+    /// The box receives reports from all data centres, but only for a short time: other
+    /// boxes may not count it yet, and what an earlier instance of it spent may still
+    /// count.
     Joining,
-    /// It does, and all count it.
+    /// The box receives reports from all data centres, and all boxes count it.
     Joined,
 }
 
-/// How a service fares at present.
+/// The current load of a service, over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceLoad {
-    /// Requests of callers a second.
+    /// Requests of callers per second.
     pub requests_per_s: f64,
-    /// The share of them that get no good answer.
+    /// The fraction of them that get no good response.
     pub failure_ratio: f64,
-    /// Requests that boxes of this data centre are likely to have sent since this box last
-    /// heard of any.
+    /// Requests that the boxes of this data centre have probably sent since the last
+    /// report, estimated from the mean rate of a data centre and the mean interval
+    /// between reports.
     pub unreported_requests: f64,
 }
 
-/// How sure a resend is to help; the surer ones may use more of the budget.
+/// How certain a resend is to help; the more certain kind may use more of the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResendKind {
-    /// The former attempt is known not to have run, or has failed.
+    /// The previous attempt is known not to have run, or has failed.
     AfterFailure,
-    /// The former attempt may still be answered.
+    /// The previous attempt may still get a response.
     Hedge,
 }
 
-/// What the budget says to one more resend.
+/// Whether the budget allows one more resend, with the figures behind the decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetDecision {
-    /// Whether it is allowed.
+    /// Whether the resend is allowed.
     pub allowed: bool,
-    /// Resends of this box in the window that has least room.
+    /// Resends of this box in the window that has the least budget left.
     pub spent: u32,
-    /// What its requests allow there.
+    /// Resends that this box's requests allow in that window.
     pub credit: f64,
-    /// Its part of the slack.
+    /// This box's share of the slack, in resends; 0 unless it has joined the fleet.
     pub slack: f64,
-    /// How it stands with the fleet.
+    /// The box's membership in the fleet at the decision.
     pub membership: FleetMembership,
 }
 
-/// Counts in buckets, so that a window can slide.
+/// Counts in buckets by time, so that they can be summed over a sliding window.
 #[derive(Debug, Default)]
 struct Window {
     buckets: VecDeque<(Instant, ServiceTally)>,
 }
 
 impl Default for FleetSize {
-    /// A box alone.
+    /// A fleet of a single box.
     fn default() -> Self {
         Self {
             boxes: 1,
@@ -133,7 +139,8 @@
 }
 
 impl FleetMembership {
-    /// A box that knows nothing of the fleet yet: whether it is alone, it cannot know.
+    /// A box that has no information on the fleet yet: it cannot know whether it is the
+    /// only one.
     pub fn unknown() -> Self {
         Self {
             boxes: 1,
@@ -143,7 +150,7 @@
 }
 
 impl MembershipState {
-    /// The word for logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Disconnected => "out_of_touch",
@@ -154,224 +161,236 @@
 }
 
 impl BudgetDecision {
-    /// Resends that are allowed in the window.
+    /// Returns the resends that are allowed in the window.
     pub fn limit(&self) -> f64 {
         self.credit + self.slack
     }
 
-    /// Whether one more resend is within a share of the limit.
+    /// Returns whether one more resend stays within the given fraction of the limit.
     fn has_room(&self, share: f64) -> bool {
         f64::from(self.spent) + 1.0 <= self.limit() * share
     }
 }
 
 impl ResendKind {
-    /// The share of the budget that it may use.
+    /// Returns the fraction of the budget that this kind of resend may use.
     pub fn budget_share(self) -> f64 {
         match self {
             Self::AfterFailure => 1.0,
-            Self::Hedge => HEDGE_SHARE,
+            Self::Hedge => HEDGE_BUDGET_SHARE,
         }
     }
 }
 
 impl FleetRetryBudget {
-    /// Nothing counted yet.
+    /// Creates a budget with nothing counted yet.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
             settings,
             own: ServiceTally::default(),
             changed: false,
             ledger: ResendLedger::default(),
-            own_lately: Window::default(),
-            elsewhere_lately: Window::default(),
-            updates: UpdateGap::default(),
-            division: FleetSize::default(),
+            recent_own: Window::default(),
+            recent_remote: Window::default(),
+            report_interval: ReportInterval::default(),
+            fleet_size: FleetSize::default(),
         }
     }
 
-    /// Takes up changed settings.
+    /// Applies changed settings.
     pub fn set_settings(&mut self, settings: RetryBudgetSettings) {
         self.settings = settings;
     }
 
-    /// Notes how the fleet is divided.
-    pub fn set_division(&mut self, division: FleetSize) {
-        self.division = division;
+    /// Records the current size of the fleet.
+    pub fn set_division(&mut self, fleet_size: FleetSize) {
+        self.fleet_size = fleet_size;
     }
 
-    /// Counts a caller's request for the service.
+    /// Counts a caller's request to the service.
     pub fn count_request(&mut self, now: Instant) {
         self.ledger.count_request(now);
-        let one = ServiceTally {
+        let increment = ServiceTally {
             requests: 1,
             ..ServiceTally::default()
         };
-        self.count_own(one, now);
+        self.count_own(increment, now);
     }
 
-    /// Counts a caller's request that got no good answer.
+    /// Counts a caller's request that got no good response.
     pub fn count_failed_request(&mut self, now: Instant) {
-        let one = ServiceTally {
+        let increment = ServiceTally {
             lost: 1,
             ..ServiceTally::default()
         };
-        self.count_own(one, now);
+        self.count_own(increment, now);
     }
 
-    /// Counts one more resend if it is allowed: in one step, so that no two take the same.
+    /// Checks whether one more resend is allowed and, if so, counts it. Both happen in
+    /// one step, so that two requests cannot use the same unit of the budget.
     pub fn try_spend(
         &mut self,
-        use_: ResendKind,
-        standing: FleetMembership,
+        kind: ResendKind,
+        membership: FleetMembership,
         now: Instant,
     ) -> BudgetDecision {
-        let answer = self.check(use_, standing, now);
-        if answer.allowed {
-            self.ledger.send();
-            let one = ServiceTally {
+        let decision = self.check(kind, membership, now);
+        if decision.allowed {
+            self.ledger.count_resend();
+            let increment = ServiceTally {
                 resends: 1,
                 ..ServiceTally::default()
             };
-            self.count_own(one, now);
+            self.count_own(increment, now);
         }
-        answer
+        decision
     }
 
-    /// Counts one more resend that another box makes, if it is allowed.
+    /// Checks whether one more resend is allowed and, if so, counts it for another box
+    /// that makes it.
     pub fn try_lend(
         &mut self,
-        use_: ResendKind,
-        standing: FleetMembership,
+        kind: ResendKind,
+        membership: FleetMembership,
         now: Instant,
     ) -> BudgetDecision {
-        let answer = self.check(use_, standing, now);
-        if answer.allowed {
-            self.ledger.lend(now);
+        let decision = self.check(kind, membership, now);
+        if decision.allowed {
+            self.ledger.count_leased_resend(now);
         }
-        answer
+        decision
     }
 
-    /// Takes back resends that have surely reached no server.
+    /// Refunds resends that certainly reached no server.
     pub fn refund(&mut self, resends: u32) {
-        self.ledger.take_back(resends);
+        self.ledger.refund(resends);
     }
 
-    /// Notes the end of a request with so many resends, and so many attempts unanswered.
-    /// Until then each may still arrive, and the unanswered ones for a while after it.
+    /// Records the end of a request that had `resends` resends, and `unanswered` attempts
+    /// without a response. Until then each resend may still arrive at its server; after
+    /// it, the unanswered ones may for up to `MAX_RESEND_TRANSIT`.
     pub fn finish_request(&mut self, resends: u32, unanswered: u32, now: Instant) {
-        self.ledger.end(resends, unanswered, now);
+        self.ledger.finish_request(resends, unanswered, now);
     }
 
-    /// Whether one more resend would be allowed, with the figures that decide it.
+    /// Returns whether one more resend would be allowed, with the figures behind the
+    /// decision. Counts nothing as spent.
     pub fn check(
         &mut self,
-        use_: ResendKind,
-        standing: FleetMembership,
+        kind: ResendKind,
+        membership: FleetMembership,
         now: Instant,
     ) -> BudgetDecision {
         let window = Duration::from_secs_f64(self.settings.window_s);
-        self.ledger.forget(window, now);
+        self.ledger.evict_expired(window, now);
         let tightest = self.ledger.tightest(window, self.settings.ratio, now);
-        let slack = match standing.state {
-            MembershipState::Joined => self.settings.slack / standing.boxes.max(1) as f64,
+        let slack = match membership.state {
+            MembershipState::Joined => {
+                self.settings.slack / membership.boxes.max(1) as f64
+            }
             MembershipState::Joining | MembershipState::Disconnected => 0.0,
         };
-        let mut answer = BudgetDecision {
+        let mut decision = BudgetDecision {
             allowed: false,
             spent: tightest.spent,
             credit: tightest.credit,
             slack,
-            membership: standing,
+            membership,
         };
-        answer.allowed = answer.has_room(use_.budget_share());
-        answer
+        decision.allowed = decision.has_room(kind.budget_share());
+        decision
     }
 
-    /// How the service fares at present, over all boxes.
+    /// Returns the current load of the service, over all boxes.
     pub fn service_load(&self, now: Instant) -> ServiceLoad {
         let since = |span: Duration| {
-            let own = self.own_lately.since(span, now);
-            own.plus(&self.elsewhere_lately.since(span, now))
+            let own = self.recent_own.since(span, now);
+            own.plus(&self.recent_remote.since(span, now))
         };
-        let lost_share =
+        let failure_ratio =
             |sum: ServiceTally| f64::from(sum.lost) / f64::from(sum.requests).max(1.0);
-        let (last, both) = (since(PRESENT), since(2 * PRESENT));
-        let requests_per_s = f64::from(last.requests) / PRESENT.as_secs_f64();
-        let here_per_s = requests_per_s / self.division.data_centres.max(1) as f64;
+        let (last, last_two) = (since(LOAD_WINDOW), since(2 * LOAD_WINDOW));
+        let requests_per_s = f64::from(last.requests) / LOAD_WINDOW.as_secs_f64();
+        let data_centre_per_s =
+            requests_per_s / self.fleet_size.data_centres.max(1) as f64;
         ServiceLoad {
             requests_per_s,
-            failure_ratio: lost_share(last).max(lost_share(both)),
-            unreported_requests: here_per_s * self.updates.gap.as_secs_f64(),
+            failure_ratio: failure_ratio(last).max(failure_ratio(last_two)),
+            unreported_requests: data_centre_per_s
+                * self.report_interval.mean.as_secs_f64(),
         }
     }
 
-    /// Takes in what a source's boxes have counted since it was last heard.
-    pub fn merge_remote_counts(&mut self, updates: ServiceTally, now: Instant) {
+    /// Adds what the boxes of a source have counted since its last report.
+    pub fn merge_remote_counts(&mut self, tally: ServiceTally, now: Instant) {
         self.record_report(now);
-        self.elsewhere_lately.add(updates, now);
+        self.recent_remote.add(tally, now);
     }
 
-    /// Notes that a source has been heard, though nothing was counted.
+    /// Records that a report of a source arrived, even if it had no counts.
     pub fn record_report(&mut self, now: Instant) {
-        self.updates.follow(now);
+        self.report_interval.record(now);
     }
 
-    /// The boxes of the fleet.
+    /// Returns the number of boxes in the fleet.
     pub fn boxes(&self) -> usize {
-        self.division.boxes
+        self.fleet_size.boxes
     }
 
-    /// This box's counts, if they have changed since they were last taken.
+    /// Returns this box's counts since its start if they have changed since the last
+    /// call, `None` otherwise.
     pub fn take_change(&mut self) -> Option<ServiceTally> {
         std::mem::take(&mut self.changed).then_some(self.own)
     }
 
-    /// This box's counts.
+    /// Returns this box's counts since its start.
     pub fn own(&self) -> ServiceTally {
         self.own
     }
 
-    fn count_own(&mut self, one: ServiceTally, now: Instant) {
-        self.own = self.own.plus(&one);
-        self.own_lately.add(one, now);
+    fn count_own(&mut self, increment: ServiceTally, now: Instant) {
+        self.own = self.own.plus(&increment);
+        self.recent_own.add(increment, now);
         self.changed = true;
     }
 }
 
-/// How long it takes from one piece of news to the next.
+/// The mean interval between reports of other sources.
 #[derive(Debug, Default)]
-struct UpdateGap {
+struct ReportInterval {
     last: Option<Instant>,
-    gap: Duration,
+    mean: Duration,
 }
 
-impl UpdateGap {
-    /// Takes in that news came; several pieces at the same time are one.
-    fn follow(&mut self, now: Instant) {
-        let before = self.last.replace(now);
-        let Some(gap) = before.map(|before| now.saturating_duration_since(before)) else {
+impl ReportInterval {
+    /// Records the arrival of a report; several at the same time count as one.
+    fn record(&mut self, now: Instant) {
+        let previous = self.last.replace(now);
+        let Some(interval) =
+            previous.map(|previous| now.saturating_duration_since(previous))
+        else {
             return;
         };
-        if !gap.is_zero() {
-            let gap = gap.min(MOST_UPDATE_GAP);
-            self.gap = self.gap.mul_f64(1.0 - GAP_WEIGHT) + gap.mul_f64(GAP_WEIGHT);
+        if !interval.is_zero() {
+            let interval = interval.min(MAX_REPORT_INTERVAL);
+            self.mean = self.mean.mul_f64(1.0 - REPORT_INTERVAL_WEIGHT)
+                + interval.mul_f64(REPORT_INTERVAL_WEIGHT);
         }
     }
 }
 
 impl Window {
-    fn add(&mut self, updates: ServiceTally, now: Instant) {
-        self.forget(now);
+    fn add(&mut self, tally: ServiceTally, now: Instant) {
+        self.evict_expired(now);
         match self.buckets.back_mut() {
             Some((at, counts)) if now.saturating_duration_since(*at) < BUCKET => {
-                *counts = counts.plus(&updates);
+                *counts = counts.plus(&tally);
             }
-            _ => self.buckets.push_back((now, updates)),
+            _ => self.buckets.push_back((now, tally)),
         }
     }
 
-    /// The counts of the last while.
+    /// Returns the sum of the buckets that started within the last `span`.
     fn since(&self, span: Duration, now: Instant) -> ServiceTally {
         let newest_first = self.buckets.iter().rev();
         let recent =
@@ -379,23 +398,25 @@
         recent.fold(ServiceTally::default(), |sum, (_, counts)| sum.plus(counts))
     }
 
-    fn forget(&mut self, now: Instant) {
-        let past = |(at, _): &(Instant, ServiceTally)| {
-            now.saturating_duration_since(*at) > 2 * PRESENT + BUCKET
+    fn evict_expired(&mut self, now: Instant) {
+        let is_expired = |(at, _): &(Instant, ServiceTally)| {
+            now.saturating_duration_since(*at) > 2 * LOAD_WINDOW + BUCKET
         };
-        while self.buckets.front().is_some_and(past) {
+        while self.buckets.front().is_some_and(is_expired) {
             self.buckets.pop_front();
         }
     }
 }
 
 const BUCKET: Duration = Duration::from_millis(250);
-/// Ten gaps make the mean.
-const GAP_WEIGHT: f64 = 0.1;
-/// A link that was silent for longer is taken for broken.
-const MOST_UPDATE_GAP: Duration = Duration::from_secs(1);
-/// What counts as the present: half of the span over which the floor is held, so that a
-/// loss shows early, and the whole of it, so that it shows to its end.
-const PRESENT: Duration = Duration::from_secs(1);
-/// Hedges leave a part to resends that are sure to help.
-const HEDGE_SHARE: f64 = 0.7;
+/// Weight of the newest interval in the mean, which so spans about ten intervals.
+const REPORT_INTERVAL_WEIGHT: f64 = 0.1;
+/// Longer intervals count as this long: a link that was silent for longer is considered
+/// broken.
+const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time over which the current load is computed. It is half of the span over which the
+/// floor of servers in use is held, so that a loss shows early; failures are also
+/// computed over the whole span, so that a loss shows until it ends.
+const LOAD_WINDOW: Duration = Duration::from_secs(1);
+/// Hedges leave part of the budget to resends that are certain to help.
+const HEDGE_BUDGET_SHARE: f64 = 0.7;
--- a/crates/wingspur-state/src/lease_client.rs
+++ b/crates/wingspur-state/src/lease_client.rs
@@ -1,234 +1,256 @@
-//! What a box borrows of one allowance: what is urgent at once, and a small stock.
+//! A box's client side of quota leases for one quota: on-demand tokens and prefetched
+//! ones.
 
 use std::time::{Duration, Instant};
 
 use crate::{PREFETCH_LEASE_TTL, PrefetchGrant, PrefetchedQuota};
 
-/// A box's dealings with its hub about one allowance.
+/// Requests tokens of one quota from the box's hub, and holds what the hub leases.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseClient {
-    stock: PrefetchedQuota,
+    prefetched: PrefetchedQuota,
     demand: Demand,
-    asked_stock: Option<Asked>,
-    asked_urgent: Option<Asked>,
+    pending_prefetch: Option<PendingRequest>,
+    pending_on_demand: Option<PendingRequest>,
     refused: Option<Refused>,
-    /// What was lent for requests that had given up, and until when it may be spent.
-    spare: Option<(u32, Instant)>,
-    /// When it was last wanted.
-    wanted: Option<Instant>,
+    /// On-demand tokens whose requests have given up, and until when they may be spent.
+    unused: Option<(u32, Instant)>,
+    /// When a token was last wanted.
+    last_wanted_at: Option<Instant>,
 }
 
-/// What came of wanting one.
+/// The result of trying to acquire one token.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AcquireOutcome {
-    /// There was one.
+    /// A token was available and is spent.
     Acquired,
-    /// There is none, over all boxes; there should be after a time.
+    /// No box has a token left. There should be one after this time.
     Refused(Duration),
-    /// Nobody can tell.
+    /// It is not known whether there is one.
     Unknown,
-    /// The answer of another box is to be waited for.
+    /// The hub has to be asked, and its response waited for.
     Pending,
 }
 
-/// A question for the hub.
+/// A request for the hub.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseDemand {
-    /// For so many that are spent at once.
+    /// So many tokens for requests that are waiting now.
     OnDemand(u32),
-    /// For the stock: what is held, and what is wanted on top.
+    /// Prefetched tokens.
     Prefetch {
-        /// What is held.
+        /// The prefetched tokens that the box holds.
         held: f64,
-        /// What is wanted on top.
+        /// The tokens that it wants in addition.
         wanted: f64,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingRequest {
     number: u32,
-    urgent: u32,
-    at: Instant,
+    tokens: u32,
+    sent_at: Instant,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Refused {
     until: Instant,
-    /// When there should be more; none where the hub cannot tell.
+    /// When there should be more; `None` if the hub does not know.
     more_at: Option<Instant>,
 }
 
-/// How often one is wanted, over the last seconds.
+/// How often a token was wanted over the last few seconds.
 #[derive(Debug, Clone, Copy, Default)]
 struct Demand {
     count: f64,
-    at: Option<Instant>,
+    last_at: Option<Instant>,
 }
 
 impl LeaseClient {
-    /// Wants one.
+    /// Tries to acquire one token for a request.
     pub fn try_acquire(&mut self, now: Instant) -> AcquireOutcome {
         self.demand.count(now);
-        self.wanted = Some(now);
-        if self.take_spare(now) || self.stock.take(now) {
+        self.last_wanted_at = Some(now);
+        if self.take_unused(now) || self.prefetched.take(now) {
             return AcquireOutcome::Acquired;
         }
         self.refusal(now).unwrap_or(AcquireOutcome::Pending)
     }
 
-    /// Keeps what was lent for requests that have given up meanwhile, for those that come
-    /// while it may still be spent.
+    /// Keeps `count` on-demand tokens, whose requests have given up meanwhile, for
+    /// requests that arrive until `ends`. Replaces any kept before.
     pub fn retain_unused(&mut self, count: u32, ends: Instant) {
-        self.spare = (count > 0).then_some((count, ends));
+        self.unused = (count > 0).then_some((count, ends));
     }
 
-    fn take_spare(&mut self, now: Instant) -> bool {
-        let Some((count, ends)) = self.spare.filter(|(_, ends)| *ends >= now) else {
+    fn take_unused(&mut self, now: Instant) -> bool {
+        let Some((count, ends)) = self.unused.filter(|(_, ends)| *ends >= now) else {
             return false;
         };
         self.retain_unused(count - 1, ends);
         true
     }
 
-    /// What who waits is told, if that is known by now.
+    /// Returns what a waiting request is to be told if the hub has recently refused,
+    /// `None` otherwise.
     pub fn refusal(&self, now: Instant) -> Option<AcquireOutcome> {
         let refused = self.refused.filter(|refused| refused.until > now)?;
         let more_in = refused.more_at.map(|at| at.saturating_duration_since(now));
         Some(more_in.map_or(AcquireOutcome::Unknown, AcquireOutcome::Refused))
     }
 
-    /// What to ask the hub now, by a number of its own, while so many requests wait; none
-    /// where the stock does, or an answer is to come.
+    /// Returns the request to send to the hub now, and remembers it under `number`.
+    /// `waiting` is the number of requests that wait for a token. `None` if no request is
+    /// needed, or if the response to an earlier one is outstanding.
     pub fn next_request(
         &mut self,
         number: u32,
         waiting: u32,
-        may_be_stocked: bool,
+        may_prefetch: bool,
         now: Instant,
     ) -> Option<LeaseDemand> {
-        let asked = Asked {
+        let pending = PendingRequest {
             number,
-            urgent: waiting,
-            at: now,
+            tokens: waiting,
+            sent_at: now,
         };
-        let is_out = |asked: Option<Asked>, patience| {
-            asked.is_some_and(|asked| asked.at + patience > now)
+        let is_pending = |pending: Option<PendingRequest>, timeout| {
+            pending.is_some_and(|pending| pending.sent_at + timeout > now)
         };
         let is_refused = self.refusal(now).is_some();
-        if waiting > 0 && !is_refused && !is_out(self.asked_urgent, URGENT_ANSWER_LOST) {
-            self.asked_urgent = Some(asked);
+        if waiting > 0
+            && !is_refused
+            && !is_pending(self.pending_on_demand, ON_DEMAND_RESPONSE_TIMEOUT)
+        {
+            self.pending_on_demand = Some(pending);
             return Some(LeaseDemand::OnDemand(waiting));
         }
-        let (held, lasts) = self.stock.remaining(now);
-        let target = self.demand.per_s(now) * STOCKED_S;
-        let is_used =
-            may_be_stocked && self.wanted.is_some_and(|at| at + STOCK_KEPT_FOR > now);
-        let is_worth_it = target >= LEAST_STOCK;
-        let is_short = held + LEAST_WANTED < target || lasts < RENEWED_BEFORE;
-        if !is_used
-            || !is_worth_it
-            || !is_short
-            || is_out(self.asked_stock, STOCK_ANSWER_LOST)
+        let (held, valid_for) = self.prefetched.remaining(now);
+        let target = self.demand.per_s(now) * PREFETCH_TARGET_S;
+        let is_in_use = may_prefetch
+            && self
+                .last_wanted_at
+                .is_some_and(|at| at + PREFETCH_IDLE_TIMEOUT > now);
+        let is_worthwhile = target >= MIN_PREFETCH_TARGET;
+        let needs_tokens =
+            held + MIN_TOP_UP < target || valid_for < PREFETCH_RENEWAL_MARGIN;
+        if !is_in_use
+            || !is_worthwhile
+            || !needs_tokens
+            || is_pending(self.pending_prefetch, PREFETCH_RESPONSE_TIMEOUT)
         {
             return None;
         }
-        self.asked_stock = Some(asked);
+        self.pending_prefetch = Some(pending);
         Some(LeaseDemand::Prefetch {
             held,
             wanted: (target - held).max(0.0),
         })
     }
 
-    /// Takes in what the hub lends for the stock. An answer to an earlier question than the
-    /// last is void: the lender has heard since what is held without it.
+    /// Applies the hub's response to the prefetch request `number`. The response to any
+    /// but the last request is ignored: the allocator has since been sent the amount held
+    /// without it.
     pub fn apply_prefetch_grant(
         &mut self,
         number: u32,
-        stocked: &PrefetchGrant,
+        grant: &PrefetchGrant,
         now: Instant,
     ) {
-        let asked = self.asked_stock.filter(|asked| asked.number == number);
-        let Some(asked) = asked else { return };
-        self.asked_stock = None;
-        if stocked.amount > 0.0 || stocked.renewed {
-            let ends = asked.at + PREFETCH_LEASE_TTL;
-            self.stock.add(stocked.amount, stocked.renewed, ends, now);
+        let pending = self
+            .pending_prefetch
+            .filter(|pending| pending.number == number);
+        let Some(pending) = pending else { return };
+        self.pending_prefetch = None;
+        if grant.amount > 0.0 || grant.renewed {
+            let ends = pending.sent_at + PREFETCH_LEASE_TTL;
+            self.prefetched.add(grant.amount, grant.renewed, ends, now);
         }
     }
 
-    /// Takes in what the hub lends of what is urgent, and when it should have more; returns
-    /// how many of the waiting requests may go, and until when. What is late is void: nobody
-    /// counts it.
+    /// Applies the hub's response to the on-demand request `number`: the tokens granted,
+    /// and in how long there should be more, if known. Returns how many of the waiting
+    /// requests may proceed, and until when; `None` if there are none, or if the response
+    /// is too late or not to the last request. Late tokens are void, since no box counts
+    /// them.
     pub fn apply_on_demand_grant(
         &mut self,
         number: u32,
-        lent: u32,
+        granted: u32,
         more_in: Option<Duration>,
         now: Instant,
     ) -> Option<(u32, Instant)> {
-        let asked = self.asked_urgent.filter(|asked| asked.number == number)?;
-        self.asked_urgent = None;
-        if lent < asked.urgent {
-            let pause = more_in.unwrap_or_default();
+        let pending = self
+            .pending_on_demand
+            .filter(|pending| pending.number == number)?;
+        self.pending_on_demand = None;
+        if granted < pending.tokens {
+            let retry_in = more_in.unwrap_or_default();
             self.refused = Some(Refused {
-                until: now + pause.clamp(LEAST_REFUSED, MOST_REFUSED),
+                until: now + retry_in.clamp(MIN_REFUSAL_TTL, MAX_REFUSAL_TTL),
                 more_at: more_in.map(|more_in| now + more_in),
             });
         }
-        let ends = asked.at + ON_DEMAND_LEASE_TTL;
-        (ends >= now && lent > 0).then_some((lent, ends))
+        let ends = pending.sent_at + ON_DEMAND_LEASE_TTL;
+        (ends >= now && granted > 0).then_some((granted, ends))
     }
 
-    /// Whether there is nothing to remember.
+    /// Returns whether no token was wanted for `IDLE_AFTER`, so that nothing is left to
+    /// remember.
     pub fn is_idle(&self, now: Instant) -> bool {
-        let rested = |at: Instant| now.saturating_duration_since(at) >= FORGOTTEN_AFTER;
-        self.wanted.is_none_or(rested)
+        let was_idle = |at: Instant| now.saturating_duration_since(at) >= IDLE_AFTER;
+        self.last_wanted_at.is_none_or(was_idle)
     }
 }
 
 impl Demand {
     fn count(&mut self, now: Instant) {
-        self.count = self.left(now) + 1.0;
-        self.at = Some(now);
+        self.count = self.decayed_count(now) + 1.0;
+        self.last_at = Some(now);
     }
 
     fn per_s(&self, now: Instant) -> f64 {
-        self.left(now) / DEMAND_SPAN_S
+        self.decayed_count(now) / DEMAND_TIME_CONSTANT_S
     }
 
-    /// The count, faded with time.
-    fn left(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else { return 0.0 };
-        let passed_s = now.saturating_duration_since(at).as_secs_f64();
-        self.count * (-passed_s / DEMAND_SPAN_S).exp()
+    /// Returns the count, which decays exponentially with time.
+    fn decayed_count(&self, now: Instant) -> f64 {
+        let Some(at) = self.last_at else { return 0.0 };
+        let elapsed_s = now.saturating_duration_since(at).as_secs_f64();
+        self.count * (-elapsed_s / DEMAND_TIME_CONSTANT_S).exp()
     }
 }
 
-/// What is lent for urgent requests is spent within this after it was asked for, or never.
+/// On-demand tokens are spent within this time after they were requested, or never.
 pub const ON_DEMAND_LEASE_TTL: Duration = Duration::from_millis(200);
-/// The stock is for so long: a hub that is lost has a successor after about a second.
-const STOCKED_S: f64 = 1.0;
-/// A smaller stock is not worth it: what one box holds no other can use.
-const LEAST_STOCK: f64 = 2.0;
-/// Less than this is not asked for.
-const LEAST_WANTED: f64 = 0.5;
-/// What is wanted is reckoned over about so many seconds: a box sees some accounts less than
-/// once a second.
-const DEMAND_SPAN_S: f64 = 2.0;
-/// An answer takes a millisecond or two, some more where other hubs are asked or the hub is
-/// busy; one that comes later is void, and another question is asked.
-const URGENT_ANSWER_LOST: Duration = ON_DEMAND_LEASE_TTL;
-/// What is asked for the stock waits for a frame each way, a fifth of a second at the most.
-const STOCK_ANSWER_LOST: Duration = Duration::from_millis(500);
-/// For how long a refusal is taken for the answer to all that come meanwhile: so that an
-/// account far over its limit costs each box a few questions a second, not one a request.
-const LEAST_REFUSED: Duration = Duration::from_millis(30);
-const MOST_REFUSED: Duration = Duration::from_millis(100);
-/// A stock that was not wanted for so long ends; each box sees some accounts now and then
-/// only.
-const STOCK_KEPT_FOR: Duration = Duration::from_secs(6);
-/// A stock is renewed before it ends: an answer may take half a second.
-const RENEWED_BEFORE: Duration = Duration::from_millis(1200);
-/// Longer than any stock lasts.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+/// Prefetched tokens are to last for so long: after about a second, another hub has taken
+/// over from a lost one.
+const PREFETCH_TARGET_S: f64 = 1.0;
+/// In tokens. Fewer are not prefetched, since no other box can use what one box holds.
+const MIN_PREFETCH_TARGET: f64 = 2.0;
+/// In tokens. Prefetched quota is not topped up while it is short of the target by less
+/// than this.
+const MIN_TOP_UP: f64 = 0.5;
+/// Time constant of the demand estimate. A box sees some accounts less than once a
+/// second.
+const DEMAND_TIME_CONSTANT_S: f64 = 2.0;
+/// A response takes one or two milliseconds, and longer where other hubs are asked or the
+/// hub is busy. A later one is void, and another request is sent.
+const ON_DEMAND_RESPONSE_TIMEOUT: Duration = ON_DEMAND_LEASE_TTL;
+/// A prefetch request and its response each wait for a frame, a fifth of a second at
+/// most.
+const PREFETCH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// A refusal applies to all requests that arrive within this minimum and maximum time. An
+/// account far over its limit therefore costs each box a few lease requests per second
+/// instead of one for each request.
+const MIN_REFUSAL_TTL: Duration = Duration::from_millis(30);
+const MAX_REFUSAL_TTL: Duration = Duration::from_millis(100);
+/// Prefetching stops when no token was wanted for so long. Each box sees some accounts
+/// only occasionally.
+const PREFETCH_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Prefetched tokens are renewed this long before they expire: a response may take half a
+/// second.
+const PREFETCH_RENEWAL_MARGIN: Duration = Duration::from_millis(1200);
+/// Longer than the lifetime of any prefetched tokens.
+const IDLE_AFTER: Duration = Duration::from_secs(10);
--- a/crates/wingspur-state/src/quota_pool.rs
+++ b/crates/wingspur-state/src/quota_pool.rs
@@ -1,10 +1,12 @@
-//! Parts of a fleet-wide allowance, refilled where boxes add up and lent where they are needed.
+//! Token buckets for the boxes' shares of fleet-wide quotas, from which quota is leased
+//! to other boxes.
 //!
-//! An allowance grants so much a second over all boxes, and so much at once on top. Nobody
-//! holds the whole: each box has a part of it, and a hub those of the boxes that leave theirs
-//! to it. A part refills what its share of the rate earns, holds no more than its share of the
-//! depth, and lends of that. Why no span holds more than the rate earns and the depth, with
-//! what befalls boxes and links, is proved in `docs/design/allowances.md`.
+//! A quota grants a rate and a burst over all boxes. No box holds all of it: each box has
+//! a share, and a hub also has the shares of the boxes that delegate theirs to it. The
+//! pool of a share refills at that share of the rate, holds at most that share of the
+//! burst, and grants leases from what it holds. `docs/design/allowances.md` proves that
+//! no span of time holds more than the rate earns plus the burst, whatever happens to
+//! boxes and links.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -13,105 +15,109 @@
 
 use crate::{ClientAccount, ShareHistory, ShareTimestamp};
 
-/// Names an allowance among boxes: the hash of the account's name.
+/// Identifies a quota between boxes: the hash of the name of its account or server.
 pub type QuotaKey = u64;
-/// Names who borrows, at the lender.
+/// Identifies the box that holds a lease, at the allocator.
 pub type LeaseHolderId = u64;
 
-/// What an allowance grants over all boxes.
+/// What a quota grants over all boxes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaTerms {
-    /// What it grants in a second.
+    /// Tokens per second.
     pub per_s: f64,
-    /// What it grants at once on top.
+    /// Tokens granted at once on top of the rate.
     pub burst: f64,
-    /// Whether boxes may hold some of it in stock.
+    /// Whether boxes may hold prefetched tokens of it.
     pub allows_prefetch: bool,
 }
 
-/// How far the requests of an account may pass what its limit says, over a span.
+/// How far the requests of an account may exceed its limit over a window.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaTolerance {
-    /// The span, in seconds.
+    /// The length of the window, in seconds.
     pub window_s: f64,
-    /// The share of the limit that may come on top.
+    /// The fraction of the limit that is allowed on top of it.
     pub overrun: f64,
-    /// Requests that may come on top whatever the limit.
+    /// Requests allowed on top in any window, whatever the limit.
     pub slack: f64,
 }
 
-/// A box's part of one allowance.
+/// A box's token bucket for its share of one quota.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaPool {
     level: f64,
-    /// Up to when it has refilled; none before it is first asked.
-    refilled: Option<ShareTimestamp>,
-    /// What borrowers hold in stock, or may.
-    loans: HashMap<LeaseHolderId, Loan>,
+    /// The point of the share history up to which it has been refilled; `None` before its
+    /// first use.
+    refilled_at: Option<ShareTimestamp>,
+    /// Prefetch leases that have not expired: other boxes hold their tokens, or may.
+    leases: HashMap<LeaseHolderId, PrefetchLease>,
 }
 
-/// What was lent and may not be spent yet.
+/// Prefetched tokens of one box that may not have been spent yet.
 #[derive(Debug, Clone, Copy)]
-struct Loan {
+struct PrefetchLease {
     amount: f64,
-    ends: Instant,
+    expires_at: Instant,
 }
 
-/// What a box asks for its stock.
+/// A box's request for prefetched tokens.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefetchRequest {
-    /// Who asks.
+    /// The box that asks.
     pub borrower: LeaseHolderId,
-    /// What it held when it asked.
+    /// The prefetched tokens that it held when it asked.
     pub held: f64,
-    /// What it would like on top.
+    /// The tokens that it wants in addition.
     pub wanted: f64,
 }
 
-/// What a box is lent for its stock.
+/// The response to a prefetch request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PrefetchGrant {
-    /// How much.
+    /// The tokens granted.
     pub amount: f64,
-    /// Whether what it held when it asked lasts anew.
+    /// Whether the tokens that the box held when it asked are valid for another lease
+    /// lifetime.
     pub renewed: bool,
 }
 
-/// What a box has in stock.
+/// The prefetched tokens that a box holds.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PrefetchedQuota {
     amount: f64,
-    ends: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 impl QuotaTerms {
-    /// What an account's limit grants.
+    /// Returns the terms of an account's limit.
     ///
-    /// Most of what may come on top of the limit is granted, so that boxes can hold some of
-    /// it in stock; the rest is for urgent loans and requests on their way, as reckoned in the
-    /// proof.
+    /// `GRANTED_OF_OVERRUN` of the overrun and `GRANTED_OF_SLACK` of the slack are added
+    /// to the burst, so that boxes can hold prefetched tokens. The remainder covers
+    /// on-demand leases and requests in flight, as calculated in
+    /// `docs/design/allowances.md`.
     pub fn of_account(account: &ClientAccount, quota: &QuotaTolerance) -> Self {
         let limit = account.requests_per_s * quota.window_s + account.burst;
-        let on_top =
+        let tolerance =
             quota.overrun * limit * GRANTED_OF_OVERRUN + quota.slack * GRANTED_OF_SLACK;
         Self {
             per_s: account.requests_per_s,
-            burst: account.burst + on_top,
+            burst: account.burst + tolerance,
             allows_prefetch: true,
         }
     }
 
-    /// What a server's limit grants, in requests a second.
+    /// Returns the terms of a server's limit, in requests per second.
     ///
-    /// A server that takes nothing is still sent a few requests, since one that nobody sends
-    /// to cannot say that its need is over: `TRICKLE_PER_S`, one in 1.25 s, which with the answer and the
-    /// news of it leaves all boxes to know within two seconds. The depth lets what is asked
-    /// for at random use nine tenths of the limit.
+    /// The rate is at least `MIN_SERVER_RATE_PER_S`, one request in 1.25 s, even for a
+    /// server that accepts nothing: a server that receives no requests cannot report that
+    /// its limit has ended. Together with the response and the update to the other boxes,
+    /// all boxes know of the end within two seconds. With this burst, requests at random
+    /// times can use nine tenths of the limit.
     pub fn of_server(limit_per_s: f64) -> Self {
         Self {
-            per_s: limit_per_s.max(TRICKLE_PER_S),
-            burst: SERVER_DEPTH + limit_per_s * SERVER_DEPTH_S,
+            per_s: limit_per_s.max(MIN_SERVER_RATE_PER_S),
+            burst: SERVER_BURST_REQUESTS + limit_per_s * SERVER_BURST_S,
             allows_prefetch: false,
         }
     }
@@ -128,123 +134,139 @@
 }
 
 impl QuotaPool {
-    /// Lends to a box, or takes for this one, what is spent at once, or never: that takes no
-    /// more room. The share `reserve` of the room beyond one is left to the more urgent.
+    /// Takes tokens for requests that are waiting at another box or at this one, and
+    /// returns how many: at most `wanted`. They are spent within `ON_DEMAND_LEASE_TTL` or
+    /// never, so they take up no capacity afterwards. The fraction `reserve` of the
+    /// capacity beyond one token is kept back for more urgent requests.
     pub fn lease_on_demand(
         &mut self,
-        urgent: u32,
+        wanted: u32,
         reserve: f64,
         terms: &QuotaTerms,
-        clock: &ShareHistory,
+        history: &ShareHistory,
         now: Instant,
     ) -> u32 {
-        self.refill(terms, clock, now);
-        let left = (self.room(terms, clock) - 1.0).max(0.0) * reserve;
-        let lent = urgent.min((self.level - left + ROUNDING) as u32);
-        self.level -= f64::from(lent);
-        lent
+        self.refill(terms, history, now);
+        let reserved = (self.capacity(terms, history) - 1.0).max(0.0) * reserve;
+        let granted = wanted.min((self.level - reserved + ROUNDING_TOLERANCE) as u32);
+        self.level -= f64::from(granted);
+        granted
     }
 
-    /// Takes back what was lent and not needed; it holds no more by it than it may.
+    /// Returns leased tokens that were not needed. The next refill limits the level to
+    /// the capacity.
     pub fn return_unused(&mut self, count: u32) {
         self.level += f64::from(count);
     }
 
-    /// Lends to a box for its stock.
+    /// Grants a lease on prefetched tokens to a box.
     ///
-    /// Stocks leave a part of the room to what is refilled, and are lent only of a part that
-    /// the box has had for as long as stocks last: what other boxes have lent of it has ended.
+    /// Prefetch leases leave part of the capacity to the refill. They are granted only
+    /// from the share that this box has had for at least `PREFETCH_LEASE_TTL`: all leases
+    /// that other boxes granted from it have expired by then.
     pub fn lease_prefetch(
         &mut self,
-        ask: &PrefetchRequest,
+        request: &PrefetchRequest,
         terms: &QuotaTerms,
-        clock: &ShareHistory,
+        history: &ShareHistory,
         now: Instant,
     ) -> PrefetchGrant {
-        if let Some(loan) = self.loans.get_mut(&ask.borrower) {
-            // It has spent the rest: that is no longer held by anybody.
-            loan.amount = loan.amount.min(ask.held);
+        if let Some(lease) = self.leases.get_mut(&request.borrower) {
+            // The box has spent the remainder, so nobody holds it any more.
+            lease.amount = lease.amount.min(request.held);
         }
-        self.refill(terms, clock, now);
-        let room = (terms.burst * clock.prefetch_share(terms) - self.lent()).max(0.0);
-        let amount = ask.wanted.min(self.level * MOST_AT_ONCE_SHARE).min(room);
+        self.refill(terms, history, now);
+        let available =
+            (terms.burst * history.prefetch_share(terms) - self.leased()).max(0.0);
+        let amount = request
+            .wanted
+            .min(self.level * MAX_PREFETCH_OF_LEVEL)
+            .min(available);
         self.level -= amount;
-        // What it held of a loan that has ended is not counted here any more. Nothing lasts
-        // anew while more is lent than the part has room for: another box has a part of that.
+        // Tokens of an expired lease are not counted here. Nothing is renewed while more
+        // is leased out than the share has room for, since another box then has part of
+        // that share.
         let held = self
-            .loans
-            .get(&ask.borrower)
-            .map_or(0.0, |loan| loan.amount);
+            .leases
+            .get(&request.borrower)
+            .map_or(0.0, |lease| lease.amount);
         let renewed =
-            held > 0.0 && self.lent() <= terms.burst * clock.prefetch_share(terms);
+            held > 0.0 && self.leased() <= terms.burst * history.prefetch_share(terms);
         if renewed || amount > 0.0 {
-            let loan = Loan {
+            let lease = PrefetchLease {
                 amount: held + amount,
-                ends: now + PREFETCH_LEASE_TTL,
+                expires_at: now + PREFETCH_LEASE_TTL,
             };
-            self.loans.insert(ask.borrower, loan);
+            self.leases.insert(request.borrower, lease);
         }
         PrefetchGrant { amount, renewed }
     }
 
-    /// How long until there is one more.
+    /// Returns the time until the pool has a whole token at the current share, at most
+    /// `MAX_WAIT_S`.
     pub fn time_to_next_token(
         &self,
         terms: &QuotaTerms,
-        clock: &ShareHistory,
+        history: &ShareHistory,
     ) -> Duration {
-        let per_s = terms.per_s * clock.share();
+        let per_s = terms.per_s * history.share();
         let missing = (1.0 - self.level).max(0.0);
-        let wait_s = missing / per_s.max(LEAST_PER_S);
-        Duration::from_secs_f64(wait_s.min(LONGEST_WAIT_S))
+        let wait_s = missing / per_s.max(MIN_REFILL_PER_S);
+        Duration::from_secs_f64(wait_s.min(MAX_WAIT_S))
     }
 
-    /// Whether it holds all that it may, so that a pool made anew would decide alike.
+    /// Refills the pool and returns whether it is at capacity with no lease outstanding.
+    /// A new pool would then make the same decisions.
     pub fn is_full(
         &mut self,
         terms: &QuotaTerms,
-        clock: &ShareHistory,
+        history: &ShareHistory,
         now: Instant,
     ) -> bool {
-        self.refill(terms, clock, now);
-        self.loans.is_empty() && self.level >= self.room(terms, clock)
+        self.refill(terms, history, now);
+        self.leases.is_empty() && self.level >= self.capacity(terms, history)
     }
 
-    /// Refills what the part has earned, as far as there is room for it: what is lent and may
-    /// not be spent yet takes room.
-    fn refill(&mut self, terms: &QuotaTerms, clock: &ShareHistory, now: Instant) {
-        self.loans.retain(|_, loan| loan.ends > now);
-        let held = self.refilled.map(|mark| (self.level, mark));
-        self.level = clock
+    /// Drops expired leases and adds what the share has earned since the last refill, up
+    /// to the capacity. Outstanding leases take up capacity, since their tokens may not
+    /// have been spent yet.
+    fn refill(&mut self, terms: &QuotaTerms, history: &ShareHistory, now: Instant) {
+        self.leases.retain(|_, lease| lease.expires_at > now);
+        let held = self
+            .refilled_at
+            .map(|refilled_at| (self.level, refilled_at));
+        self.level = history
             .refilled_level(held, terms)
-            .min(self.room(terms, clock));
-        self.refilled = Some(clock.timestamp());
+            .min(self.capacity(terms, history));
+        self.refilled_at = Some(history.timestamp());
     }
 
-    /// How much it may hold: where the part has shrunk, stocks that were lent before may take
-    /// more than their share.
-    fn room(&self, terms: &QuotaTerms, clock: &ShareHistory) -> f64 {
-        let stocks = terms.burst * clock.prefetch_share(terms);
-        let rest = terms.burst * clock.burst_share(terms) - stocks;
-        rest + (stocks - self.lent()).max(0.0)
+    /// Returns how many tokens the pool may hold besides its leases. Where the share has
+    /// shrunk, earlier leases may exceed the capacity for prefetching.
+    fn capacity(&self, terms: &QuotaTerms, history: &ShareHistory) -> f64 {
+        let prefetch_capacity = terms.burst * history.prefetch_share(terms);
+        let on_demand_capacity =
+            terms.burst * history.burst_share(terms) - prefetch_capacity;
+        on_demand_capacity + (prefetch_capacity - self.leased()).max(0.0)
     }
 
-    /// What borrowers hold in stock, or may.
-    fn lent(&self) -> f64 {
-        self.loans.values().map(|loan| loan.amount).sum()
+    /// Returns the tokens of all prefetch leases that have not expired.
+    fn leased(&self) -> f64 {
+        self.leases.values().map(|lease| lease.amount).sum()
     }
 }
 
 impl PrefetchedQuota {
-    /// What is left, and for how long.
+    /// Returns the tokens left and the time until they expire, both zero once they have
+    /// expired.
     pub fn remaining(&self, now: Instant) -> (f64, Duration) {
-        match self.ends {
-            Some(ends) if ends > now => (self.amount, ends - now),
+        match self.expires_at {
+            Some(expires_at) if expires_at > now => (self.amount, expires_at - now),
             _ => (0.0, Duration::ZERO),
         }
     }
 
-    /// Spends one; whether there was one.
+    /// Spends one token and returns whether there was one.
     pub fn take(&mut self, now: Instant) -> bool {
         let (left, _) = self.remaining(now);
         if left < 1.0 {
@@ -254,35 +276,39 @@
         true
     }
 
-    /// Adds a loan to what is left of the ones before, if the lender counts that with it.
+    /// Adds granted tokens to what is left of earlier leases. If the allocator renewed
+    /// these, all tokens expire at `ends`.
     ///
-    /// One that does not, as a hub that has just taken over, leaves it to its former end.
+    /// An allocator that did not, such as a hub that has just taken over, does not count
+    /// the earlier tokens: then all of them expire no later than the earlier ones.
     pub fn add(&mut self, amount: f64, renewed: bool, ends: Instant, now: Instant) {
         let (left, _) = self.remaining(now);
-        let former = self.ends.filter(|_| left > 0.0 && !renewed);
+        let earlier = self.expires_at.filter(|_| left > 0.0 && !renewed);
         self.amount = left + amount;
-        self.ends = Some(former.map_or(ends, |former| former.min(ends)));
+        self.expires_at = Some(earlier.map_or(ends, |earlier| earlier.min(ends)));
     }
 }
 
-/// How long a stock lasts, from when it was asked for. Long enough that a box whose hub is
-/// lost serves on until it has another, about a second; short enough that what was lent to a
-/// box which is lost comes back soon.
+/// Lifetime of a prefetch lease, from the time of the request. It is long enough that a
+/// box whose hub is lost can serve requests until it has another hub, about a second, and
+/// short enough that tokens leased to a lost box soon become available again.
 pub const PREFETCH_LEASE_TTL: Duration = Duration::from_secs(3);
-/// Of what may come on top of a limit, so much is granted. With a limit over five seconds
-/// and a tenth on top, what is left is 0.45 s of the rate and two requests: an urgent loan is
-/// spent 0.2 s after it was minted, and its request at its server 0.25 s later.
+/// The fractions of the overrun and of the slack that are added to the burst. With a
+/// limit over five seconds and an overrun of a tenth, 0.45 s of the rate and two requests
+/// of the tolerance remain: an on-demand lease is spent up to 0.2 s after its tokens were
+/// earned, and its request arrives at its server up to 0.25 s later.
 const GRANTED_OF_OVERRUN: f64 = 0.1;
 const GRANTED_OF_SLACK: f64 = 0.9;
-/// No stock takes more than this share of what is there at once.
-const MOST_AT_ONCE_SHARE: f64 = 0.25;
-/// Parts of a whole add up to a little less in floating point.
-const ROUNDING: f64 = 1e-9;
-/// In four seconds that is 3.2 requests; with the depth 4.7, beneath the five that come on top
-/// of any limit.
-const TRICKLE_PER_S: f64 = 0.8;
-/// What servers may be sent at once on top of their limits: requests, and seconds of the limit.
-const SERVER_DEPTH: f64 = 1.5;
-const SERVER_DEPTH_S: f64 = 0.4;
-const LEAST_PER_S: f64 = 0.01;
-const LONGEST_WAIT_S: f64 = 10.0;
+/// A prefetch lease takes at most this fraction of the pool's level.
+const MAX_PREFETCH_OF_LEVEL: f64 = 0.25;
+/// Tolerance in tokens: the sum of fractional parts may fall slightly short in floating
+/// point.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// In four seconds this makes 3.2 requests, with the fixed part of the burst 4.7: fewer
+/// than the five that are tolerated on top of any limit.
+const MIN_SERVER_RATE_PER_S: f64 = 0.8;
+/// Burst of a server's limit: a fixed number of requests, and seconds of the limit.
+const SERVER_BURST_REQUESTS: f64 = 1.5;
+const SERVER_BURST_S: f64 = 0.4;
+const MIN_REFILL_PER_S: f64 = 0.01;
+const MAX_WAIT_S: f64 = 10.0;
--- a/crates/wingspur-state/src/resend_ledger.rs
+++ b/crates/wingspur-state/src/resend_ledger.rs
@@ -1,36 +1,39 @@
-//! What one box has sent again, and what its callers' requests allow it to.
+//! The resends of one box, and the resends that its callers' requests allow.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The requests and resends of one box, as far as any window counts them now.
+/// The requests and resends of one box, as far as any window still counts them.
 ///
-/// A window that begins at t is W long; the fleet's resends in it are bounded by the requests
-/// of that window, or of the one before it, whichever are more. Both added up and halved are
-/// never more than that, and of them, unlike of the larger, the boxes' parts add up to the
-/// fleet's: where callers move from one box to another, the larger one of each box would
-/// count them twice. So a box goes by half of its own requests from t - W to t + W.
+/// Let a window begin at time t and have the length W. The fleet's resends in it are
+/// bounded by the requests of that window or of the window before it, whichever are more.
+/// Half of the sum of both is never more than that. Unlike the larger of the two, it also
+/// adds up over boxes: where callers move from one box to another, the larger count of
+/// each box would count them twice. So each box uses half of its own requests from t - W
+/// to t + W.
 #[derive(Debug, Default)]
 pub struct ResendLedger {
     requests: Buckets,
-    /// Resends of requests that have ended, by the end: they arrive no later, or a moment.
+    /// Resends of requests that have ended, by the time of that end. They arrive at their
+    /// servers no later than that, or `LATE_ARRIVAL` after it.
     ended: Buckets,
-    /// Those of them that nobody answered, by the end: they may still be on their way.
+    /// Resends of ended requests that got no response, by the time of that end. They may
+    /// still be on their way to the servers.
     unanswered: Buckets,
-    /// Resends of requests that have not ended: they may arrive at any time.
-    out: u32,
+    /// Resends of requests that have not ended. They may arrive at any time.
+    in_flight: u32,
 }
 
-/// The window that has least room for one more resend.
+/// The window that has the least budget left for one more resend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TightestWindow {
-    /// Resends that arrived in it, or may have.
+    /// Resends that arrived in the window, or may have.
     pub spent: u32,
-    /// What the requests allow there.
+    /// Resends that the requests allow in it.
     pub credit: f64,
 }
 
-/// Counts by the time of the first in each.
+/// Counts in buckets, each with the time of its first count.
 #[derive(Debug, Default)]
 struct Buckets(VecDeque<(Instant, u32)>);
 
@@ -41,89 +44,92 @@
     }
 
     /// Counts a resend that is about to be sent.
-    pub fn send(&mut self) {
-        self.out += 1;
+    pub fn count_resend(&mut self) {
+        self.in_flight += 1;
     }
 
-    /// Counts a resend that another box makes instead, within `LENT_FOR`. Whether a server
-    /// answers it is not told here, so it may arrive as late as one that nobody answers.
-    pub fn lend(&mut self, now: Instant) {
+    /// Counts a resend that another box makes instead, within `RESEND_LEASE_TTL`. This
+    /// box does not learn whether a server responds to it, so it may arrive as late as
+    /// one without a response.
+    pub fn count_leased_resend(&mut self, now: Instant) {
         self.unanswered.add(1, now + RESEND_LEASE_TTL);
     }
 
-    /// Takes back resends that reached no server.
-    pub fn take_back(&mut self, resends: u32) {
-        self.out = self.out.saturating_sub(resends);
+    /// Refunds resends that reached no server.
+    pub fn refund(&mut self, resends: u32) {
+        self.in_flight = self.in_flight.saturating_sub(resends);
     }
 
-    /// Notes that the request of some resends has ended, with so many of its attempts, the
-    /// first included, unanswered.
-    pub fn end(&mut self, resends: u32, unanswered: u32, now: Instant) {
-        let late = resends.min(unanswered);
-        self.out = self.out.saturating_sub(resends);
-        self.ended.add(resends - late, now);
-        self.unanswered.add(late, now);
+    /// Records the end of a request that had `resends` resends. `unanswered` is the
+    /// number of its attempts without a response, the first attempt included.
+    pub fn finish_request(&mut self, resends: u32, unanswered: u32, now: Instant) {
+        let late_resends = resends.min(unanswered);
+        self.in_flight = self.in_flight.saturating_sub(resends);
+        self.ended.add(resends - late_resends, now);
+        self.unanswered.add(late_resends, now);
     }
 
-    /// Forgets what no window counts any more.
-    pub fn forget(&mut self, window: Duration, now: Instant) {
-        self.requests.forget(2 * window + BUCKET, now);
-        self.ended.forget(window + BUCKET + LATE_ARRIVAL, now);
+    /// Removes counts that no window includes any more.
+    pub fn evict_expired(&mut self, window: Duration, now: Instant) {
+        self.requests.evict_expired(2 * window + BUCKET, now);
+        self.ended
+            .evict_expired(window + BUCKET + LATE_ARRIVAL, now);
         self.unanswered
-            .forget(window + BUCKET + MAX_RESEND_TRANSIT, now);
+            .evict_expired(window + BUCKET + MAX_RESEND_TRANSIT, now);
     }
 
-    /// Of all windows that a resend sent now may fall into, the one with the least room.
+    /// Returns, of all windows that a resend sent now may fall into, the one with the
+    /// least budget left.
     ///
-    /// Both counts fall as a window begins later. So it is enough to look at the last
-    /// beginning at which each bucket of resends still counts, and at the last one at which
-    /// the resends that are out may.
+    /// Both counts fall as the window begins later. It is therefore enough to examine the
+    /// last start at which each bucket of resends still counts, and the last start at
+    /// which the resends in flight may still arrive.
     pub fn tightest(&self, window: Duration, ratio: f64, now: Instant) -> TightestWindow {
-        let on_way = MAX_RESEND_TRANSIT.min(window / 2);
-        let mut spent = self.out;
+        let max_transit = MAX_RESEND_TRANSIT.min(window / 2);
+        let mut spent = self.in_flight;
         let mut tightest = TightestWindow {
             spent,
-            credit: ratio * self.half_of_requests(now + on_way, window),
+            credit: ratio * self.half_of_requests_near(now + max_transit, window),
         };
-        for (begins, resends) in self.last_beginnings() {
-            if now.saturating_duration_since(begins) > window {
+        for (start, resends) in self.latest_window_starts() {
+            if now.saturating_duration_since(start) > window {
                 break;
             }
             spent += resends;
-            let credit = ratio * self.half_of_requests(begins, window);
-            let other = TightestWindow { spent, credit };
-            if other.room() < tightest.room() {
-                tightest = other;
+            let credit = ratio * self.half_of_requests_near(start, window);
+            let candidate = TightestWindow { spent, credit };
+            if candidate.budget_left() < tightest.budget_left() {
+                tightest = candidate;
             }
         }
         tightest
     }
 
-    /// The last beginnings of windows that resends of ended requests may fall into, the
-    /// latest first.
-    fn last_beginnings(&self) -> Vec<(Instant, u32)> {
+    /// Returns the last starts of windows that resends of ended requests may fall into,
+    /// with the number of resends, the latest first.
+    fn latest_window_starts(&self) -> Vec<(Instant, u32)> {
         let last = |late: Duration| {
             move |(at, resends): &(Instant, u32)| (*at + BUCKET + late, *resends)
         };
         let ended = self.ended.0.iter().map(last(LATE_ARRIVAL));
         let unanswered = self.unanswered.0.iter().map(last(MAX_RESEND_TRANSIT));
-        let mut beginnings: Vec<_> = ended.chain(unanswered).collect();
-        beginnings.sort_by_key(|(begins, _)| std::cmp::Reverse(*begins));
-        beginnings
+        let mut starts: Vec<_> = ended.chain(unanswered).collect();
+        starts.sort_by_key(|(start, _)| std::cmp::Reverse(*start));
+        starts
     }
 
-    /// Half of the requests that surely were sent within a window of a moment, before or
-    /// after it; those to come are not counted.
-    fn half_of_requests(&self, moment: Instant, window: Duration) -> f64 {
+    /// Returns half of the requests that were certainly sent within one window length
+    /// before or after `moment`. Future requests are not counted.
+    fn half_of_requests_near(&self, moment: Instant, window: Duration) -> f64 {
         let from = moment.checked_sub(window.saturating_sub(REQUEST_LAG));
-        let of = |from: Instant| self.requests.since(from);
-        let requests = from.map_or(self.requests.all(), of);
+        let sum_since = |from: Instant| self.requests.since(from);
+        let requests = from.map_or(self.requests.all(), sum_since);
         f64::from(requests) / 2.0
     }
 }
 
 impl TightestWindow {
-    fn room(&self) -> f64 {
+    fn budget_left(&self) -> f64 {
         self.credit - f64::from(self.spent)
     }
 }
@@ -141,7 +147,8 @@
         }
     }
 
-    /// What came at a moment or later, without a bucket that only may have.
+    /// Returns the counts of the buckets that started at `from` or later. A bucket that
+    /// started earlier is left out even if it reaches past `from`.
     fn since(&self, from: Instant) -> u32 {
         let newest_first = self.0.iter().rev();
         let recent = newest_first.take_while(|(at, _)| *at >= from);
@@ -152,26 +159,27 @@
         self.0.iter().map(|(_, count)| count).sum()
     }
 
-    fn forget(&mut self, span: Duration, now: Instant) {
-        let past = |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) > span;
-        while self.0.front().is_some_and(past) {
+    fn evict_expired(&mut self, span: Duration, now: Instant) {
+        let is_expired =
+            |(at, _): &(Instant, u32)| now.saturating_duration_since(*at) > span;
+        while self.0.front().is_some_and(is_expired) {
             self.0.pop_front();
         }
     }
 }
 
-/// A resend reaches its server within this, or never: connections to servers give up what has
-/// not been acknowledged for so long, also after they were closed. A link that stands still
-/// for longer gives up what waits for it, and a packet that is lost again and again has been
-/// sent four times.
+/// A resend reaches its server within this time, or never: connections to servers discard
+/// data that has not been acknowledged for so long, even after they were closed. A link
+/// that stalls for longer discards the data waiting for it, and a packet that is lost
+/// repeatedly has been sent four times by then.
 pub const MAX_RESEND_TRANSIT: Duration = Duration::from_secs(3);
-/// Who borrows a resend sends it within this, or not at all.
+/// A box that leases a resend from another box sends it within this time, or not at all.
 pub const RESEND_LEASE_TTL: Duration = Duration::from_millis(100);
-/// A caller has sent its request at most so long before it is counted here: its body is read
-/// first, and a lost packet is sent again after 0.2 s.
+/// Longest time from a caller's sending of a request to its counting here: the body is
+/// read first, and a lost packet is sent again after 0.2 s.
 const REQUEST_LAG: Duration = Duration::from_millis(500);
-/// An attempt that was answered had arrived by then; the clock of its answer may be off by a
-/// moment in the counts.
+/// An answered attempt has arrived at its server by the end of its request plus this
+/// margin, which allows for the inaccuracy of the recorded time.
 const LATE_ARRIVAL: Duration = Duration::from_millis(250);
-/// Counts within this are one entry: 40 for a window of ten seconds.
+/// Counts within this time share one bucket: 40 buckets for a window of ten seconds.
 const BUCKET: Duration = Duration::from_millis(250);
