--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -1,14 +1,12 @@
-//! The retry budget's bound, over every span of its window and whatever befalls the boxes.
+//! The bound of the retry budget, over every span of its window and under all faults.
 //!
-//! A service of 40 boxes got 208 resends in ten seconds for 698 requests, where a fifth of
-//! the requests and 60 are allowed: 200. Before all boxes were lost at 32.0 s they had made
-//! 120 of these, a fifth of some 400 requests and 40 of the 60. The boxes that started after
-//! it knew nothing of that, took the time before their start for one in which nothing was
-//! spent, and made 88 more in 5.6 s, a fifth of 300 requests and 28. The 60 were had once by
-//! the lost boxes and once more by the new ones.
+//! Guards against boxes that start after a loss of all boxes and take the time before
+//! their start for one in which nothing was spent: the slack of 60 was so spent twice,
+//! and a service of 40 boxes got 208 resends in ten seconds for 698 requests, where 200
+//! are allowed.
 //!
-//! The play here is of the decisions alone, in virtual time, with seeds: boxes of four data
-//! centres, requests, resends that they ask for, and news on the way from box to box.
+//! Only the decisions are simulated, in virtual time and with seeds: boxes of four data
+//! centres, requests, their resends, and the updates between boxes.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -29,29 +27,30 @@
 const SPAN_MS: i64 = 10_000;
 const STEP_MS: u64 = 50;
 const DATA_CENTRES: usize = 4;
-/// Fleets of many boxes with few requests each, and of few with many.
+/// A fleet of many boxes with few requests each, and one of few boxes with many.
 const FLEETS: [usize; 2] = [40, 8];
-/// The fleet that the scenarios' rates are for.
+/// The number of boxes that the scenarios' rates are for.
 const RATED_BOXES: usize = 40;
-/// From a box to another, and to a server at the most.
-const NEWS_MS: u64 = 100;
-/// How often each side of a link is heard: less often than a box gives signs of life.
-const SIGN_OF_LIFE_MS: u64 = 300;
+/// The delay of an update from one box to another. `LONGEST_ARRIVAL_MS` is the longest
+/// delay of a resend to its server.
+const UPDATE_DELAY_MS: u64 = 100;
+/// How often each side of a link receives an update: less often than boxes send them.
+const UPDATE_INTERVAL_MS: u64 = 300;
 const LONGEST_ARRIVAL_MS: u64 = 400;
 
-/// What happens in a play.
+/// The rates and faults of a play.
 struct Scenario {
     name: &'static str,
-    /// Requests a second of a box.
+    /// Requests per second of a box.
     rate: fn(place: usize, ms: u64) -> f64,
-    /// How likely a request asks for a resend, and how often in a row.
+    /// The probability that a request asks for resends.
     failing: fn(ms: u64) -> f64,
     /// Whether a box runs.
     runs: fn(place: usize, ms: u64) -> bool,
-    /// Whether two data centres hear each other.
-    hears: fn(one: usize, other: usize, ms: u64) -> bool,
-    /// When what is sent to a server can reach it.
-    passes: fn(ms: u64) -> u64,
+    /// Whether two data centres are connected.
+    connected: fn(one: usize, other: usize, ms: u64) -> bool,
+    /// When a resend that would arrive at the given time reaches its server.
+    reaches_server_ms: fn(ms: u64) -> u64,
 }
 
 fn steady(_: usize, _: u64) -> f64 {
@@ -62,7 +61,7 @@
     true
 }
 
-fn all_hear(_: usize, _: usize, _: u64) -> bool {
+fn all_connected(_: usize, _: usize, _: u64) -> bool {
     true
 }
 
@@ -80,8 +79,8 @@
         rate: steady,
         failing: |ms| if ms > 27_500 { 0.6 } else { 0.05 },
         runs: |_, ms| !within(ms, 32, 33),
-        hears: all_hear,
-        passes: at_once,
+        connected: all_connected,
+        reaches_server_ms: at_once,
     },
     Scenario {
         name: "boxes and hubs stopped in turn",
@@ -91,24 +90,24 @@
             let from_ms = 28_000 + 300 * place as u64;
             !(place < 24 && (from_ms..from_ms + 1_200).contains(&ms))
         },
-        hears: all_hear,
-        passes: at_once,
+        connected: all_connected,
+        reaches_server_ms: at_once,
     },
     Scenario {
         name: "many resends asked for at once",
         rate: |_, ms| if ms % 10_000 < 50 { 150.0 } else { 1.2 },
         failing: |ms| if ms > 25_000 { 0.9 } else { 0.0 },
         runs: always,
-        hears: all_hear,
-        passes: at_once,
+        connected: all_connected,
+        reaches_server_ms: at_once,
     },
     Scenario {
         name: "halves that do not hear each other while boxes join",
         rate: steady,
         failing: |ms| if ms > 20_000 { 0.5 } else { 0.05 },
         runs: |place, ms| place % 4 != 3 || ms > 30_000,
-        hears: |one, other, ms| one / 2 == other / 2 || !within(ms, 27, 47),
-        passes: at_once,
+        connected: |one, other, ms| one / 2 == other / 2 || !within(ms, 27, 47),
+        reaches_server_ms: at_once,
     },
     Scenario {
         name: "single boxes killed again and again",
@@ -118,8 +117,8 @@
             let phase_ms = ms + 400 * (place as u64 / 4);
             place % 4 != 1 || ms < 20_000 || phase_ms % 4_000 > 700
         },
-        hears: all_hear,
-        passes: at_once,
+        connected: all_connected,
+        reaches_server_ms: at_once,
     },
     Scenario {
         name: "traffic moves from one data centre to another",
@@ -133,55 +132,55 @@
         },
         failing: |ms| if ms > 20_000 { 0.7 } else { 0.05 },
         runs: always,
-        hears: all_hear,
-        passes: at_once,
+        connected: all_connected,
+        reaches_server_ms: at_once,
     },
 ];
 
-/// A run of a box, from its start to its end.
-type Life = u64;
+/// Identifies one instance of a box, from its start to its end.
+type InstanceId = u64;
 
-/// A box that runs.
+/// A running box.
 struct SimBox {
     budget: FleetRetryBudget,
     fleet: FleetView,
-    life: Life,
+    instance: InstanceId,
 }
 
-/// A link between two runs of boxes, by place and run.
+/// A link between two instances of boxes, each by place and instance.
 #[derive(Clone, Copy, PartialEq)]
 struct SimLink {
-    one: (usize, Life),
-    other: (usize, Life),
-    /// Whether the first is a member of the other.
+    one: (usize, InstanceId),
+    other: (usize, InstanceId),
+    /// Whether the first is a member of the other, its hub.
     of_member: bool,
 }
 
-/// News on the way.
-struct Sent {
+/// An update in transit.
+struct SentUpdate {
     due_ms: u64,
-    sent: Instant,
+    sent_at: Instant,
     link: u64,
     to: usize,
-    told: FleetNote,
+    note: FleetNote,
     census: CensusNote,
 }
 
 /// A request that asks for a resend.
-struct Asking {
+struct ResendRequest {
     at_ms: u64,
     place: usize,
-    life: Life,
+    instance: InstanceId,
     resends: u32,
-    /// Attempts that nobody answered: they are still on their way.
+    /// Attempts without a response: they are still on their way to a server.
     unanswered: u32,
 }
 
 /// A request that ends, with its resends.
-struct Ending {
+struct EndingRequest {
     at_ms: u64,
     place: usize,
-    life: Life,
+    instance: InstanceId,
     resends: u32,
     unanswered: u32,
 }
@@ -196,10 +195,10 @@
     hubs: [Option<usize>; DATA_CENTRES],
     links: BTreeMap<u64, SimLink>,
     next_link: u64,
-    lives: Life,
-    sent: Vec<Sent>,
-    asking: Vec<Asking>,
-    ending: Vec<Ending>,
+    last_instance: InstanceId,
+    sent: Vec<SentUpdate>,
+    asking: Vec<ResendRequest>,
+    ending: Vec<EndingRequest>,
     requests_ms: Vec<u64>,
     arrivals_ms: Vec<u64>,
 }
@@ -216,7 +215,7 @@
             hubs: [None; DATA_CENTRES],
             links: BTreeMap::new(),
             next_link: OWN_LINK + 1,
-            lives: 0,
+            last_instance: 0,
             sent: Vec::new(),
             asking: Vec::new(),
             ending: Vec::new(),
@@ -225,16 +224,16 @@
         }
     }
 
-    /// Plays a minute.
+    /// Plays sixty seconds.
     fn run(&mut self) {
         while self.now_ms < 60_000 {
-            self.follow_boxes();
-            self.follow_links();
-            self.tell();
+            self.update_boxes();
+            self.update_links();
+            self.send_updates();
             self.receive();
             self.take_requests();
-            self.ask();
-            self.end();
+            self.make_resends();
+            self.end_requests();
             self.now_ms += STEP_MS;
         }
     }
@@ -243,22 +242,22 @@
         self.start + Duration::from_millis(self.now_ms)
     }
 
-    fn follow_boxes(&mut self) {
+    fn update_boxes(&mut self) {
         let now = self.now();
         for place in 0..self.fleet {
             if !(self.scenario.runs)(place, self.now_ms) {
                 self.boxes.remove(&place);
             } else if !self.boxes.contains_key(&place) {
-                self.lives += 1;
-                let life = SimBox {
+                self.last_instance += 1;
+                let started = SimBox {
                     budget: FleetRetryBudget::new(SETTINGS),
                     fleet: FleetView::new(key_of(place), now),
-                    life: self.lives,
+                    instance: self.last_instance,
                 };
-                self.boxes.insert(place, life);
+                self.boxes.insert(place, started);
             }
         }
-        // The first box that runs in a data centre is its hub.
+        // The first running box of a data centre is its hub.
         self.hubs = std::array::from_fn(|data_centre| {
             let here = self.boxes.keys().copied();
             here.filter(|place| place % DATA_CENTRES == data_centre)
@@ -267,10 +266,11 @@
     }
 
     fn wanted_links(&self) -> Vec<SimLink> {
-        let run = |place: usize| (place, self.boxes[&place].life);
+        let run = |place: usize| (place, self.boxes[&place].instance);
         let mut wanted = Vec::new();
         for place in self.boxes.keys().copied() {
-            let hub = self.hubs[place % DATA_CENTRES].expect("it runs itself");
+            let hub = self.hubs[place % DATA_CENTRES]
+                .expect("a data centre with a running box has a hub");
             if hub != place {
                 wanted.push(SimLink {
                     one: run(place),
@@ -282,8 +282,8 @@
         for one in 0..DATA_CENTRES {
             for other in 0..one {
                 let hubs = self.hubs[one].zip(self.hubs[other]);
-                let heard = (self.scenario.hears)(one, other, self.now_ms);
-                if let Some((one, other)) = hubs.filter(|_| heard) {
+                let is_connected = (self.scenario.connected)(one, other, self.now_ms);
+                if let Some((one, other)) = hubs.filter(|_| is_connected) {
                     wanted.push(SimLink {
                         one: run(one),
                         other: run(other),
@@ -295,11 +295,12 @@
         wanted
     }
 
-    fn follow_links(&mut self) {
+    fn update_links(&mut self) {
         let wanted = self.wanted_links();
-        let gone = self.links.iter().filter(|(_, link)| !wanted.contains(link));
-        let gone: Vec<(u64, SimLink)> = gone.map(|(id, link)| (*id, *link)).collect();
-        for (id, link) in gone {
+        let removed = self.links.iter().filter(|(_, link)| !wanted.contains(link));
+        let removed: Vec<(u64, SimLink)> =
+            removed.map(|(id, link)| (*id, *link)).collect();
+        for (id, link) in removed {
             self.links.remove(&id);
             self.sent.retain(|sent| sent.link != id);
             for run in [link.one, link.other] {
@@ -313,9 +314,12 @@
         }
     }
 
-    fn end_link(&mut self, (place, life): (usize, Life), id: u64) {
+    fn end_link(&mut self, (place, instance): (usize, InstanceId), id: u64) {
         let now = self.now();
-        let same = self.boxes.get_mut(&place).filter(|run| run.life == life);
+        let same = self
+            .boxes
+            .get_mut(&place)
+            .filter(|run| run.instance == instance);
         if let Some(run) = same {
             run.fleet.drop_link(id, now);
         }
@@ -332,7 +336,7 @@
         let now = self.now();
         let ends = [(link.one, link.other), (link.other, link.one)];
         for (((place, _), (peer, _)), with) in ends.into_iter().zip(with) {
-            let run = self.boxes.get_mut(&place).expect("it runs");
+            let run = self.boxes.get_mut(&place).expect("the box runs");
             let there = LinkPeer {
                 data_centre: name_of(peer % DATA_CENTRES),
                 key: key_of(peer),
@@ -341,9 +345,9 @@
         }
     }
 
-    /// Each box tells what it knows of the fleet on each of its links.
-    fn tell(&mut self) {
-        if !self.now_ms.is_multiple_of(SIGN_OF_LIFE_MS) {
+    /// Each box sends an update on each of its links.
+    fn send_updates(&mut self) {
+        if !self.now_ms.is_multiple_of(UPDATE_INTERVAL_MS) {
             return;
         }
         let links: Vec<(u64, SimLink)> =
@@ -361,18 +365,19 @@
             (true, false) => PeerRole::OwnHub,
             (false, _) => PeerRole::Hub,
         };
-        let run = self.boxes.get_mut(&from).expect("it runs");
-        self.sent.push(Sent {
-            due_ms: self.now_ms + NEWS_MS,
-            sent: now,
+        let run = self.boxes.get_mut(&from).expect("the box runs");
+        self.sent.push(SentUpdate {
+            due_ms: self.now_ms + UPDATE_DELAY_MS,
+            sent_at: now,
             link,
             to,
-            told: run.fleet.outgoing_notes(&known, now).note_for(with),
+            note: run.fleet.outgoing_notes(&known, now).note_for(with),
             census: run.fleet.census_for(link),
         });
     }
 
-    /// What the store tells a box: all hear it, also while they do not hear each other.
+    /// The announcements that a box reads in the store: every box reads them, even while
+    /// data centres are disconnected.
     fn announced(&self, place: usize) -> AnnouncementView {
         let here = place % DATA_CENTRES;
         let elsewhere = (0..DATA_CENTRES).filter(|other| *other != here);
@@ -393,16 +398,19 @@
 
     fn receive(&mut self) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let due = |sent: &mut Sent| sent.due_ms <= now_ms;
-        let arrived: Vec<Sent> = self.sent.extract_if(.., due).collect();
+        let due = |sent: &mut SentUpdate| sent.due_ms <= now_ms;
+        let arrived: Vec<SentUpdate> = self.sent.extract_if(.., due).collect();
         for sent in arrived {
             let known = self.announced(sent.to);
-            let run = self.boxes.get_mut(&sent.to).expect("its link stands");
-            let vouched = Some(sent.sent);
+            let run = self
+                .boxes
+                .get_mut(&sent.to)
+                .expect("a removed link has no updates in transit");
+            let sent_at = Some(sent.sent_at);
             run.fleet
                 .receive_census(sent.link, &sent.census, &known, now);
             run.fleet
-                .receive(sent.link, sent.told, &known, vouched, now);
+                .receive(sent.link, sent.note, &known, sent_at, now);
         }
     }
 
@@ -417,10 +425,10 @@
                 run.budget.count_request(now);
                 self.requests_ms.push(now_ms);
                 if self.random.random_bool((self.scenario.failing)(now_ms)) {
-                    self.asking.push(Asking {
+                    self.asking.push(ResendRequest {
                         at_ms: now_ms + STEP_MS * self.random.random_range(0..4),
                         place: *place,
-                        life: run.life,
+                        instance: run.instance,
                         resends: 0,
                         unanswered: 0,
                     });
@@ -430,30 +438,30 @@
     }
 
     /// Makes the resends that are due and allowed.
-    fn ask(&mut self) {
+    fn make_resends(&mut self) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let due = |asking: &mut Asking| asking.at_ms <= now_ms;
-        let asking: Vec<Asking> = self.asking.extract_if(.., due).collect();
+        let due = |asking: &mut ResendRequest| asking.at_ms <= now_ms;
+        let asking: Vec<ResendRequest> = self.asking.extract_if(.., due).collect();
         let window = Duration::from_secs_f64(SETTINGS.window_s);
         for mut asking in asking {
             let place = asking.place;
             let same = self.boxes.get(&place);
-            if same.is_none_or(|run| run.life != asking.life) {
+            if same.is_none_or(|run| run.instance != asking.instance) {
                 continue;
             }
             let known = self.announced(place);
-            let run = self.boxes.get_mut(&place).expect("it runs");
-            let standing = run.fleet.membership(window, &known, now);
+            let run = self.boxes.get_mut(&place).expect("the box runs");
+            let membership = run.fleet.membership(window, &known, now);
             let allowed = run
                 .budget
-                .try_spend(ResendKind::AfterFailure, standing, now)
+                .try_spend(ResendKind::AfterFailure, membership, now)
                 .allowed;
             let mut ends_ms = now_ms;
             if allowed {
                 asking.resends += 1;
                 let steps = self.random.random_range(0..=LONGEST_ARRIVAL_MS / STEP_MS);
                 let arrives_ms = now_ms + STEP_MS * steps;
-                let reaches_ms = (self.scenario.passes)(arrives_ms);
+                let reaches_ms = (self.scenario.reaches_server_ms)(arrives_ms);
                 self.arrivals_ms.push(reaches_ms);
                 asking.unanswered += u32::from(reaches_ms > arrives_ms);
                 ends_ms = arrives_ms + STEP_MS;
@@ -462,10 +470,10 @@
                 asking.at_ms = ends_ms;
                 self.asking.push(asking);
             } else {
-                self.ending.push(Ending {
+                self.ending.push(EndingRequest {
                     at_ms: ends_ms,
                     place,
-                    life: asking.life,
+                    instance: asking.instance,
                     resends: asking.resends,
                     unanswered: asking.unanswered,
                 });
@@ -473,20 +481,21 @@
         }
     }
 
-    fn end(&mut self) {
+    fn end_requests(&mut self) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let due = |ending: &mut Ending| ending.at_ms <= now_ms;
-        let ending: Vec<Ending> = self.ending.extract_if(.., due).collect();
+        let due = |ending: &mut EndingRequest| ending.at_ms <= now_ms;
+        let ending: Vec<EndingRequest> = self.ending.extract_if(.., due).collect();
         for ending in ending {
             let same = self.boxes.get_mut(&ending.place);
-            if let Some(run) = same.filter(|run| run.life == ending.life) {
+            if let Some(run) = same.filter(|run| run.instance == ending.instance) {
                 run.budget
                     .finish_request(ending.resends, ending.unanswered, now);
             }
         }
     }
 
-    /// The worst span of the window's length, with the slack.
+    /// Returns the worst span of the window's length: resends, the number allowed
+    /// including the slack, and its start.
     fn worst(&self) -> (usize, f64, u64) {
         let spans = worst_span(&self.requests_ms, &self.arrivals_ms, self.now_ms);
         let (arrived, credit, from_ms) = spans;
@@ -494,9 +503,10 @@
     }
 }
 
-/// The worst span of the window's length: resends, what the requests allow, its beginning.
+/// Returns the worst span of the window's length: resends, the number that the requests
+/// allow, and its start.
 ///
-/// Spans end within the play: requests that come after it would count for later ones.
+/// Spans end within the play, since requests after a span count for later ones.
 fn worst_span(
     requests_ms: &[u64],
     arrivals_ms: &[u64],
@@ -519,7 +529,7 @@
         .expect("there are spans")
 }
 
-/// A box that starts again keeps its key.
+/// A box that restarts keeps its key.
 fn key_of(place: usize) -> u64 {
     place as u64 + 1
 }
@@ -528,7 +538,7 @@
     format!("dc-{data_centre}").as_str().into()
 }
 
-/// How many moments lie before each step.
+/// The number of moments before each step.
 struct CountBySteps(Vec<usize>);
 
 impl CountBySteps {
@@ -545,7 +555,7 @@
         Self(before)
     }
 
-    /// The moments of a span, both of its ends included.
+    /// Returns the number of moments in a span, both ends included.
     fn within(&self, from_ms: i64, until_ms: i64) -> usize {
         let step =
             |ms: i64| (ms.max(0) as usize / STEP_MS as usize).min(self.0.len() - 1);
@@ -556,7 +566,7 @@
     }
 }
 
-/// The scenarios whose bound does not hold, with the figures.
+/// Returns the plays of the scenarios that exceed the bound, with their figures.
 fn broken(scenarios: &[Scenario]) -> Vec<String> {
     let mut broken = Vec::new();
     for scenario in scenarios {
@@ -568,14 +578,14 @@
             play.run();
             let (arrived, allowed, from_ms) = play.worst();
             let all = play.arrivals_ms.len();
-            let told = format!(
+            let summary = format!(
                 "{}, {fleet} boxes, seed {seed}: {arrived} resends of {allowed:.1} \
                  from {from_ms} ms, {all} in all",
                 scenario.name
             );
-            eprintln!("{told}");
+            eprintln!("{summary}");
             if arrived as f64 > allowed {
-                broken.push(told);
+                broken.push(summary);
             }
         }
     }
@@ -583,7 +593,7 @@
 }
 
 const SEEDS: u64 = 3;
-/// Of one request.
+/// Maximum number of resends of one request.
 const MOST_RESENDS: u32 = 2;
 
 #[test]
@@ -592,10 +602,10 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// The links to the servers stand still for three seconds. Requests are given up meanwhile,
-/// and what was written to the servers still reaches them when the links go on: a connection
-/// that is closed sends what it holds first. The ledger takes what a request had sent for
-/// arrived a quarter of a second after its end, and so lets more go in the ten seconds after.
+/// The links to the servers stall for three seconds. Requests are given up meanwhile, but
+/// data already written still reaches the servers afterwards, even on closed connections.
+/// If the ledger counted these resends as arrived a quarter of a second after their
+/// requests ended, it would allow too many in the ten seconds after the stall.
 #[test]
 fn resends_that_reach_servers_after_their_requests_have_ended_count_when_they_do() {
     let broken = broken(&[Scenario {
@@ -603,14 +613,15 @@
         rate: steady,
         failing: |ms| if ms > 27_500 { 0.6 } else { 0.05 },
         runs: always,
-        hears: all_hear,
-        passes: |ms| if within(ms, 28, 31) { 31_000 } else { ms },
+        connected: all_connected,
+        reaches_server_ms: |ms| if within(ms, 28, 31) { 31_000 } else { ms },
     }]);
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// The most that boxes spend in any window beyond a fifth of what the fleet was asked for,
-/// each spending all that it may at all times.
+/// All callers move from one of two boxes to the other every ten seconds, and both boxes
+/// always spend all that they may. In no window may this be more than a fifth of the
+/// fleet's requests.
 #[test]
 fn callers_that_move_from_one_box_to_another_are_not_counted_twice() {
     let start = Instant::now() + Duration::from_secs(100);
--- a/tests/tests/budgets.rs
+++ b/tests/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! The fleet's retry budget: what boxes may spend, whoever comes, goes or is cut off.
+//! The fleet's retry budget: what boxes may spend while boxes join, leave or are
+//! disconnected.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +24,7 @@
     Duration::from_secs(count)
 }
 
-/// A box whose slack is divided among so many.
+/// The membership of a box that has joined, with the slack divided among so many boxes.
 fn joined(boxes: usize) -> FleetMembership {
     FleetMembership {
         boxes,
@@ -31,11 +32,15 @@
     }
 }
 
-/// Resends that a box makes at once until it may not; all arrive.
-fn spend(budget: &mut FleetRetryBudget, standing: FleetMembership, now: Instant) -> u32 {
+/// Makes resends until the budget refuses; all of them arrive. Returns their number.
+fn spend(
+    budget: &mut FleetRetryBudget,
+    membership: FleetMembership,
+    now: Instant,
+) -> u32 {
     let mut spent = 0;
     while budget
-        .try_spend(ResendKind::AfterFailure, standing, now)
+        .try_spend(ResendKind::AfterFailure, membership, now)
         .allowed
     {
         budget.finish_request(1, 0, now);
@@ -48,7 +53,7 @@
     name.into()
 }
 
-/// What a hub knows by announcements where there are so many other data centres.
+/// What the announcements tell a hub where these other data centres have boxes.
 fn hub_of(others: &[&str]) -> AnnouncementView {
     AnnouncementView {
         announced_boxes: 1,
@@ -69,7 +74,7 @@
     }
 }
 
-/// What a hub tells that counts so many boxes, itself among them.
+/// The census of a hub that counts so many boxes, including itself.
 fn census(hub: LinkId, boxes: u64) -> CensusNote {
     CensusNote {
         whole: true,
@@ -78,24 +83,25 @@
     }
 }
 
-/// A hub's standing after it has heard the hubs of some data centres for a while.
-fn standing_after(
+/// A hub's membership after it has received the reports of some data centres' hubs for a
+/// while.
+fn membership_after(
     known: &AnnouncementView,
-    heard: &[&str],
+    linked: &[&str],
     span: Duration,
 ) -> FleetMembership {
     let start = Instant::now();
     let mut view = FleetView::new(OWN_KEY, Instant::now());
-    for (id, name) in heard.iter().enumerate() {
+    for (id, name) in linked.iter().enumerate() {
         let id = id as u64 + 1;
         view.add_link(id, peer(name, id * 100), PeerRole::Hub, start);
         view.receive_census(id, &census(id, 10), known, start);
     }
-    let told = FleetNote::default();
+    let note = FleetNote::default();
     for tick in 0..=(span.as_millis() / 300) as u32 {
         let now = start + Duration::from_millis(300) * tick;
-        for id in 1..=heard.len() as u64 {
-            view.receive(id, told, known, Some(now), now);
+        for id in 1..=linked.len() as u64 {
+            view.receive(id, note, known, Some(now), now);
         }
         view.membership(WINDOW, known, now);
     }
@@ -123,31 +129,34 @@
         let allowed = 0.2 * requests + 60.0;
         assert!(in_window as f64 <= allowed, "{in_window} of {allowed}");
     }
-    assert!(resends.len() > 300, "the budget is there to be used");
+    assert!(resends.len() > 300, "the budget must be usable");
 }
 
 #[test]
 fn a_box_that_comes_has_its_requests_share_at_once_and_no_slack_until_all_count_it() {
     let start = Instant::now() + seconds(100);
-    let mut contact = FleetConnectivity::default();
+    let mut connectivity = FleetConnectivity::default();
     let mut budget = FleetRetryBudget::new(SETTINGS);
     (0..100).for_each(|_| budget.count_request(start));
     let join = required_contact_time(WINDOW);
     let mut spent = 0;
     for tick in 0..(join.as_millis() / 300) as u32 {
         let now = start + Duration::from_millis(300) * tick;
-        contact.note(now);
-        let standing = FleetMembership {
+        connectivity.note(now);
+        let membership = FleetMembership {
             boxes: 1,
-            state: contact.membership_state(WINDOW, now),
+            state: connectivity.membership_state(WINDOW, now),
         };
-        assert_eq!(standing.state, MembershipState::Joining);
-        spent += spend(&mut budget, standing, now);
+        assert_eq!(membership.state, MembershipState::Joining);
+        spent += spend(&mut budget, membership, now);
     }
-    assert!((9..=10).contains(&spent), "{spent} of half a fifth of 100");
-    contact.note(start + join);
+    assert!(
+        (9..=10).contains(&spent),
+        "{spent} spent of half of a fifth of 100"
+    );
+    connectivity.note(start + join);
     assert_eq!(
-        contact.membership_state(WINDOW, start + join),
+        connectivity.membership_state(WINDOW, start + join),
         MembershipState::Joined
     );
 }
@@ -160,27 +169,27 @@
         required_contact_time(WINDOW),
     );
     assert_eq!(
-        standing_after(&alone, &[], early).state,
+        membership_after(&alone, &[], early).state,
         MembershipState::Joining
     );
-    assert_eq!(standing_after(&alone, &[], late), joined(1));
+    assert_eq!(membership_after(&alone, &[], late), joined(1));
 }
 
 #[test]
 fn after_a_loss_of_all_boxes_nobody_has_any_slack_for_a_window() {
     for boxes in [1, 40] {
         let mut budget = FleetRetryBudget::new(SETTINGS);
-        let mut contact = FleetConnectivity::default();
+        let mut connectivity = FleetConnectivity::default();
         let start = Instant::now();
-        contact.note(start);
+        connectivity.note(start);
         for second in 0..=10 {
             let now = start + seconds(second);
-            contact.note(now);
-            let standing = FleetMembership {
+            connectivity.note(now);
+            let membership = FleetMembership {
                 boxes,
-                state: contact.membership_state(WINDOW, now),
+                state: connectivity.membership_state(WINDOW, now),
             };
-            assert_eq!(spend(&mut budget, standing, now), 0);
+            assert_eq!(spend(&mut budget, membership, now), 0);
         }
     }
 }
@@ -189,39 +198,43 @@
 fn what_others_were_asked_for_and_sent_again_changes_nothing_for_a_box() {
     let now = Instant::now() + seconds(100);
     let mut budget = FleetRetryBudget::new(SETTINGS);
-    let told = |requests, resends| ServiceTally {
+    let tally = |requests, resends| ServiceTally {
         requests,
         resends,
         lost: 0,
     };
-    budget.merge_remote_counts(told(5_000, 0), now);
-    assert_eq!(spend(&mut budget, joined(40), now), 1, "60 over 40 boxes");
+    budget.merge_remote_counts(tally(5_000, 0), now);
+    assert_eq!(
+        spend(&mut budget, joined(40), now),
+        1,
+        "a slack of 60 divided among 40 boxes"
+    );
     let mut other = FleetRetryBudget::new(SETTINGS);
-    other.merge_remote_counts(told(0, 5_000), now);
+    other.merge_remote_counts(tally(0, 5_000), now);
     assert_eq!(spend(&mut other, joined(40), now), 1);
 }
 
 #[test]
 fn a_box_cut_off_spends_no_slack_and_joins_anew() {
     let start = Instant::now();
-    let mut contact = FleetConnectivity::default();
+    let mut connectivity = FleetConnectivity::default();
     let mut now = start;
     while now <= start + required_contact_time(WINDOW) {
-        contact.note(now);
+        connectivity.note(now);
         now += Duration::from_millis(500);
     }
     assert_eq!(
-        contact.membership_state(WINDOW, now),
+        connectivity.membership_state(WINDOW, now),
         MembershipState::Joined
     );
     let later = now + seconds(3);
     assert_eq!(
-        contact.membership_state(WINDOW, later),
+        connectivity.membership_state(WINDOW, later),
         MembershipState::Disconnected
     );
-    contact.note(later);
+    connectivity.note(later);
     assert_eq!(
-        contact.membership_state(WINDOW, later),
+        connectivity.membership_state(WINDOW, later),
         MembershipState::Joining
     );
 }
@@ -229,21 +242,25 @@
 #[test]
 fn a_contact_that_is_told_late_is_as_old_as_it_is() {
     let start = Instant::now();
-    let mut contact = FleetConnectivity::default();
-    contact.note(start + seconds(5));
-    contact.note(start + seconds(4));
+    let mut connectivity = FleetConnectivity::default();
+    connectivity.note(start + seconds(5));
+    connectivity.note(start + seconds(4));
     let now = start + seconds(7);
-    assert_eq!(contact.age(now), Some(seconds(2)));
+    assert_eq!(connectivity.age(now), Some(seconds(2)));
 }
 
 #[test]
 fn a_hub_that_does_not_hear_every_data_centre_has_no_slack() {
     let known = hub_of(&["b", "c", "d"]);
     let join = required_contact_time(WINDOW);
-    let half = standing_after(&known, &["b"], join);
-    assert_eq!(half.state, MembershipState::Disconnected);
-    let whole = standing_after(&known, &["b", "c", "d"], join);
-    assert_eq!(whole, joined(31), "ten in each of three, and itself");
+    let partial = membership_after(&known, &["b"], join);
+    assert_eq!(partial.state, MembershipState::Disconnected);
+    let complete = membership_after(&known, &["b", "c", "d"], join);
+    assert_eq!(
+        complete,
+        joined(31),
+        "ten boxes in each of three data centres, and itself"
+    );
 }
 
 #[test]
@@ -252,18 +269,18 @@
     let mut stale = hub_of(&[]);
     stale.age = Some(seconds(9));
     assert_eq!(
-        standing_after(&stale, &[], join).state,
+        membership_after(&stale, &[], join).state,
         MembershipState::Disconnected
     );
     stale.age = None;
     assert_eq!(
-        standing_after(&stale, &[], join).state,
+        membership_after(&stale, &[], join).state,
         MembershipState::Disconnected
     );
-    let mut stand_in = hub_of(&[]);
-    stand_in.is_acting_hub = true;
+    let mut acting_hub = hub_of(&[]);
+    acting_hub.is_acting_hub = true;
     assert_eq!(
-        standing_after(&stand_in, &[], join).state,
+        membership_after(&acting_hub, &[], join).state,
         MembershipState::Disconnected
     );
 }
@@ -274,7 +291,7 @@
         is_hub: false,
         ..hub_of(&["b"])
     };
-    let told = |touch_ms| FleetNote {
+    let note = |touch_ms| FleetNote {
         boxes: 40,
         counted: 0,
         touch_ms,
@@ -286,7 +303,7 @@
         view.add_link(1, peer("here", 100), PeerRole::OwnHub, start);
         let mut now = start;
         while now <= start + required_contact_time(WINDOW) {
-            view.receive(1, told(touch_ms), &member, Some(now), now);
+            view.receive(1, note(touch_ms), &member, Some(now), now);
             now += Duration::from_millis(300);
         }
         view.membership(WINDOW, &member, now)
@@ -300,18 +317,21 @@
 fn a_resend_counts_from_its_sending_until_a_window_after_its_request() {
     let start = Instant::now() + seconds(100);
     let mut budget = FleetRetryBudget::new(SETTINGS);
-    let standing = joined(60);
+    let membership = joined(60);
     assert!(
         budget
-            .try_spend(ResendKind::AfterFailure, standing, start)
+            .try_spend(ResendKind::AfterFailure, membership, start)
             .allowed
     );
     let refused = |budget: &mut FleetRetryBudget, now| {
-        let answer = budget.check(ResendKind::AfterFailure, standing, now);
-        assert_eq!(answer.allowed, answer.spent == 0);
-        !answer.allowed
+        let decision = budget.check(ResendKind::AfterFailure, membership, now);
+        assert_eq!(decision.allowed, decision.spent == 0);
+        !decision.allowed
     };
-    assert!(refused(&mut budget, start + seconds(15)), "it is still out");
+    assert!(
+        refused(&mut budget, start + seconds(15)),
+        "the request has not ended"
+    );
     budget.finish_request(1, 0, start + seconds(15));
     assert!(refused(&mut budget, start + seconds(25)));
     assert!(!refused(&mut budget, start + seconds(26)));
@@ -321,21 +341,21 @@
 fn a_resend_that_reached_no_server_is_given_back() {
     let now = Instant::now() + seconds(100);
     let mut budget = FleetRetryBudget::new(SETTINGS);
-    let standing = joined(60);
+    let membership = joined(60);
     assert!(
         budget
-            .try_spend(ResendKind::AfterFailure, standing, now)
+            .try_spend(ResendKind::AfterFailure, membership, now)
             .allowed
     );
     assert!(
         !budget
-            .try_spend(ResendKind::AfterFailure, standing, now)
+            .try_spend(ResendKind::AfterFailure, membership, now)
             .allowed
     );
     budget.refund(1);
     assert!(
         budget
-            .try_spend(ResendKind::AfterFailure, standing, now)
+            .try_spend(ResendKind::AfterFailure, membership, now)
             .allowed
     );
 }
@@ -352,7 +372,7 @@
     assert_eq!(
         fleet.max_within(seconds(18), now),
         30,
-        "what came between counts"
+        "counts within the span matter"
     );
     assert_eq!(fleet.max_within(seconds(9), now), 5);
 }
@@ -362,7 +382,7 @@
     let start = Instant::now();
     let known = hub_of(&[]);
     let mut view = FleetView::new(OWN_KEY, Instant::now());
-    let contact_after = |view: &mut FleetView, window, until| {
+    let state_after = |view: &mut FleetView, window, until| {
         let mut now = start;
         while now <= start + until {
             view.membership(window, &known, now);
@@ -372,11 +392,11 @@
     };
     let (long, longer) = (seconds(50), seconds(60));
     assert_eq!(
-        contact_after(&mut view, long, seconds(70)),
+        state_after(&mut view, long, seconds(70)),
         MembershipState::Joined
     );
     assert_eq!(
-        contact_after(&mut view, longer, seconds(200)),
+        state_after(&mut view, longer, seconds(200)),
         MembershipState::Disconnected
     );
 }
@@ -390,7 +410,7 @@
     fleet.receive(1, &census(1, 10), start);
     fleet.receive(2, &census(2, 9), start);
     assert_eq!(fleet.count(start), 20);
-    // The members of the first have lost it, and have no other yet.
+    // The members of the first hub have lost it, and have no other hub yet.
     fleet.receive(1, &census(1, 1), start + seconds(3));
     assert_eq!(fleet.count(start + seconds(3)), 20);
     fleet.drop_link(1, start + seconds(3));
@@ -405,8 +425,8 @@
     fleet.add_hub(1);
     fleet.receive(1, &census(1, 30), start);
     assert_eq!(fleet.count(start), 31);
-    // A second hub of the same data centre takes over, one member after the other, while
-    // the first has not noticed that they have gone.
+    // A second hub of the same data centre takes over the members one by one, before the
+    // first has noticed that they have left.
     fleet.add_hub(2);
     for n in 0..30 {
         let joined = CensusNote {
@@ -448,16 +468,19 @@
     let mut view = FleetView::new(OWN_KEY, Instant::now());
     view.add_link(1, peer("b", 100), PeerRole::Hub, now);
     view.receive_census(1, &census(1, 10), &known, now);
-    let told = FleetNote {
+    let note = FleetNote {
         boxes: 0,
         counted: 35,
         touch_ms: None,
         delegates: false,
     };
-    view.receive(1, told, &known, Some(now), now);
+    view.receive(1, note, &known, Some(now), now);
     assert_eq!(view.fleet_size(&known, now), 35);
-    let told = view.outgoing_notes(&known, now).note_for(PeerRole::Hub);
-    assert_eq!(told.counted, 11, "no echo");
+    let note = view.outgoing_notes(&known, now).note_for(PeerRole::Hub);
+    assert_eq!(
+        note.counted, 11,
+        "the count received from another hub is not sent back"
+    );
 }
 
 #[test]
@@ -468,9 +491,12 @@
     while budget.try_spend(ResendKind::Hedge, joined(1), now).allowed {
         hedges += 1;
     }
-    assert!((40..=42).contains(&hedges), "{hedges}");
-    let surer = spend(&mut budget, joined(1), now);
-    assert!((18..=20).contains(&surer), "{surer}");
+    assert!((40..=42).contains(&hedges), "{hedges} hedges");
+    let after_failure = spend(&mut budget, joined(1), now);
+    assert!(
+        (18..=20).contains(&after_failure),
+        "{after_failure} resends after failures"
+    );
 }
 
 #[test]
@@ -486,9 +512,15 @@
     budget.merge_remote_counts(counts(50, 0), at(0));
     budget.merge_remote_counts(counts(50, 5), at(1_500));
     let early = budget.service_load(at(1_500)).failure_ratio;
-    assert!(early >= 0.1, "five of fifty in the last second: {early}");
+    assert!(
+        early >= 0.1,
+        "five of fifty lost in the last second: {early}"
+    );
     budget.merge_remote_counts(counts(50, 0), at(2_800));
     let late = budget.service_load(at(2_800)).failure_ratio;
-    assert!(late >= 0.05, "five of a hundred in two seconds: {late}");
+    assert!(
+        late >= 0.05,
+        "five of a hundred lost in two seconds: {late}"
+    );
     assert_eq!(budget.service_load(at(9_000)).failure_ratio, 0.0);
 }
--- a/tests/tests/client_accounts.rs
+++ b/tests/tests/client_accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: whose key lets which request through, and what servers are told of it.
+//! Client accounts: which requests a key admits, and which account is sent to servers.
 
 mod edge;
 
@@ -11,7 +11,7 @@
 use wingspur_tests::{Answer, BackendServer, Reply, call};
 
 const ACCOUNT: &str = "x-wingspur-tenant-name";
-/// Two accounts with a key each, and a class that is open to all.
+/// Two accounts with their keys. `bundle` opens the last of its route classes to all.
 const ACCOUNTS: &[(&str, &[&str])] =
     &[("school", &["key-a", "key-b"]), ("academy", &["key-c"])];
 
@@ -22,7 +22,7 @@
     bundle
 }
 
-/// Calls a route with some headers beside the usual ones.
+/// Calls a route with the given headers in addition to the usual ones.
 fn ask(deployment: &Deployment, class: &str, headers: &[(&str, &str)]) -> Answer {
     let usual = [
         ("host", "site.example"),
@@ -40,7 +40,8 @@
     ask(deployment, class, &[("authorization", &value)]).status
 }
 
-/// What a request carries, what it is answered, and which account its server is told.
+/// The class and headers of a request, the expected status, and the account that its
+/// server is sent (empty for none).
 type Case = (
     &'static str,
     &'static [(&'static str, &'static str)],
@@ -103,8 +104,8 @@
         let heads = servers[0].heads();
         assert_eq!(heads.len(), usize::from(*status == 200));
         for head in heads {
-            let told = head.headers.get(ACCOUNT).map_or("", String::as_str);
-            assert_eq!(told, *account, "{class} {headers:?}");
+            let account_sent = head.headers.get(ACCOUNT).map_or("", String::as_str);
+            assert_eq!(account_sent, *account, "{class} {headers:?}");
             let text = format!("{:?}", head.headers);
             for secret in ["key-", "authorization", "tenant_name"] {
                 assert!(!text.contains(secret), "{text}");
@@ -140,16 +141,19 @@
     let servers = [BackendServer::start(|_| Reply::Whole)];
     let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
     for round in 0..10u64 {
-        let (owner, other) = match round % 2 {
+        let (account, other) = match round % 2 {
             0 => ("school", "academy"),
             _ => ("academy", "school"),
         };
-        let accounts: &[(&str, &[&str])] = &[(owner, &["moves"]), (other, &["key-b"])];
+        let accounts: &[(&str, &[&str])] = &[(account, &["moves"]), (other, &["key-b"])];
         deployment.roll_out(&bundle(2 + 2 * round, accounts));
         assert_eq!(ask_with_key(&deployment, "read", "moves"), 200);
-        let told = servers[0].heads().pop().unwrap().headers[ACCOUNT].clone();
-        assert_eq!(told, owner);
-        deployment.roll_out(&bundle(3 + 2 * round, &[(owner, &[]), (other, &["key-b"])]));
+        let account_sent = servers[0].heads().pop().unwrap().headers[ACCOUNT].clone();
+        assert_eq!(account_sent, account);
+        deployment.roll_out(&bundle(
+            3 + 2 * round,
+            &[(account, &[]), (other, &["key-b"])],
+        ));
         assert_eq!(ask_with_key(&deployment, "read", "moves"), 401);
         assert_eq!(ask_with_key(&deployment, "read", "key-b"), 200);
     }
@@ -158,43 +162,49 @@
 
 #[test]
 fn a_key_that_is_taken_away_meanwhile_sends_no_request_again() {
-    let (met, taken) = (
+    let (attempts, is_revoked) = (
         Arc::new(AtomicUsize::new(0)),
         Arc::new(AtomicBool::new(false)),
     );
     let server = || {
-        let (met, taken) = (met.clone(), taken.clone());
+        let (attempts, is_revoked) = (attempts.clone(), is_revoked.clone());
         BackendServer::start(move |_| {
-            met.fetch_add(1, Ordering::SeqCst);
-            while !taken.load(Ordering::SeqCst) {
+            attempts.fetch_add(1, Ordering::SeqCst);
+            while !is_revoked.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(5));
             }
             Reply::Shed
         })
     };
     let servers = [server(), server()];
-    // Its target is far off, so that nothing is sent beside the first attempt.
+    // The latency target is so long that no hedge is sent beside the first attempt.
     let mut first = bundle(1, ACCOUNTS);
     first["host_routes"][1]["target_latency_ms"] = json!(60_000);
     let deployment = Deployment::start_configured(&servers, &first);
     let status = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| ask_with_key(&deployment, "once_only", "key-c"));
-        edge::wait_until("it is sent", || met.load(Ordering::SeqCst) > 0);
+        let caller = scope.spawn(|| ask_with_key(&deployment, "once_only", "key-c"));
+        edge::wait_until("the first attempt is sent", || {
+            attempts.load(Ordering::SeqCst) > 0
+        });
         deployment.roll_out(&bundle(2, &[("school", &["key-a"]), ("academy", &[])]));
-        taken.store(true, Ordering::SeqCst);
-        asked.join().unwrap()
+        is_revoked.store(true, Ordering::SeqCst);
+        caller.join().unwrap()
     });
     assert_eq!(status, 401);
-    assert_eq!(met.load(Ordering::SeqCst), 1, "servers that it was sent to");
+    assert_eq!(
+        attempts.load(Ordering::SeqCst),
+        1,
+        "attempts sent to servers"
+    );
     deployment.close();
 }
 
 #[test]
 fn a_resend_tells_the_account_as_well() {
-    let met = Arc::new(AtomicUsize::new(0));
+    let attempts = Arc::new(AtomicUsize::new(0));
     let server = || {
-        let met = met.clone();
-        BackendServer::start(move |_| match met.fetch_add(1, Ordering::SeqCst) {
+        let attempts = attempts.clone();
+        BackendServer::start(move |_| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::Shed,
             _ => Reply::Whole,
         })
@@ -203,8 +213,8 @@
     let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
     assert_eq!(ask_with_key(&deployment, "once_only", "key-c"), 200);
     let heads = servers.iter().flat_map(BackendServer::heads);
-    let told: Vec<_> = heads.map(|head| head.headers[ACCOUNT].clone()).collect();
-    assert_eq!(told, ["academy", "academy"]);
+    let account_sent: Vec<_> = heads.map(|head| head.headers[ACCOUNT].clone()).collect();
+    assert_eq!(account_sent, ["academy", "academy"]);
     deployment.close();
 }
 
--- a/tests/tests/lending.rs
+++ b/tests/tests/lending.rs
@@ -1,4 +1,5 @@
-//! What boxes lend each other: counted once, used by one at a time, ended by itself.
+//! Quota leases and leased resends between boxes: each is counted once, used by one box
+//! at a time, and expires by itself.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -86,29 +87,29 @@
     assert!(!delegation.delegate_to(1, last + DELEGATION_TTL + ms(1)));
 }
 
-/// Notes a part from one moment to another, as often as a box does.
-fn keep(clock: &mut ShareHistory, part: f64, from: Instant, until: Instant) {
+/// Records a share over a span of time, as often as a box does.
+fn record(history: &mut ShareHistory, share: f64, from: Instant, until: Instant) {
     let mut now = from;
     while now < until {
-        clock.record_share(part, now);
+        history.record_share(share, now);
         now += ms(200);
     }
-    clock.record_share(part, until);
+    history.record_share(share, until);
 }
 
 #[test]
 fn a_pool_holds_no_more_than_its_part_of_the_depth_whatever_its_rest() {
     let (start, account) = (start(), account(10.0));
     let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
-    let (mut clock, mut pool) = (ShareHistory::new(start), QuotaPool::default());
+    let (mut history, mut pool) = (ShareHistory::new(start), QuotaPool::default());
     let later = start + Duration::from_secs(900);
-    keep(&mut clock, 0.25, start, later);
-    let lent = pool.lease_on_demand(1_000, 0.0, &terms, &clock, later);
-    assert_eq!(lent, (terms.burst / 4.0) as u32);
-    clock.record_share(0.0, later + ms(1));
-    clock.record_share(0.0, later + ms(60_000));
-    let none = pool.lease_on_demand(1, 0.0, &terms, &clock, later + ms(60_000));
-    assert_eq!(none, 0, "a box without a part has nothing");
+    record(&mut history, 0.25, start, later);
+    let granted = pool.lease_on_demand(1_000, 0.0, &terms, &history, later);
+    assert_eq!(granted, (terms.burst / 4.0) as u32);
+    history.record_share(0.0, later + ms(1));
+    history.record_share(0.0, later + ms(60_000));
+    let none = pool.lease_on_demand(1, 0.0, &terms, &history, later + ms(60_000));
+    assert_eq!(none, 0, "a box without a share has no tokens");
 }
 
 #[test]
@@ -116,19 +117,20 @@
     let (start, account) = (start(), account(10.0));
     let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
     let later = start + Duration::from_secs(100);
-    let mut clock = ShareHistory::new(start);
-    keep(&mut clock, 1.0, start, later);
-    let mut asked = QuotaPool::default();
-    assert_eq!(asked.lease_on_demand(1, 0.0, &terms, &clock, later), 1);
-    let gone = later + Duration::from_secs(2);
-    keep(&mut clock, 0.0, later, gone);
-    let back = gone + Duration::from_secs(1);
-    keep(&mut clock, 1.0, gone, back);
-    // Another box may have spent all that was there: ten a second are earned since.
-    let mut never_asked = QuotaPool::default();
-    for pool in [&mut asked, &mut never_asked] {
-        let lent = pool.lease_on_demand(1_000, 0.0, &terms, &clock, back);
-        assert!((9..=10).contains(&lent), "{lent}");
+    let mut history = ShareHistory::new(start);
+    record(&mut history, 1.0, start, later);
+    let mut used = QuotaPool::default();
+    assert_eq!(used.lease_on_demand(1, 0.0, &terms, &history, later), 1);
+    let lost = later + Duration::from_secs(2);
+    record(&mut history, 0.0, later, lost);
+    let returned = lost + Duration::from_secs(1);
+    record(&mut history, 1.0, lost, returned);
+    // Another box may have spent all tokens that were left: ten a second were earned
+    // since.
+    let mut unused = QuotaPool::default();
+    for pool in [&mut used, &mut unused] {
+        let granted = pool.lease_on_demand(1_000, 0.0, &terms, &history, returned);
+        assert!((9..=10).contains(&granted), "{granted} granted");
     }
 }
 
@@ -136,94 +138,91 @@
 fn stocks_are_lent_only_of_a_part_that_was_had_for_as_long_as_stocks_last() {
     let (start, account) = (start(), account(10.0));
     let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
-    let (mut clock, mut pool) = (ShareHistory::new(start), QuotaPool::default());
-    let ask = |held| PrefetchRequest {
+    let (mut history, mut pool) = (ShareHistory::new(start), QuotaPool::default());
+    let request = |held| PrefetchRequest {
         borrower: 7,
         held,
         wanted: 5.0,
     };
     let soon = start + ms(2_900);
-    keep(&mut clock, 1.0, start, soon);
-    // The hub before may have lent as much, and that lasts for three seconds.
-    let none = pool.lease_prefetch(&ask(0.0), &terms, &clock, soon);
+    record(&mut history, 1.0, start, soon);
+    // The previous hub may have leased out as much, and its leases last for three
+    // seconds.
+    let none = pool.lease_prefetch(&request(0.0), &terms, &history, soon);
     assert_eq!(none.amount, 0.0);
-    let most = pool.lease_on_demand(1_000, 0.0, &terms, &clock, soon);
-    assert!(f64::from(most) <= terms.burst * 0.4, "{most}");
+    let on_demand = pool.lease_on_demand(1_000, 0.0, &terms, &history, soon);
+    assert!(
+        f64::from(on_demand) <= terms.burst * 0.4,
+        "{on_demand} granted"
+    );
     let later = soon + Duration::from_secs(6);
-    keep(&mut clock, 1.0, soon, later);
-    let lent = pool.lease_prefetch(&ask(0.0), &terms, &clock, later);
-    assert_eq!(lent.amount, 5.0);
+    record(&mut history, 1.0, soon, later);
+    let granted = pool.lease_prefetch(&request(0.0), &terms, &history, later);
+    assert_eq!(granted.amount, 5.0);
     assert!(
-        pool.lease_prefetch(&ask(5.0), &terms, &clock, later)
+        pool.lease_prefetch(&request(5.0), &terms, &history, later)
             .renewed
     );
-    // What the part has no room for any more is left to end.
+    // A lease that the share has no more room for is left to expire.
     let shrunk = later + ms(100);
-    clock.record_share(0.1, shrunk);
-    let kept = pool.lease_prefetch(&ask(5.0), &terms, &clock, shrunk);
-    assert_eq!((kept.amount, kept.renewed), (0.0, false));
+    history.record_share(0.1, shrunk);
+    let refused = pool.lease_prefetch(&request(5.0), &terms, &history, shrunk);
+    assert_eq!((refused.amount, refused.renewed), (0.0, false));
 }
 
 #[test]
 fn a_stock_that_the_hub_does_not_renew_keeps_its_end() {
     let start = start();
-    let mut borrower = LeaseClient::default();
+    let mut client = LeaseClient::default();
     for _ in 0..6 {
-        assert_eq!(borrower.try_acquire(start), AcquireOutcome::Pending);
+        assert_eq!(client.try_acquire(start), AcquireOutcome::Pending);
     }
-    let asked = borrower.next_request(1, 0, true, start);
-    assert!(matches!(asked, Some(LeaseDemand::Prefetch { .. })));
-    let lent = PrefetchGrant {
+    let request = client.next_request(1, 0, true, start);
+    assert!(matches!(request, Some(LeaseDemand::Prefetch { .. })));
+    let granted = PrefetchGrant {
         amount: 12.0,
         renewed: false,
     };
-    borrower.apply_prefetch_grant(7, &lent, start + ms(5));
+    client.apply_prefetch_grant(7, &granted, start + ms(5));
     assert_eq!(
-        borrower.try_acquire(start + ms(6)),
+        client.try_acquire(start + ms(6)),
         AcquireOutcome::Pending,
-        "another's answer"
+        "the response has the number of another request"
     );
-    borrower.apply_prefetch_grant(1, &lent, start + ms(7));
-    assert_eq!(
-        borrower.try_acquire(start + ms(8)),
-        AcquireOutcome::Acquired
-    );
-    // Another hub lends on top, and knows nothing of what was held.
+    client.apply_prefetch_grant(1, &granted, start + ms(7));
+    assert_eq!(client.try_acquire(start + ms(8)), AcquireOutcome::Acquired);
+    // Another hub grants tokens on top, without counting those that are held.
     for _ in 0..6 {
-        borrower.try_acquire(start + ms(2_500));
+        client.try_acquire(start + ms(2_500));
     }
-    assert!(
-        borrower
-            .next_request(2, 0, true, start + ms(2_500))
-            .is_some()
-    );
-    borrower.apply_prefetch_grant(2, &lent, start + ms(2_510));
+    assert!(client.next_request(2, 0, true, start + ms(2_500)).is_some());
+    client.apply_prefetch_grant(2, &granted, start + ms(2_510));
     assert_eq!(
-        borrower.try_acquire(start + ms(2_900)),
+        client.try_acquire(start + ms(2_900)),
         AcquireOutcome::Acquired
     );
     assert_eq!(
-        borrower.try_acquire(start + ms(3_001)),
+        client.try_acquire(start + ms(3_001)),
         AcquireOutcome::Pending,
-        "it has ended"
+        "the first lease has expired, and the second did not renew it"
     );
 }
 
 #[test]
 fn what_is_lent_at_once_is_void_when_it_is_late() {
     let start = start();
-    let mut borrower = LeaseClient::default();
-    borrower.try_acquire(start);
+    let mut client = LeaseClient::default();
+    client.try_acquire(start);
     assert_eq!(
-        borrower.next_request(1, 1, true, start),
+        client.next_request(1, 1, true, start),
         Some(LeaseDemand::OnDemand(1))
     );
     assert_eq!(
-        borrower.apply_on_demand_grant(1, 1, None, start + ms(201)),
+        client.apply_on_demand_grant(1, 1, None, start + ms(201)),
         None
     );
-    borrower.try_acquire(start + ms(300));
-    assert!(borrower.next_request(2, 1, true, start + ms(300)).is_some());
-    let lent = borrower.apply_on_demand_grant(2, 1, None, start + ms(305));
-    assert_eq!(lent, Some((1, start + ms(500))));
+    client.try_acquire(start + ms(300));
+    assert!(client.next_request(2, 1, true, start + ms(300)).is_some());
+    let granted = client.apply_on_demand_grant(2, 1, None, start + ms(305));
+    assert_eq!(granted, Some((1, start + ms(500))));
 }
--- a/tests/tests/server_limit_bound.rs
+++ b/tests/tests/server_limit_bound.rs
@@ -1,18 +1,19 @@
-//! What all boxes together send to a server that names a limit, over every span of four seconds
-//! and whatever befalls them; and that what it takes is used, and used in full again soon
-//! after it names none any more.
+//! What all boxes together send to a server that sets a limit, over every span of four
+//! seconds and under all faults; and that what it accepts is used, and all of it soon
+//! after the limit has ended.
 
 mod fleet_play;
 
 use fleet_play::{CALM, END_MS, LimitedServer, Play, Scenario, both, faults, play_all};
 
-type Names = fn(u64) -> Option<f64>;
+type LimitFn = fn(u64) -> Option<f64>;
 
-/// The server names limits from then on, until the play ends or it says otherwise.
-const NAMED_MS: u64 = 10_000;
+/// The server sets limits from this time on, until the end of the play or until its
+/// function says otherwise.
+const LIMIT_SET_MS: u64 = 10_000;
 
 fn from_then(ms: u64, per_s: f64) -> Option<f64> {
-    (ms >= NAMED_MS).then_some(per_s)
+    (ms >= LIMIT_SET_MS).then_some(per_s)
 }
 
 fn nothing(ms: u64) -> Option<f64> {
@@ -39,9 +40,9 @@
     from_then(ms, 200.0)
 }
 
-/// From 20 to 1 within a second, up again, gone, and the same again.
+/// Falls from 20 to 1 in steps, rises again, ends, and repeats every eight seconds.
 fn falls_and_rises(ms: u64) -> Option<f64> {
-    let at = ms.checked_sub(NAMED_MS)? % 8_000;
+    let at = ms.checked_sub(LIMIT_SET_MS)? % 8_000;
     match at {
         0..2_000 => Some(20.0),
         2_000..2_500 => Some(8.0),
@@ -52,7 +53,7 @@
 }
 
 fn another_each_second(ms: u64) -> Option<f64> {
-    let second = ms.checked_sub(NAMED_MS)? / 1_000;
+    let second = ms.checked_sub(LIMIT_SET_MS)? / 1_000;
     let named = [20.0, 1.0, 5.0, 0.0, 12.0, 0.5, 2.0];
     Some(named[second as usize % named.len()])
 }
@@ -65,7 +66,7 @@
     nothing(ms).filter(|_| ms < 20_000)
 }
 
-const ALL: [Names; 8] = [
+const ALL: [LimitFn; 8] = [
     nothing,
     a_fifth,
     one,
@@ -76,8 +77,8 @@
     another_each_second,
 ];
 
-/// One of sixteen servers of a service that is asked for sixty requests a second.
-fn one_of_sixteen(names: Names) -> LimitedServer {
+/// One of sixteen servers of a service that receives sixty requests per second.
+fn one_of_sixteen(names: LimitFn) -> LimitedServer {
     LimitedServer {
         names,
         servers: 16,
@@ -86,8 +87,9 @@
     }
 }
 
-/// All servers of the service name limits, and three times as much is asked for.
-fn all_at_limit(names: Names) -> LimitedServer {
+/// Stands for a service whose servers all set limits: its sixty requests per second,
+/// three times the limit of `twenty`, can go to no other server.
+fn all_at_limit(names: LimitFn) -> LimitedServer {
     LimitedServer {
         names,
         servers: 1,
@@ -96,28 +98,32 @@
     }
 }
 
-/// What the limit allows in the window from a moment on: half as much again, and five; a box
-/// may go by what it was told half a second before.
-fn allowed(names: Names, from_ms: u64) -> f64 {
+/// What the limit allows in the window that starts at `from_ms`: half as much again, and
+/// five. A box may apply the limit that it received half a second before.
+fn allowed(names: LimitFn, from_ms: u64) -> f64 {
     let steps = (from_ms..from_ms + WINDOW_MS).step_by(50);
     let limit_at = |ms: u64| {
-        let told_before = (ms.saturating_sub(TOLD_MS)..=ms).step_by(50);
-        let named = told_before.map(|ms| names(ms).unwrap_or(f64::INFINITY));
+        let received_before = (ms.saturating_sub(LIMIT_RECEIVED_MS)..=ms).step_by(50);
+        let named = received_before.map(|ms| names(ms).unwrap_or(f64::INFINITY));
         named.fold(0.0, f64::max)
     };
     let sum: f64 = steps.map(|ms| limit_at(ms) * 0.05).sum();
     1.5 * sum + 5.0
 }
 
-/// Windows that hold more than is allowed, of what boxes sent that had been told.
-fn windows_over(play: &Play, names: Names) -> Vec<String> {
-    let told = play.arrivals.iter().filter(|arrival| {
-        let told = arrival.told_ms;
-        told.is_some_and(|told_ms| told_ms + TOLD_MS <= arrival.ms)
+/// The windows that hold more than is allowed, counting only what boxes sent that had
+/// received the limit.
+fn windows_over(play: &Play, names: LimitFn) -> Vec<String> {
+    let sent_after_limit = play.arrivals.iter().filter(|arrival| {
+        let received_ms = arrival.told_ms;
+        received_ms
+            .is_some_and(|received_ms| received_ms + LIMIT_RECEIVED_MS <= arrival.ms)
     });
-    let counted: Vec<u64> = told.map(|arrival| arrival.ms).collect();
-    let late = counted.iter().filter(|ms| **ms >= NAMED_MS + CONTACT_MS);
-    let over = late.filter_map(|from_ms| {
+    let counted: Vec<u64> = sent_after_limit.map(|arrival| arrival.ms).collect();
+    let starts = counted
+        .iter()
+        .filter(|ms| **ms >= LIMIT_SET_MS + BOUND_HOLDS_AFTER_MS);
+    let over = starts.filter_map(|from_ms| {
         let first = counted.partition_point(|ms| ms < from_ms);
         let last = counted.partition_point(|ms| *ms < from_ms + WINDOW_MS);
         let most = allowed(names, *from_ms);
@@ -127,9 +133,10 @@
     over.collect()
 }
 
-/// The share of what the server takes that it got, from two seconds after it first said so.
-fn used(play: &Play, names: Names) -> f64 {
-    let from_ms = NAMED_MS + 2_000;
+/// The ratio of the requests that the server received to those that it accepts, from two
+/// seconds after it first set a limit.
+fn used(play: &Play, names: LimitFn) -> f64 {
+    let from_ms = LIMIT_SET_MS + 2_000;
     let got = play.arrivals.iter().filter(|arrival| arrival.ms >= from_ms);
     let steps = (from_ms..END_MS).step_by(50);
     let takes: f64 = steps.map(|ms| names(ms).unwrap_or(0.0) * 0.05).sum();
@@ -150,7 +157,8 @@
             }
         }
     }
-    // A quarter at a time: each pair of faults meets each limit, each fleet and both loads.
+    // Runs a quarter of the plays: each pair of faults meets each limit, each fleet and
+    // both loads.
     if std::env::var("WINGSPUR_SEEDS").is_err() {
         let per_pair = 2 * ALL.len() * plans().len();
         let kept =
@@ -171,7 +179,7 @@
                 "{} and {}, {boxes} boxes, {:?}/s, only {}, seed {seed}: {first}",
                 one.name,
                 other.name,
-                (server.names)(NAMED_MS),
+                (server.names)(LIMIT_SET_MS),
                 server.is_only
             )
         })
@@ -182,7 +190,8 @@
     assert!(broken.is_empty(), "{summary}: {broken:#?}");
 }
 
-/// While no box is lost, parts never add up to more than the whole, whoever holds them.
+/// While no box is lost, the shares never add up to more than the whole, whoever holds
+/// them.
 #[test]
 fn each_part_is_used_by_one_hub_at_a_time() {
     let faults = faults();
@@ -202,8 +211,12 @@
         let server = one_of_sixteen(three);
         let play = Play::of_server(both(one, other), *boxes, server, *seed).run();
         let sum = play.most_parts;
-        (sum > 1.0 + 1e-6)
-            .then(|| format!("{} and {}, {boxes} boxes: {sum}", one.name, other.name))
+        (sum > 1.0 + 1e-6).then(|| {
+            format!(
+                "{} and {}, {boxes} boxes: shares add up to {sum}",
+                one.name, other.name
+            )
+        })
     });
     let over: Vec<_> = played.into_iter().flatten().collect();
     assert!(over.is_empty(), "{over:#?}");
@@ -212,10 +225,10 @@
 #[test]
 fn what_a_server_takes_is_used_while_there_is_work() {
     for (boxes, seed) in plans() {
-        for names in [one as Names, three, twenty] {
+        for names in [one as LimitFn, three, twenty] {
             let mut servers = vec![all_at_limit(names)];
-            // Of sixteen, its even share of the requests is 3.75 a second.
-            if names(NAMED_MS) < Some(3.5) {
+            // Its even share of the requests to sixteen servers is 3.75 a second.
+            if names(LIMIT_SET_MS) < Some(3.5) {
                 servers.push(one_of_sixteen(names));
             }
             for server in servers {
@@ -225,7 +238,7 @@
                 };
                 let play = Play::of_server(scenario, boxes, server, seed).run();
                 let used = used(&play, names);
-                let per_s = names(NAMED_MS);
+                let per_s = names(LIMIT_SET_MS);
                 let only = server.is_only;
                 eprintln!("{boxes} boxes, {per_s:?}/s, only {only}: used {used:.3}");
                 assert!(
@@ -240,27 +253,32 @@
 #[test]
 fn a_server_that_names_none_any_more_is_used_in_full_within_two_seconds() {
     for (boxes, seed) in plans() {
-        for names in [for_a_while as Names, nothing_for_a_while, falls_and_rises] {
+        for names in [for_a_while as LimitFn, nothing_for_a_while, falls_and_rises] {
             for server in [one_of_sixteen(names), all_at_limit(names)] {
                 let scenario = Scenario {
                     asked: |_| 1.0,
                     ..CALM
                 };
                 let play = Play::of_server(scenario, boxes, server, seed).run();
-                let unheard_ms = play.longest_unheard_ms;
-                eprintln!("{boxes} boxes: in full after {unheard_ms} ms");
+                let until_full_use_ms = play.longest_unheard_ms;
+                eprintln!("{boxes} boxes: in full after {until_full_use_ms} ms");
                 assert!(
-                    unheard_ms <= 2_000,
-                    "{boxes} boxes, seed {seed}: {unheard_ms}"
+                    until_full_use_ms <= 2_000,
+                    "{boxes} boxes, seed {seed}: in full use after {until_full_use_ms} ms"
                 );
             }
         }
     }
 }
 
-/// More seeds and other fleets by hand: `WINGSPUR_SEEDS=50`, `WINGSPUR_BOXES=113`.
+/// More seeds and other fleets can be run by hand: `WINGSPUR_SEEDS=50`,
+/// `WINGSPUR_BOXES=113`.
 fn plans() -> Vec<(usize, u64)> {
-    let number = |name: &str| std::env::var(name).ok().and_then(|told| told.parse().ok());
+    let number = |name: &str| {
+        std::env::var(name)
+            .ok()
+            .and_then(|value| value.parse().ok())
+    };
     let seeds: u64 = number("WINGSPUR_SEEDS").unwrap_or(1);
     let boxes = number("WINGSPUR_BOXES").map(|boxes: u64| vec![boxes as usize]);
     let fleets = boxes.unwrap_or(vec![8, 40]).into_iter();
@@ -269,7 +287,8 @@
 }
 
 const WINDOW_MS: u64 = 4_000;
-/// A box counts as told this long after it has passed on such an answer.
-const TOLD_MS: u64 = 500;
-/// The rule holds from this long after the server first named a limit.
-const CONTACT_MS: u64 = 3_000;
+/// A box counts as having received a limit this long after it has passed on the response
+/// with it.
+const LIMIT_RECEIVED_MS: u64 = 500;
+/// The bound holds from this long after the server first set a limit.
+const BOUND_HOLDS_AFTER_MS: u64 = 3_000;
--- a/tests/tests/sharing.rs
+++ b/tests/tests/sharing.rs
@@ -1,4 +1,5 @@
-//! What boxes tell each other: sums that nobody counts twice, hubs, and who reads the store.
+//! What boxes send each other: tally updates that are counted once, the choice of hubs,
+//! and which boxes read the store.
 
 use std::time::{Duration, Instant};
 
@@ -53,12 +54,12 @@
     hub.compose(2);
     hub.receive(1, &digest(0, false, 5, 2));
     hub.receive(OWN_LINK, &digest(0, false, 3, 1));
-    let told = hub.compose(2);
-    assert_eq!(told[0].servers[0].1.good, 8);
-    assert_eq!(told[0].servers[0].1.in_flight, 3);
-    let echo = hub.compose(1);
-    assert_eq!(echo[0].servers[0].1.good, 3);
-    assert_eq!(echo[0].servers[0].1.in_flight, 1);
+    let digests = hub.compose(2);
+    assert_eq!(digests[0].servers[0].1.good, 8);
+    assert_eq!(digests[0].servers[0].1.in_flight, 3);
+    let to_sender = hub.compose(1);
+    assert_eq!(to_sender[0].servers[0].1.good, 3);
+    assert_eq!(to_sender[0].servers[0].1.in_flight, 1);
 }
 
 #[test]
@@ -68,9 +69,12 @@
     hub.add_link(2, LinkKind::Member);
     hub.receive(1, &digest(0, false, 5, 2));
     hub.drop_link(1);
-    let told = hub.compose(2);
+    let digests = hub.compose(2);
     assert_eq!(
-        (told[0].servers[0].1.good, told[0].servers[0].1.in_flight),
+        (
+            digests[0].servers[0].1.good,
+            digests[0].servers[0].1.in_flight
+        ),
         (5, 0)
     );
 }
@@ -86,10 +90,10 @@
     hub.add_link(2, LinkKind::Member);
     hub.receive(2, &digest(0, true, 52, 0));
     hub.receive(2, &digest(0, false, 53, 0));
-    let told = hub.compose(9);
+    let digests = hub.compose(9);
     assert_eq!(
-        told[0].services[0].1.requests, 3,
-        "what came after it was first heard"
+        digests[0].services[0].1.requests, 3,
+        "only counts after its first digest"
     );
 }
 
@@ -115,8 +119,8 @@
     let mut member = Rollup::new(300);
     member.add_link(5, LinkKind::Hub);
     hub.receive(2, &digest(200, true, 4, 26));
-    for told in hub.compose(1) {
-        member.receive(5, &told);
+    for update in hub.compose(1) {
+        member.receive(5, &update);
     }
     let sources = |digests: &[Digest]| -> Vec<u64> {
         digests.iter().map(|digest| digest.source).collect()
@@ -125,13 +129,13 @@
     hub.drop_link(2);
     assert_eq!(hub.take_lost_sources(), [200]);
     assert!(hub.has_updates(1));
-    for told in hub.compose(1) {
-        member.receive(5, &told);
+    for update in hub.compose(1) {
+        member.receive(5, &update);
     }
     assert_eq!(
         member.take_lost_sources(),
         [200],
-        "what it had out is out no more"
+        "its requests in flight must not be counted any more"
     );
     assert!(!hub.has_updates(1) || !sources(&hub.compose(1)).contains(&200));
 }
@@ -182,7 +186,7 @@
     }
     hubs.sort();
     assert_eq!(hubs, ["dc-1", "dc-2"]);
-    assert_eq!(opened, 1, "one of two hubs opens their link");
+    assert_eq!(opened, 1, "exactly one of two hubs opens the link");
 }
 
 #[test]
@@ -196,7 +200,7 @@
     planner.replace(all.clone(), now);
     let first = planner.plan(now);
     let Some(link) = first.first() else {
-        // This box is the hub: nothing to pass over.
+        // This box is the hub itself, so there is no link to back off from.
         return assert_eq!(planner.rank(), 0);
     };
     planner.back_off(&link.to.id.clone(), now);
@@ -204,7 +208,7 @@
     assert_eq!(planner.plan(now + Duration::from_secs(60)), first);
 }
 
-/// A planner of a box that is linked with its hub, and knows of a weaker one.
+/// A planner of a box that is linked with its hub and knows a second, weaker box.
 fn linked_with_the_strong(now: Instant) -> (LinkPlanner, BoxRecord, BoxRecord) {
     let strong = BoxRecord {
         capacity: 5,
@@ -225,7 +229,8 @@
     let now = Instant::now();
     let hub =
         |planner: &LinkPlanner, at| planner.plan(at).first().map(|l| l.to.id.clone());
-    // It is cut off from the store: told by a change, or by a listing without it.
+    // The hub is disconnected from the store: its removal arrives as a change, or as a
+    // snapshot without it.
     for by_listing in [false, true] {
         let (mut planner, strong, weak) = linked_with_the_strong(now);
         match by_listing {
@@ -234,8 +239,13 @@
         }
         let soon = now + Duration::from_secs(10);
         assert_eq!(hub(&planner, soon), Some(strong.id.clone()));
-        assert_eq!(planner.rank(), 1, "others announce themselves in its place");
-        // Boxes that start anew know the weak one only: they are not parted for long.
+        assert_eq!(
+            planner.rank(),
+            1,
+            "other boxes announce themselves in its place"
+        );
+        // Boxes that start now know only the weak one: the data centre must not stay
+        // divided for long.
         let late = now + Duration::from_secs(60);
         assert_eq!(hub(&planner, late), Some(weak.id.clone()));
         planner.note_unlinked(&strong.id);
@@ -256,48 +266,63 @@
 #[test]
 fn two_hubs_that_both_try_in_vain_do_not_wait_for_each_other() {
     let now = Instant::now();
-    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
-    feed.note_no_answer();
+    let mut freshness = CatalogFreshnessTracker::new(BoxId::from("own"), now);
+    freshness.note_no_answer();
     let other_tries = FeedState {
         reader: None,
         age_ms: 0,
         tries: true,
         ..FeedState::default()
     };
-    feed.receive(1, &other_tries, now);
-    assert!(!feed.may_defer_read(true), "a hub tries all the time");
-    assert!(feed.may_defer_read(false), "a member leaves it to its hub");
-    feed.forget(1);
-    assert!(!feed.may_defer_read(false), "nobody tries for it");
+    freshness.receive(1, &other_tries, now);
+    assert!(
+        !freshness.may_defer_read(true),
+        "a hub always tries to read"
+    );
+    assert!(
+        freshness.may_defer_read(false),
+        "a member leaves reading to its hub"
+    );
+    freshness.forget(1);
+    assert!(
+        !freshness.may_defer_read(false),
+        "no other box tries to read"
+    );
 }
 
 #[test]
 fn a_member_reads_the_store_itself_once_its_feed_is_stale() {
     let now = Instant::now();
-    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
+    let mut freshness = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     let fresh = FeedState {
         reader: Some(BoxId::from("hub")),
         age_ms: 100,
         tries: false,
         ..FeedState::default()
     };
-    feed.receive(1, &fresh, now);
-    assert!(!feed.should_watch_store(false, 0, now + Duration::from_millis(500)));
-    assert!(feed.should_watch_store(false, 0, now + Duration::from_millis(2000)));
-    assert!(feed.should_watch_store(true, 0, now), "a hub always reads");
+    freshness.receive(1, &fresh, now);
+    assert!(!freshness.should_watch_store(false, 0, now + Duration::from_millis(500)));
+    assert!(freshness.should_watch_store(false, 0, now + Duration::from_millis(2000)));
+    assert!(
+        freshness.should_watch_store(true, 0, now),
+        "a hub always watches the store"
+    );
 }
 
 #[test]
 fn members_of_one_hub_read_one_after_the_other() {
     let now = Instant::now();
     let begins = |name: usize| {
-        let mut feed =
+        let mut freshness =
             CatalogFreshnessTracker::new(BoxId::from(format!("box-{name}")), now);
-        // Most boxes are not announced, and all of them have the same rank.
+        // Most boxes are not announced and have the same rank.
         let reads = |ms: &u64| {
-            feed.should_watch_store(false, 4, now + Duration::from_millis(*ms))
+            freshness.should_watch_store(false, 4, now + Duration::from_millis(*ms))
         };
-        (0..3000).step_by(10).find(reads).expect("it reads")
+        (0..3000)
+            .step_by(10)
+            .find(reads)
+            .expect("the box reads within three seconds")
     };
     let mut begun: Vec<u64> = (0..40).map(begins).collect();
     begun.sort();
@@ -310,15 +335,15 @@
 #[test]
 fn what_a_box_has_read_itself_does_not_come_back_as_another_reader() {
     let now = Instant::now();
-    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), now);
+    let mut freshness = CatalogFreshnessTracker::new(BoxId::from("own"), now);
     let echo = FeedState {
         reader: Some(BoxId::from("own")),
         age_ms: 0,
         tries: false,
         ..FeedState::default()
     };
-    feed.receive(1, &echo, now + Duration::from_secs(2));
-    assert!(feed.should_watch_store(false, 0, now + Duration::from_secs(2)));
+    freshness.receive(1, &echo, now + Duration::from_secs(2));
+    assert!(freshness.should_watch_store(false, 0, now + Duration::from_secs(2)));
 }
 
 #[test]
@@ -340,7 +365,7 @@
     assert_eq!(
         linked_with(&planner),
         None,
-        "told by one who has not heard of it"
+        "the sender of the snapshot has not received the stop"
     );
     planner.upsert(hub(2));
     assert_eq!(linked_with(&planner), Some(2));
@@ -348,7 +373,7 @@
     assert_eq!(
         linked_with(&planner),
         Some(2),
-        "a late word of its former run"
+        "a late update of its former instance"
     );
 }
 
@@ -401,10 +426,14 @@
         unreachable!()
     };
     assert_eq!(recent.since(at(10)), Some(all));
-    let of = |revision| recent.since(at(revision)).map(|told| told.changes.len());
+    let of = |revision| {
+        recent
+            .since(at(revision))
+            .map(|missing| missing.changes.len())
+    };
     assert_eq!(of(12), Some(2));
-    assert_eq!(of(9), None, "some of what it lacks is not kept");
-    assert_eq!(of(15), None, "it lacks nothing");
+    assert_eq!(of(9), None, "some of the missing changes are not kept");
+    assert_eq!(of(15), None, "no change is missing");
 }
 
 #[test]
@@ -414,13 +443,16 @@
     recent.put(&changes(14, 15, &["c"]));
     assert_eq!(recent.since(at(10)), None);
     assert_eq!(recent.since(at(12)), None);
-    assert_eq!(recent.since(at(14)).map(|told| told.changes.len()), Some(1));
+    assert_eq!(
+        recent.since(at(14)).map(|missing| missing.changes.len()),
+        Some(1)
+    );
     for revision in 15..2000 {
         recent.put(&changes(revision, revision + 1, &["d"]));
     }
     assert_eq!(recent.since(at(14)), None);
     assert_eq!(
-        recent.since(at(1500)).map(|told| told.changes.len()),
+        recent.since(at(1500)).map(|missing| missing.changes.len()),
         Some(500)
     );
 }
@@ -430,8 +462,8 @@
     let mut reader = TallyUpdateReader::default();
     reader.read(&digest(3, false, 7, 0));
     let updates = reader.read(&digest(3, false, 5, 2));
-    let (_, told) = updates.servers[0];
-    assert_eq!((told.good, told.in_flight), (0, 2));
+    let (_, tally) = updates.servers[0];
+    assert_eq!((tally.good, tally.in_flight), (0, 2));
     let next = reader.read(&digest(3, false, 6, 0));
     assert_eq!(next.servers[0].1.good, 1);
 }
@@ -460,7 +492,7 @@
 
 #[test]
 fn a_source_heard_on_two_ways_earns_no_budget_by_going_back_and_forth() {
-    let told = |requests: u32, resends: u32| Digest {
+    let counted = |requests: u32, resends: u32| Digest {
         source: 3,
         services: vec![(
             9,
@@ -473,25 +505,28 @@
         ..Digest::default()
     };
     let mut reader = TallyUpdateReader::default();
-    // One way leaves out 110 requests and 10 resends; both sums begin near nothing.
-    reader.read(&told(2u32.wrapping_sub(110), 2u32.wrapping_sub(10)));
+    // One path leaves out 110 requests and 10 resends; the sums of both begin near zero.
+    reader.read(&counted(2u32.wrapping_sub(110), 2u32.wrapping_sub(10)));
     let (mut requests, mut resends) = (0, 0);
     for step in 0..7u32 {
         for (less, fewer) in [(0, 0), (110, 10)] {
             let all = 3 + step;
-            let digest = told(all.wrapping_sub(less), all.wrapping_sub(fewer));
+            let digest = counted(all.wrapping_sub(less), all.wrapping_sub(fewer));
             let (_, updates) = reader.read(&digest).services[0];
             requests += updates.requests;
             resends += updates.resends;
         }
     }
-    assert!(requests <= 117, "{requests} requests, seven of them new");
-    assert!(resends >= 7, "{resends} resends, seven of them new");
+    assert!(
+        requests <= 117,
+        "{requests} requests counted, seven of them new"
+    );
+    assert!(resends >= 7, "{resends} resends counted, seven of them new");
 }
 
 #[test]
 fn a_source_that_was_forgotten_and_goes_on_tells_no_life_long_counts_as_news() {
-    let told = |whole, keys: &[u64], requests| Digest {
+    let counted = |whole, keys: &[u64], requests| Digest {
         source: 3,
         whole,
         services: keys
@@ -507,24 +542,24 @@
         ..Digest::default()
     };
     let mut reader = TallyUpdateReader::default();
-    reader.read(&told(true, &[8, 9], 400));
+    reader.read(&counted(true, &[8, 9], 400));
     reader.forget(3);
-    // It goes on with what has changed: first one service, then the other.
-    reader.read(&told(false, &[8], 410));
-    let other = reader.read(&told(false, &[9], 420));
+    // It continues with what has changed: first one service, then the other.
+    reader.read(&counted(false, &[8], 410));
+    let other = reader.read(&counted(false, &[9], 420));
     assert_eq!(
         other.services[0].1.requests, 0,
         "counted before it was forgotten"
     );
-    let next = reader.read(&told(false, &[9], 423));
+    let next = reader.read(&counted(false, &[9], 423));
     assert_eq!(next.services[0].1.requests, 3);
-    // A source that has told everything begins anew with each service.
-    reader.read(&told(true, &[8, 9], 430));
-    let new = reader.read(&told(false, &[10], 5));
+    // A source that has sent all its counts starts from zero with each new service.
+    reader.read(&counted(true, &[8, 9], 430));
+    let new = reader.read(&counted(false, &[10], 5));
     assert_eq!(new.services[0].1.requests, 5);
 }
 
-/// A change of the catalog after a revision.
+/// A change of the catalog that follows the revision `after`.
 fn change(after: u64, id: &str) -> CatalogUpdate {
     CatalogUpdate::Changes {
         changes: CatalogChanges {
@@ -543,26 +578,26 @@
     };
     assert!(
         wait(true, 0) && wait(true, 7),
-        "many boxes are owed one before it"
+        "its hub may have to send many other boxes one first"
     );
-    assert!(!wait(true, 8), "its hub does not get to it");
+    assert!(!wait(true, 8), "its hub takes too long");
     assert!(
         !wait(false, 0) && !wait(false, 7),
-        "its hub knows no more than it"
+        "its hub has no catalog either"
     );
 }
 
-/// News of servers that only answer well, and of one that fails.
+/// A tally update of servers with good responses only, and of one that fails.
 fn busy_digest(servers: std::ops::Range<u64>, good: u32, failing: Option<u64>) -> Digest {
     let tally = |failed| ServerTally {
         good,
         failed,
         ..ServerTally::default()
     };
-    let mut told: Vec<_> = servers.map(|key| (key, tally(0))).collect();
-    told.extend(failing.map(|key| (key, tally(1))));
+    let mut tallies: Vec<_> = servers.map(|key| (key, tally(0))).collect();
+    tallies.extend(failing.map(|key| (key, tally(1))));
     Digest {
-        servers: told,
+        servers: tallies,
         ..Digest::default()
     }
 }
@@ -576,21 +611,21 @@
     }
     hub.receive(1, &busy_digest(0..1_000, 3, Some(5_000)));
     assert!(hub.has_failures(2));
-    let told = hub.compose_within(2, 10);
-    let keys: Vec<u64> = told[0].servers.iter().map(|(key, _)| *key).collect();
+    let digests = hub.compose_within(2, 10);
+    let keys: Vec<u64> = digests[0].servers.iter().map(|(key, _)| *key).collect();
     assert_eq!(keys.len(), 10);
     assert!(keys.contains(&5_000));
     assert!(!hub.has_failures(2));
-    let mut heard = keys;
+    let mut received = keys;
     while hub.has_updates(2) {
         for digest in hub.compose_within(2, 100) {
             assert!(digest.servers.len() <= 100);
-            heard.extend(digest.servers.iter().map(|(key, _)| *key));
+            received.extend(digest.servers.iter().map(|(key, _)| *key));
         }
     }
-    heard.sort_unstable();
+    received.sort_unstable();
     let all: Vec<u64> = (0..1_000).chain([5_000]).collect();
-    assert_eq!(heard, all);
+    assert_eq!(received, all);
 }
 
 #[test]
@@ -599,14 +634,14 @@
     hub.add_link(1, LinkKind::Member);
     hub.add_link(2, LinkKind::Member);
     hub.compose(2);
-    let mut heard = std::collections::BTreeSet::new();
+    let mut received = std::collections::BTreeSet::new();
     for round in 0..10 {
         hub.receive(1, &busy_digest(0..1_000, round + 1, None));
         for digest in hub.compose_within(2, 100) {
-            heard.extend(digest.servers.iter().map(|(key, _)| *key));
+            received.extend(digest.servers.iter().map(|(key, _)| *key));
         }
     }
-    assert_eq!(heard.len(), 1_000);
+    assert_eq!(received.len(), 1_000);
 }
 
 #[test]
@@ -618,22 +653,22 @@
     assert!(hub.compose_within(2, 0).is_empty());
     let first = hub.compose_within(2, 20);
     assert!(first[0].whole && first[0].servers.len() == 20);
-    let rest = hub.compose_within(2, 100);
-    assert!(!rest[0].whole && rest[0].servers.len() == 31);
+    let second = hub.compose_within(2, 100);
+    assert!(!second[0].whole && second[0].servers.len() == 31);
     assert!(!hub.has_updates(2));
 }
 
-/// How long news of a failing server takes to the last of a hub's members, in milliseconds,
-/// while requests begin and end at all servers; looked at each 10 ms.
-fn failure_news_ms(members: u64, servers: u64, changes_per_s: u64) -> u64 {
+/// Returns the time in milliseconds, in steps of 10 ms, until the failure of a server has
+/// been sent to the last of a hub's members while requests begin and end at all servers.
+fn failure_update_ms(members: u64, servers: u64, changes_per_s: u64) -> u64 {
     const FAILS_AT_MS: u64 = 5_000;
     let start = Instant::now();
     let mut hub = Rollup::new(100);
     let mut pacer = UpdatePacer::new(5, start);
     let gap_ms = (members * 1_000 / 320).max(50);
     (1..=members).for_each(|id| hub.add_link(id, LinkKind::Member));
-    let mut told_ms: Vec<u64> = vec![0; members as usize];
-    let mut heard = std::collections::BTreeSet::new();
+    let mut sent_ms: Vec<u64> = vec![0; members as usize];
+    let mut reached = std::collections::BTreeSet::new();
     let mut random = StdRng::seed_from_u64(1);
     let mut counts = vec![ServerTally::default(); servers as usize + 1];
     for ms in (0..20_000).step_by(10) {
@@ -657,10 +692,10 @@
         }
         hub.receive(OWN_LINK, &digest);
         let mut links: Vec<u64> = (1..=members).collect();
-        links.sort_by_key(|id| told_ms[*id as usize - 1]);
+        links.sort_by_key(|id| sent_ms[*id as usize - 1]);
         for id in links {
             let is_free = pacer.update_delay(now).is_zero();
-            let is_due = ms >= told_ms[id as usize - 1] + gap_ms;
+            let is_due = ms >= sent_ms[id as usize - 1] + gap_ms;
             if !is_due || !(is_free || hub.has_failures(id)) {
                 continue;
             }
@@ -672,53 +707,57 @@
             };
             let digests = hub.compose_within(id, most);
             pacer.record_update(&digests, now);
-            told_ms[id as usize - 1] = ms;
-            let told = digests.iter().flat_map(|digest| &digest.servers);
-            if told.filter(|(_, tally)| tally.failed > 0).count() > 0 {
-                heard.insert(id);
+            sent_ms[id as usize - 1] = ms;
+            let sent = digests.iter().flat_map(|digest| &digest.servers);
+            if sent.filter(|(_, tally)| tally.failed > 0).count() > 0 {
+                reached.insert(id);
             }
         }
-        if ms >= FAILS_AT_MS && heard.len() as u64 == members {
+        if ms >= FAILS_AT_MS && reached.len() as u64 == members {
             return ms - FAILS_AT_MS;
         }
     }
     u64::MAX
 }
 
-/// Told with all that had changed, it reached the last of 200 members after 1.5 and 2.3 s.
+/// Guards against late updates of failures: sent together with all other changes, a
+/// failure reached the last of 200 members after 1.5 and 2.3 s.
 #[test]
 fn failure_is_told_to_all_members_of_a_large_hub_within_a_gap() {
-    assert!(failure_news_ms(10, 300, 100) <= 60);
-    assert!(failure_news_ms(200, 2_000, 660) <= 640);
-    assert!(failure_news_ms(200, 4_000, 660) <= 640, "twice the servers");
+    assert!(failure_update_ms(10, 300, 100) <= 60);
+    assert!(failure_update_ms(200, 2_000, 660) <= 640);
+    assert!(
+        failure_update_ms(200, 4_000, 660) <= 640,
+        "twice the servers"
+    );
 }
 
 #[test]
 fn a_wave_of_catalog_changes_is_told_in_few_frames_and_whole() {
     let start = Instant::now();
     let mut queue = CatalogQueue::new();
-    let (mut frames, mut told) = (0, Vec::new());
-    let mut tell = |queue: &mut CatalogQueue, now| {
+    let (mut frames, mut received) = (0, Vec::new());
+    let mut send = |queue: &mut CatalogQueue, now| {
         frames += 1;
         for update in queue.take(now) {
             let CatalogUpdate::Changes { changes, .. } = update else {
-                panic!("nothing was listed");
+                panic!("no snapshot was queued");
             };
-            assert_eq!(changes.after, at(told.len() as u64));
-            told.extend(changes.changes);
+            assert_eq!(changes.after, at(received.len() as u64));
+            received.extend(changes.changes);
         }
     };
     for n in 0..115u64 {
         let now = start + Duration::from_millis(4 * n);
         queue.push(&change(n, &format!("i-{n}")), true);
         if queue.due_in(now).is_some_and(|due| due.is_zero()) {
-            tell(&mut queue, now);
+            send(&mut queue, now);
         }
     }
-    tell(&mut queue, start + Duration::from_millis(520));
+    send(&mut queue, start + Duration::from_millis(520));
     assert!(frames <= 10, "{frames} frames");
-    assert_eq!(told.len(), 115);
-    assert_eq!(told[114], CatalogChange::ServerGone("i-114".into()));
+    assert_eq!(received.len(), 115);
+    assert_eq!(received[114], CatalogChange::ServerGone("i-114".into()));
 }
 
 #[test]
@@ -729,16 +768,17 @@
     assert_eq!(queue.due_in(now), None);
     queue.push(&change(1, "i-2"), true);
     assert_eq!(queue.due_in(now), Some(Duration::ZERO));
-    assert_eq!(queue.take(now).len(), 1, "both in one");
+    assert_eq!(queue.take(now).len(), 1, "both changes in one update");
     assert_eq!(queue.due_in(now), None);
 }
 
-/// Announcements of boxes that start together, each hearing of the others late.
+/// Returns the capacities of the boxes that announce themselves when all start together
+/// and each receives the announcements of the others late.
 fn announced_boxes(strong: usize, weak: usize, seed: u64) -> Vec<u32> {
-    const NEWS_MS: u64 = 250;
+    const ANNOUNCEMENT_DELAY_MS: u64 = 250;
     let mut random = StdRng::seed_from_u64(seed);
     let capacities = (0..strong + weak).map(|n| if n < strong { 5 } else { 1 });
-    let mut wishes: Vec<(u64, u32)> = capacities
+    let mut planned: Vec<(u64, u32)> = capacities
         .map(|capacity| {
             let inputs = AnnouncementInputs {
                 ranked_before: 0,
@@ -747,18 +787,20 @@
             };
             let AnnouncementStep::AnnounceWithin(span) = announcement_step(&inputs)
             else {
-                panic!("nobody is announced");
+                panic!("no box is announced yet");
             };
             let at = span.mul_f64(random.random());
             (at.as_millis() as u64, capacity)
         })
         .collect();
-    wishes.sort_unstable();
+    planned.sort_unstable();
     let mut announced: Vec<(u64, u32)> = Vec::new();
-    for (at, capacity) in wishes {
-        let heard = announced.iter().filter(|(told, _)| told + NEWS_MS <= at);
+    for (at, capacity) in planned {
+        let received = announced
+            .iter()
+            .filter(|(sent_ms, _)| sent_ms + ANNOUNCEMENT_DELAY_MS <= at);
         let inputs = AnnouncementInputs {
-            ranked_before: heard.filter(|(_, other)| *other >= capacity).count(),
+            ranked_before: received.filter(|(_, other)| *other >= capacity).count(),
             capacity,
             announced: false,
         };
@@ -778,9 +820,17 @@
         let announced = announced_boxes(3, 85, seed);
         let strong = announced.iter().filter(|capacity| **capacity == 5).count();
         assert_eq!(strong, 3);
-        assert!(announced.len() <= 40, "{} of 88", announced.len());
+        assert!(
+            announced.len() <= 40,
+            "{} of 88 boxes announced",
+            announced.len()
+        );
         let alike = announced_boxes(0, 12, seed);
-        assert!((3..=12).contains(&alike.len()), "{} of 12", alike.len());
+        assert!(
+            (3..=12).contains(&alike.len()),
+            "{} of 12 boxes announced",
+            alike.len()
+        );
     }
 }
 
@@ -797,10 +847,10 @@
     assert_eq!(step(5, true), AnnouncementStep::Keep);
     assert_eq!(step(6, true), AnnouncementStep::Lapse);
     let AnnouncementStep::AnnounceWithin(alone) = step(0, false) else {
-        panic!("a box alone is announced");
+        panic!("a single box announces itself");
     };
     let AnnouncementStep::AnnounceWithin(with_hub) = step(2, false) else {
-        panic!("two are too few");
+        panic!("two announced boxes are too few");
     };
     assert!(alone < with_hub);
 }
@@ -809,10 +859,16 @@
 fn only_boxes_that_may_be_the_hub_list_at_their_start() {
     assert!(
         lists_catalog_at_start(false, 2),
-        "nobody may stand before it"
+        "there may be no box before it"
+    );
+    assert!(
+        lists_catalog_at_start(true, 5),
+        "other boxes wait for its snapshot"
+    );
+    assert!(
+        !lists_catalog_at_start(false, 3),
+        "its hub sends it the catalog"
     );
-    assert!(lists_catalog_at_start(true, 5), "others wait for it");
-    assert!(!lists_catalog_at_start(false, 3), "its hub tells it");
 }
 
 #[test]
@@ -821,11 +877,7 @@
     let mut fleet = FleetSizeTracker::default();
     assert_eq!(fleet.record(443, start), 443);
     let moved = start + Duration::from_secs(2);
-    assert_eq!(
-        fleet.record(20, moved),
-        443,
-        "its members are about to link"
-    );
+    assert_eq!(fleet.record(20, moved), 443, "its members have yet to link");
     assert_eq!(fleet.record(450, moved), 450);
     assert_eq!(fleet.record(20, moved + Duration::from_secs(11)), 20);
 }
