--- a/tests/tests/edge/mod.rs
+++ b/tests/tests/edge/mod.rs
@@ -1,4 +1,4 @@
-//! A box on loopback over the stand-in of the platform's store.
+//! Starts boxes on loopback against a simulated platform store.
 #![allow(dead_code, reason = "each suite uses a part")]
 
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 use wingspur_tests::{Answer, BackendServer, PlatformStore, call};
 use wingspur_transport::{FaultInjector, HttpClient, Workers};
 
-/// Resends that never run out.
-const PLENTY: f64 = 1000.0;
+/// Resends allowed for each request: enough never to run out.
+const AMPLE_RESENDS: f64 = 1000.0;
 
-/// One box, its store, and what calls it.
+/// One box with its store and its worker threads.
 pub struct Deployment {
     /// The store.
     pub store: PlatformStore,
@@ -27,16 +27,16 @@
 pub struct Route {
     /// The class.
     pub class: &'static str,
-    /// The longest time that a request is held.
+    /// The route's timeout in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// Calls the box on its own thread.
+/// Sends requests to a box and waits for the responses.
 #[derive(Clone, Copy)]
 pub struct Caller(SocketAddr);
 
 impl Route {
-    /// A route with time enough.
+    /// Creates a route with a timeout of 10 s.
     pub fn new(class: &'static str) -> Self {
         Self {
             class,
@@ -46,12 +46,12 @@
 }
 
 impl Deployment {
-    /// Starts a box before some servers and waits until it takes callers.
+    /// Starts a box with some servers and waits until it is ready.
     pub fn start(servers: &[BackendServer], routes: &[Route]) -> Self {
-        Self::start_with_resends(servers, routes, PLENTY)
+        Self::start_with_resends(servers, routes, AMPLE_RESENDS)
     }
 
-    /// The same with so many resends allowed for each request.
+    /// Does the same with the given number of resends allowed for each request.
     pub fn start_with_resends(
         servers: &[BackendServer],
         routes: &[Route],
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The same with how the box stops.
+    /// Does the same with the given drain settings.
     pub fn start_with_drain(
         servers: &[BackendServer],
         routes: &[Route],
@@ -70,16 +70,17 @@
     ) -> Self {
         Self::start_with(servers, routes, |store| {
             let settings = settings("box-1", store);
-            let mut changed = serde_json::to_value(settings).expect("they serialise");
+            let mut changed =
+                serde_json::to_value(settings).expect("settings are serializable");
             changed["drain"] = drain;
-            parse_settings("test", &changed.to_string()).expect("they are sound")
+            parse_settings("test", &changed.to_string()).expect("the settings are valid")
         })
     }
 
-    /// Starts a box before some servers, by what the operator wrote.
+    /// Starts a box with some servers and the operator's configuration.
     pub fn start_configured(servers: &[BackendServer], configuration: &Value) -> Self {
         Self::start_by(servers, configuration, |store| {
-            with_resends(settings("box-1", store), PLENTY)
+            with_resends(settings("box-1", store), AMPLE_RESENDS)
         })
     }
 
@@ -113,42 +114,45 @@
         }
     }
 
-    /// Announces a server, and waits until the box has heard of it.
+    /// Announces a server and waits until the box has received the announcement.
     pub fn announce(&self, id: &str, address: SocketAddr, state: &str) {
         let entry = server_entry(address, state);
         self.store.put(&format!("servers/{id}"), &entry);
         self.wait_for_updates();
     }
 
-    /// Puts what the operator writes next, and waits until the box has it in force.
+    /// Writes the operator's next configuration and waits until the box has activated it.
     pub fn roll_out(&self, configuration: &Value) {
         self.store.put("op/config", configuration);
-        let version = configuration["version"].as_u64().expect("it has one");
-        let reached = || self.running.bundle_version() >= version;
-        wait_until("the box has the news", reached);
+        let version = configuration["version"]
+            .as_u64()
+            .expect("the configuration has a version");
+        let is_active = || self.running.bundle_version() >= version;
+        wait_until("the box has activated the configuration", is_active);
     }
 
-    /// Waits until the box has taken in all changes so far.
+    /// Waits until the box has received all changes so far: it puts a configuration with
+    /// the next version and waits until that is active.
     pub fn wait_for_updates(&self) {
         let version = self.running.bundle_version() + 1;
         let routes = [Route::new("read"), Route::new("once_only")];
         self.store
             .put("op/config", &configuration(version, &routes));
-        let reached = || self.running.bundle_version() >= version;
-        wait_until("the box has the news", reached);
+        let is_active = || self.running.bundle_version() >= version;
+        wait_until("the box has activated the configuration", is_active);
     }
 
-    /// Something that calls the box.
+    /// Returns a caller of the box.
     pub fn caller(&self) -> Caller {
         Caller::of(&self.running)
     }
 
-    /// Calls a route of a class.
+    /// Sends a request to the route of a class.
     pub fn call(&self, class: &str, id: &str) -> Answer {
         self.caller().call(class, id)
     }
 
-    /// Stops the box as planned; returns how many requests were cut.
+    /// Stops the box gracefully; returns how many requests were cut off.
     pub fn close(self) -> usize {
         let cut = smol::block_on(self.running.close());
         self.workers.close();
@@ -157,17 +161,18 @@
 }
 
 impl Caller {
-    /// Something that calls a box.
+    /// Creates a caller of a box.
     pub fn of(running: &EdgeBox) -> Self {
         Self(running.caller_address())
     }
 
-    /// Where the box takes callers.
+    /// Returns the address that callers connect to.
     pub fn address(self) -> SocketAddr {
         self.0
     }
 
-    /// Calls a route of a class.
+    /// Sends a request to the route of a class: a `POST` for a once-only route, else a
+    /// `GET`.
     pub fn call(self, class: &str, id: &str) -> Answer {
         let method = match class {
             "once_only" => "POST",
@@ -188,11 +193,11 @@
 
 /// Starts a box that reads a store.
 pub fn start_box(id: &str, store: &PlatformStore, workers: &Workers) -> EdgeBox {
-    let settings = with_resends(settings(id, store.address), PLENTY);
+    let settings = with_resends(settings(id, store.address), AMPLE_RESENDS);
     start_box_with(settings, store, workers)
 }
 
-/// Starts a box that reads a store, by settings of its own.
+/// Starts a box that reads a store, with the given settings.
 pub fn start_box_with(
     settings: Settings,
     store: &PlatformStore,
@@ -207,12 +212,12 @@
     smol::block_on(starting).expect("the ports are free")
 }
 
-/// An address that nobody is asked at.
+/// Returns an address that is never connected to.
 pub fn any_address() -> SocketAddr {
     "127.0.0.1:9".parse().expect("it is a constant")
 }
 
-/// Settings of a box on loopback, with a short stop.
+/// Returns settings of a box on loopback, with a short drain.
 pub fn settings(id: &str, store: SocketAddr) -> Settings {
     let text = json!({
         "box_id": id,
@@ -224,7 +229,7 @@
         "catalog": {"form": "kv", "store_address": store},
         "drain": {"balancer_lag_ms": 100, "limit_ms": 5000},
     });
-    parse_settings("test", &text.to_string()).expect("the settings are sound")
+    parse_settings("test", &text.to_string()).expect("the settings are valid")
 }
 
 /// Starts a box of a data centre that reads a store.
@@ -234,13 +239,14 @@
     store: &PlatformStore,
     workers: &Workers,
 ) -> EdgeBox {
-    let mut settings = with_resends(settings(id, store.address), PLENTY);
+    let mut settings = with_resends(settings(id, store.address), AMPLE_RESENDS);
     settings.data_centre = data_centre.to_owned();
     start_box_with(settings, store, workers)
 }
 
-/// Settings by which a first request allows so many resends: a box that has just come has
-/// no slack, and half of what its requests earn counts at once.
+/// Sets the retry budget so that the first request allows the given number of resends. A
+/// box that has just started has no slack, and half of what its requests earn counts at
+/// once.
 fn with_resends(mut settings: Settings, resends: f64) -> Settings {
     settings.retry_budget = RetryBudgetSettings {
         ratio: 2.0 * resends,
@@ -250,7 +256,7 @@
     settings
 }
 
-/// A configuration as the operator writes it.
+/// Returns a configuration as the operator writes it.
 pub fn configuration(version: u64, routes: &[Route]) -> Value {
     let row = |route: &Route| {
         json!({
@@ -279,7 +285,7 @@
     })
 }
 
-/// The configuration with client accounts, each by its name and keys.
+/// Returns the configuration with client accounts, each given by its name and keys.
 pub fn with_accounts(mut configuration: Value, accounts: &[(&str, &[&str])]) -> Value {
     let row = |(name, keys): &(&str, &[&str])| json!({"name": name, "keys": keys});
     let rows: Vec<Value> = accounts.iter().map(row).collect();
@@ -287,7 +293,7 @@
     configuration
 }
 
-/// An entry as a server writes it.
+/// Returns a catalog entry as a server writes it.
 pub fn server_entry(address: SocketAddr, state: &str) -> Value {
     json!({
         "service": "svc",
@@ -301,11 +307,14 @@
     })
 }
 
-/// Waits for something that must come; a minute is for ever here.
+/// Waits until a condition holds; panics after a minute.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let started = Instant::now();
     while !holds() {
-        assert!(started.elapsed() < Duration::from_secs(60), "never: {what}");
+        assert!(
+            started.elapsed() < Duration::from_secs(60),
+            "did not happen within a minute: {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/tests/tests/edge_control.rs
+++ b/tests/tests/edge_control.rs
@@ -1,4 +1,5 @@
-//! Boxes over the platform's store: what they believe, and how they follow its changes.
+//! Boxes that read the platform's store: their readiness, and how they follow its
+//! changes.
 
 mod edge;
 
@@ -9,7 +10,7 @@
 
 const ROUTES: fn() -> [Route; 2] = || [Route::new("read"), Route::new("once_only")];
 
-/// Some boxes over one store, which knows one server.
+/// Some boxes that read one store with one server.
 struct Boxes {
     store: PlatformStore,
     server: BackendServer,
@@ -28,7 +29,9 @@
         let boxes: Vec<EdgeBox> = (0..count)
             .map(|n| start_box(&format!("box-{n}"), &store, &workers))
             .collect();
-        wait_until("all are ready", || boxes.iter().all(EdgeBox::is_ready));
+        wait_until("all boxes are ready", || {
+            boxes.iter().all(EdgeBox::is_ready)
+        });
         Self {
             store,
             server,
@@ -59,9 +62,9 @@
     assert!(!running.is_ready());
     let headers = [("host", "site.example"), ("x-wingspur-request-id", "id-1")];
     let address = running.caller_address();
-    let answer = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
-    assert_eq!(answer.status, 503);
-    assert!(answer.headers.contains_key("retry-after"));
+    let response = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
+    assert_eq!(response.status, 503);
+    assert!(response.headers.contains_key("retry-after"));
     smol::block_on(running.close());
     workers.close();
 }
@@ -90,8 +93,8 @@
     wait_until("version 6", || boxes.all_have(6));
     let headers = [("host", "site.example"), ("x-wingspur-request-id", "id-1")];
     let address = boxes.boxes[0].caller_address();
-    let answer = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
-    assert_eq!(answer.status, 200);
+    let response = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
+    assert_eq!(response.status, 200);
     boxes.close();
 }
 
@@ -105,11 +108,13 @@
         boxes
             .store
             .put("op/config", &configuration(version, &ROUTES()));
-        wait_until("all follow", || boxes.all_have(version));
+        wait_until("all boxes have the version", || boxes.all_have(version));
         boxes.store.calls("/-/kv-watch") - before <= 2
     };
-    // At first each box reads for itself; once linked, one reads for all.
-    wait_until("one reads for all", || (0..3).all(|_| costs_one_watch()));
+    // At first each box watches the store itself; once linked, one watches for all.
+    wait_until("one box watches for all", || {
+        (0..3).all(|_| costs_one_watch())
+    });
     boxes.close();
 }
 
@@ -148,8 +153,8 @@
     for running in &boxes.boxes {
         for _ in 0..5 {
             let address = running.caller_address();
-            let answer = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
-            assert_eq!(answer.status, 200);
+            let response = wingspur_tests::call(address, "GET", "/read/a", &headers, b"");
+            assert_eq!(response.status, 200);
         }
     }
     boxes.store.set_fault(StoreFault::None);
--- a/tests/tests/edge_path.rs
+++ b/tests/tests/edge_path.rs
@@ -1,4 +1,4 @@
-//! One box over the platform's store: what callers are told, and what servers run.
+//! The request path of one box: the responses that callers get, and what servers run.
 
 mod edge;
 
@@ -7,27 +7,27 @@
 use edge::{Deployment, Route};
 use wingspur_tests::{BackendServer, Reply};
 
-/// What a first request meets at the first server, then at the second, and what must
-/// come of it.
+/// The reply to the first attempt, that to the second one, and the expected outcome.
 struct Case {
     name: &'static str,
     first: Reply,
     second: Reply,
-    /// Status, body's beginning, runs: for a read and for a once-only request.
+    /// Expected status, beginning of the body and number of runs, for a read and for a
+    /// once-only request.
     read: (u16, &'static str, usize),
     once_only: (u16, &'static str, usize),
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "a whole answer",
+        name: "a complete response",
         first: Reply::Whole,
         second: Reply::Whole,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
-        name: "a failure of the server",
+        name: "a server error",
         first: Reply::Error,
         second: Reply::Whole,
         read: (200, "own body", 2),
@@ -41,49 +41,49 @@
         once_only: (200, "own body", 1),
     },
     Case {
-        name: "refused without the mark",
+        name: "refused without the not-run mark",
         first: Reply::Unmarked,
         second: Reply::Whole,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
-        name: "another incarnation has the address",
+        name: "another instance has the address",
         first: Reply::Misdirected,
         second: Reply::Whole,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
-        name: "no answer",
+        name: "no response",
         first: Reply::Close,
         second: Reply::Whole,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
-        name: "an answer that breaks off",
+        name: "an interrupted response",
         first: Reply::Cut,
         second: Reply::Whole,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
-        name: "bytes that are no answer",
+        name: "bytes that are no HTTP response",
         first: Reply::Garbage,
         second: Reply::Whole,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
-        name: "a success without the stamp",
+        name: "a success without the server's stamp",
         first: Reply::NoStamp,
         second: Reply::Whole,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
-        name: "an answer to another request before the own one",
+        name: "a response to another request before its own",
         first: Reply::SurplusFirst,
         second: Reply::Whole,
         read: (200, "own body", 1),
@@ -103,12 +103,12 @@
     for case in CASES {
         for (class, expected) in [("read", case.read), ("once_only", case.once_only)] {
             let (first, second) = (case.first, case.second);
-            let met = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-            // Whichever server is picked first shows the fault.
+            let requests = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+            // The first attempt meets the fault, whichever server is picked.
             let server = || {
-                let met = met.clone();
+                let requests = requests.clone();
                 BackendServer::start(move |_| {
-                    match met.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+                    match requests.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
                         0 => first,
                         _ => second,
                     }
@@ -116,10 +116,10 @@
             };
             let servers = [server(), server()];
             let deployment = Deployment::start(&servers, &[Route::new(class)]);
-            let answer = deployment.call(class, "id-1");
+            let response = deployment.call(class, "id-1");
             let ran: usize = servers.iter().map(|server| server.ran().len()).sum();
-            let body = String::from_utf8_lossy(&answer.body).into_owned();
-            let got = (answer.status, ran);
+            let body = String::from_utf8_lossy(&response.body).into_owned();
+            let got = (response.status, ran);
             assert_eq!(
                 got,
                 (expected.0, expected.2),
@@ -140,9 +140,9 @@
 fn a_promise_that_nothing_ran_says_when_to_come_back() {
     let servers = [BackendServer::start(|_| Reply::Shed)];
     let deployment = Deployment::start(&servers, &[Route::new("once_only")]);
-    let answer = deployment.call("once_only", "id-1");
-    assert_eq!(answer.status, 503);
-    let after: f64 = answer.headers["retry-after"].parse().unwrap();
+    let response = deployment.call("once_only", "id-1");
+    assert_eq!(response.status, 503);
+    let after: f64 = response.headers["retry-after"].parse().unwrap();
     assert!((0.1..=1.0).contains(&after), "{after}");
     assert_eq!(servers[0].ran(), Vec::<String>::new());
     deployment.close();
@@ -156,12 +156,12 @@
     })];
     let deployment = Deployment::start(&servers, &[Route::new("read")]);
     for id in ["id-1", "id-2", "id-3"] {
-        let answer = deployment.call("read", id);
+        let response = deployment.call("read", id);
         assert_eq!(
-            (answer.status, answer.body.as_slice()),
+            (response.status, response.body.as_slice()),
             (200, &b"own body"[..])
         );
-        assert_eq!(answer.headers["x-wingspur-request-id"], id);
+        assert_eq!(response.headers["x-wingspur-request-id"], id);
     }
     deployment.close();
 }
@@ -203,8 +203,8 @@
 
 #[test]
 fn a_server_that_cannot_be_reached_costs_a_once_only_request_nothing() {
-    // The port of a connection's own end: nobody listens there, and nobody else can get it while
-    // the connection stands, as another test's server could a port that was given back.
+    // The local port of an open connection: nobody listens there, and no other test's
+    // server can bind it as long as the connection is open.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let connection = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let closed = connection.local_addr().unwrap();
@@ -212,8 +212,8 @@
     let deployment = Deployment::start(&servers, &[Route::new("once_only")]);
     deployment.announce("i-dead", closed, "ready");
     for n in 0..20 {
-        let answer = deployment.call("once_only", &format!("id-{n}"));
-        assert_eq!(answer.status, 200);
+        let response = deployment.call("once_only", &format!("id-{n}"));
+        assert_eq!(response.status, 200);
     }
     let ran = servers[0].ran();
     assert_eq!(ran.len(), 20);
@@ -249,19 +249,20 @@
     while servers[0].heads().is_empty() {
         std::thread::yield_now();
     }
-    assert_eq!(deployment.close(), 0, "no request is cut");
+    assert_eq!(deployment.close(), 0, "no request is cut off");
     assert_eq!(calling.join().unwrap().status, 200);
 }
 
 #[test]
 fn a_read_that_was_too_slow_to_be_hedged_is_still_sent_again_when_it_fails() {
-    let met = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let requests = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
     let server = || {
-        let met = met.clone();
+        let requests = requests.clone();
         BackendServer::start(move |_| {
-            match met.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+            match requests.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
                 0 => {
-                    // Beyond three times the usual, when a second attempt is thought of.
+                    // More than three times the usual latency, after which a hedge is
+                    // considered.
                     std::thread::sleep(std::time::Duration::from_millis(1500));
                     Reply::Error
                 }
@@ -270,11 +271,11 @@
         })
     };
     let servers = [server(), server()];
-    // Hedges may spend seven tenths of the budget, resends that are sure to help all.
+    // Hedges may use seven tenths of the budget, resends after a failure all of it.
     let deployment = Deployment::start_with_resends(&servers, &[Route::new("read")], 1.3);
-    let answer = deployment.call("read", "id-1");
+    let response = deployment.call("read", "id-1");
     assert_eq!(
-        (answer.status, answer.body.as_slice()),
+        (response.status, response.body.as_slice()),
         (200, &b"own body"[..])
     );
     deployment.close();
--- a/tests/tests/late_answers.rs
+++ b/tests/tests/late_answers.rs
@@ -1,9 +1,6 @@
-//! Answers of the store that come late, when a link has told newer news in the meantime.
-//!
-//! A box that reads the store hears of changes by links as well. An answer of the store that
-//! was held up on its way, as by one lost packet, tells what stood before them. It was taken
-//! in nevertheless: a server that had said that it leaves took work again, and since the box
-//! goes on reading from the newer revision, nothing ever put that right.
+//! Store responses that are delayed, as by a lost packet, until a link has delivered
+//! newer changes. A box that applied one sent requests to a draining server again, and
+//! since it goes on reading from the newer revision, nothing ever corrected that.
 
 mod edge;
 
@@ -21,61 +18,62 @@
     Workers,
 };
 
-/// Two boxes, each the hub of its data centre; the answers to the first may be late.
+/// Two boxes, each the hub of its data centre. The store's responses to one of them may
+/// be delayed.
 struct TwoHubs {
     store: PlatformStore,
-    late: EdgeBox,
-    prompt: EdgeBox,
-    calls: Arc<LateCalls>,
+    delayed_box: EdgeBox,
+    other_box: EdgeBox,
+    faults: Arc<CatalogFaults>,
     workers: Workers,
-    stays: BackendServer,
-    leaves: BackendServer,
+    other_server: BackendServer,
+    draining_server: BackendServer,
 }
 
-/// How the calls of a catalog go.
+/// Faults of the calls of a catalog.
 #[derive(Default)]
-struct LateCalls {
-    /// Whether answers are held up on their way.
-    are_late: AtomicBool,
-    /// Whether the store forgets its history before the next watch.
-    history_is_lost: AtomicBool,
-    /// Listings that the store has answered.
-    listings: AtomicUsize,
+struct CatalogFaults {
+    /// Whether responses are delayed by [`RESPONSE_DELAY`].
+    delays_responses: AtomicBool,
+    /// Whether the next watch fails because the store has lost its history.
+    loses_history: AtomicBool,
+    /// Number of snapshots that the store has returned.
+    snapshots: AtomicUsize,
 }
 
-impl LateCalls {
-    async fn hold_up(&self) {
-        if self.are_late.load(Ordering::Acquire) {
-            smol::Timer::after(LATE).await;
+impl CatalogFaults {
+    async fn delay_response(&self) {
+        if self.delays_responses.load(Ordering::Acquire) {
+            smol::Timer::after(RESPONSE_DELAY).await;
         }
     }
 }
 
-fn late_catalog(mut catalog: Catalog, calls: &Arc<LateCalls>) -> Catalog {
+fn delayed_catalog(mut catalog: Catalog, faults: &Arc<CatalogFaults>) -> Catalog {
     let (list, watch) = (catalog.list.clone(), catalog.watch.clone());
-    let (of_list, of_watch) = (calls.clone(), calls.clone());
+    let (of_list, of_watch) = (faults.clone(), faults.clone());
     catalog.list = Arc::new(move |fresh| {
-        let (listing, calls) = (list(fresh), of_list.clone());
+        let (snapshot, faults) = (list(fresh), of_list.clone());
         Box::pin(async move {
-            let listing = listing.await;
-            calls.listings.fetch_add(1, Ordering::AcqRel);
-            calls.hold_up().await;
-            listing
+            let snapshot = snapshot.await;
+            faults.snapshots.fetch_add(1, Ordering::AcqRel);
+            faults.delay_response().await;
+            snapshot
         })
     });
     catalog.watch = Arc::new(move |after, wait| {
-        let (watching, calls) = (watch(after, wait), of_watch.clone());
+        let (watching, faults) = (watch(after, wait), of_watch.clone());
         Box::pin(async move {
-            if calls.history_is_lost.swap(false, Ordering::AcqRel) {
+            if faults.loses_history.swap(false, Ordering::AcqRel) {
                 return CatalogResponse {
                     era: ReportedEra::NoAnswer,
                     outcome: Err(CatalogError::HistoryLost),
                 };
             }
             let changes = watching.await;
-            let told = changes.outcome.as_ref();
-            if told.is_ok_and(|told| told.position > after) {
-                calls.hold_up().await;
+            let received = changes.outcome.as_ref();
+            if received.is_ok_and(|changes| changes.position > after) {
+                faults.delay_response().await;
             }
             changes
         })
@@ -93,73 +91,86 @@
     fn start() -> Self {
         let store = PlatformStore::start(500);
         let workers = Workers::start(2);
-        let stays = BackendServer::start(|_| Reply::Whole);
-        let leaves = BackendServer::start(|_| Reply::Whole);
+        let other_server = BackendServer::start(|_| Reply::Whole);
+        let draining_server = BackendServer::start(|_| Reply::Whole);
         store.put("op/config", &configuration(1, &[Route::new("read")]));
-        store.put("servers/i-stays", &server_entry(stays.address, "ready"));
-        let late_calls = Arc::new(LateCalls::default());
-        let prompt = start_box_with(settings_in("dc-2", &store), &store, &workers);
+        store.put(
+            "servers/i-stays",
+            &server_entry(other_server.address, "ready"),
+        );
+        let faults = Arc::new(CatalogFaults::default());
+        let other_box = start_box_with(settings_in("dc-2", &store), &store, &workers);
         let spawner = workers.spawner();
         let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
         let (timeout, lease) = (Duration::from_millis(1500), Duration::from_secs(10));
-        let calls = catalog(store.address, exchange.into(), timeout, lease);
-        let calls = late_catalog(calls, &late_calls);
-        let late_settings = settings_in("dc-1", &store);
-        let starting = EdgeBox::start(late_settings, header_names(), calls, &spawner);
-        let late = smol::block_on(starting).expect("the ports are free");
-        wait_until("both are ready", || late.is_ready() && prompt.is_ready());
+        let catalog = catalog(store.address, exchange.into(), timeout, lease);
+        let catalog = delayed_catalog(catalog, &faults);
+        let settings = settings_in("dc-1", &store);
+        let starting = EdgeBox::start(settings, header_names(), catalog, &spawner);
+        let delayed_box = smol::block_on(starting).expect("the ports are free");
+        wait_until("both boxes are ready", || {
+            delayed_box.is_ready() && other_box.is_ready()
+        });
         let hubs = Self {
             store,
-            late,
-            prompt,
-            calls: late_calls,
+            delayed_box,
+            other_box,
+            faults,
             workers,
-            stays,
-            leaves,
+            other_server,
+            draining_server,
         };
         hubs.wait_for_link();
         hubs
     }
 
-    /// Waits until the box has news by its link sooner than from the store.
+    /// Delays responses from now on, and waits until the box gets changes by its link
+    /// sooner than from the store.
     fn wait_for_link(&self) {
-        self.calls.are_late.store(true, Ordering::Release);
+        self.faults.delays_responses.store(true, Ordering::Release);
         wait_until("the boxes are linked", || {
-            let version = self.late.bundle_version() + 1;
+            let version = self.delayed_box.bundle_version() + 1;
             let routes = [Route::new("read")];
             self.store
                 .put("op/config", &configuration(version, &routes));
-            thread::sleep(LATE / 2);
-            let told = self.late.bundle_version() >= version;
-            thread::sleep(2 * LATE);
-            told
+            thread::sleep(RESPONSE_DELAY / 2);
+            let by_link = self.delayed_box.bundle_version() >= version;
+            thread::sleep(2 * RESPONSE_DELAY);
+            by_link
         });
     }
 
-    /// Announces a run of the server that leaves.
-    fn put(&self, run: usize, state: &str) {
-        let entry = server_entry(self.leaves.address, state);
-        self.store.put(&format!("servers/i-leaves-{run}"), &entry);
+    /// Announces an instance of the draining server.
+    fn put(&self, instance: usize, state: &str) {
+        let entry = server_entry(self.draining_server.address, state);
+        self.store
+            .put(&format!("servers/i-leaves-{instance}"), &entry);
     }
 
-    /// Lets the other server leave as well, and returns how many of some requests the first
-    /// one still runs.
-    fn count_at_leaving(&self) -> usize {
-        let entry = server_entry(self.stays.address, "draining");
+    /// Lets the other server drain as well, and returns how many of three requests the
+    /// draining server still runs.
+    fn count_at_draining_server(&self) -> usize {
+        let entry = server_entry(self.other_server.address, "draining");
         self.store.put("servers/i-stays", &entry);
-        thread::sleep(3 * LATE);
-        let before = self.leaves.ran().len();
+        thread::sleep(3 * RESPONSE_DELAY);
+        let before = self.draining_server.ran().len();
         for n in 0..3 {
             let id = format!("r-{n}");
             let headers = [("host", "site.example"), ("x-wingspur-request-id", &*id)];
-            call(self.late.caller_address(), "GET", "/read/a", &headers, b"");
+            call(
+                self.delayed_box.caller_address(),
+                "GET",
+                "/read/a",
+                &headers,
+                b"",
+            );
         }
-        self.leaves.ran().len() - before
+        self.draining_server.ran().len() - before
     }
 
     fn close(self) {
-        smol::block_on(self.late.close());
-        smol::block_on(self.prompt.close());
+        smol::block_on(self.delayed_box.close());
+        smol::block_on(self.other_box.close());
         self.workers.close();
     }
 }
@@ -167,34 +178,35 @@
 #[test]
 fn a_late_answer_of_a_watch_does_not_bring_a_leaving_server_back() {
     let hubs = TwoHubs::start();
-    // Now and then the late watch tells of an announcement, and does not end before the run.
-    for run in 0..RUNS {
-        hubs.put(run, "ready");
-        thread::sleep(LATE / 3);
-        hubs.put(run, "draining");
-        thread::sleep(2 * LATE);
+    // Only in some rounds does the delayed watch return the announcement, and only after
+    // the instance has begun to drain.
+    for instance in 0..INSTANCES {
+        hubs.put(instance, "ready");
+        thread::sleep(RESPONSE_DELAY / 3);
+        hubs.put(instance, "draining");
+        thread::sleep(2 * RESPONSE_DELAY);
     }
-    let sent = hubs.count_at_leaving();
+    let sent = hubs.count_at_draining_server();
     hubs.close();
-    assert_eq!(sent, 0, "of 3 requests");
+    assert_eq!(sent, 0, "of 3 requests, sent to a draining server");
 }
 
 #[test]
 fn a_late_listing_does_not_bring_a_leaving_server_back() {
     let hubs = TwoHubs::start();
     hubs.put(0, "ready");
-    thread::sleep(3 * LATE);
-    let listings = || hubs.calls.listings.load(Ordering::Acquire);
-    let before = listings();
-    hubs.calls.history_is_lost.store(true, Ordering::Release);
-    wait_until("the box lists anew", || listings() > before);
+    thread::sleep(3 * RESPONSE_DELAY);
+    let snapshots = || hubs.faults.snapshots.load(Ordering::Acquire);
+    let before = snapshots();
+    hubs.faults.loses_history.store(true, Ordering::Release);
+    wait_until("the box reads a new snapshot", || snapshots() > before);
     hubs.put(0, "draining");
-    thread::sleep(3 * LATE);
-    let sent = hubs.count_at_leaving();
+    thread::sleep(3 * RESPONSE_DELAY);
+    let sent = hubs.count_at_draining_server();
     hubs.close();
-    assert_eq!(sent, 0, "of 3 requests");
+    assert_eq!(sent, 0, "of 3 requests, sent to a draining server");
 }
 
-const RUNS: usize = 5;
-/// How long an answer is held up on its way: less than the second that a watch may be late.
-const LATE: Duration = Duration::from_millis(700);
+const INSTANCES: usize = 5;
+/// Delay of a response: less than the second by which a watch may be late.
+const RESPONSE_DELAY: Duration = Duration::from_millis(700);
--- a/tests/tests/limited_service.rs
+++ b/tests/tests/limited_service.rs
@@ -1,5 +1,6 @@
-//! A service whose servers name limits while some of them are gray: how many of its requests are
-//! not served, by the real picks, with one view of all boxes and exact places.
+//! Simulates a service whose servers set rate limits while some of them are gray, that
+//! is, fail most requests. The picks are those of the real balancer, with one view for
+//! all boxes and exact quotas.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,31 +14,33 @@
 
 const SERVERS: usize = 16;
 const REQUESTS_PER_S: f64 = 45.0;
-const WORK_MS: u64 = 240;
+const SERVICE_TIME_MS: u64 = 240;
 const STEP_MS: u64 = 5;
 const END_MS: u64 = 60_000;
-/// Gray servers fail most of their work, for so long, so many at a time.
+/// How long the same servers are gray, and how many are at a time.
 const GRAY_MS: u64 = 8_000;
-const GRAY: usize = 4;
-const GRAY_FAILS: f64 = 0.6;
-/// What fails at a well server.
-const USUAL: f64 = 0.012;
+const GRAY_SERVERS: usize = 4;
+/// Probability that a request fails at a gray server.
+const GRAY_FAILURE_PROBABILITY: f64 = 0.6;
+/// Probability that a request fails at a healthy server.
+const HEALTHY_FAILURE_PROBABILITY: f64 = 0.012;
 
-/// A service, and what became of its requests.
+/// A simulated service, and the outcomes of its requests.
 struct Service {
     start: Instant,
     random: StdRng,
     balancer: Balancer,
-    /// Servers that name a limit, and the places that each has.
+    /// Number of servers with a rate limit, and the limit of each.
     limited: usize,
     per_s: f64,
-    places: Vec<f64>,
-    ends: VecDeque<(u64, AttemptId, bool)>,
+    /// Requests that each server may be sent now.
+    quotas: Vec<f64>,
+    pending_ends: VecDeque<(u64, AttemptId, bool)>,
     sent: usize,
     failed: usize,
     refused: usize,
-    /// What the servers with limits got.
-    at_limited: usize,
+    /// Requests sent to servers with limits.
+    sent_to_limited: usize,
 }
 
 fn record(n: usize) -> ServerRecord {
@@ -58,7 +61,7 @@
 }
 
 impl Service {
-    fn play(limited: usize, per_s: f64, seed: u64) -> Self {
+    fn simulate(limited: usize, per_s: f64, seed: u64) -> Self {
         let start = Instant::now();
         let mut balancer = Balancer::new("dc-1".into());
         for n in 0..SERVERS {
@@ -73,12 +76,12 @@
             balancer,
             limited,
             per_s,
-            places: vec![0.0; SERVERS],
-            ends: VecDeque::new(),
+            quotas: vec![0.0; SERVERS],
+            pending_ends: VecDeque::new(),
             sent: 0,
             failed: 0,
             refused: 0,
-            at_limited: 0,
+            sent_to_limited: 0,
         };
         for ms in (0..END_MS).step_by(STEP_MS as usize) {
             service.step(ms);
@@ -87,19 +90,26 @@
     }
 
     fn step(&mut self, ms: u64) {
-        while self.ends.front().is_some_and(|(due_ms, ..)| *due_ms <= ms) {
-            let (_, id, fails) = self.ends.pop_front().expect("it is there");
+        while self
+            .pending_ends
+            .front()
+            .is_some_and(|(due_ms, ..)| *due_ms <= ms)
+        {
+            let (_, id, fails) = self
+                .pending_ends
+                .pop_front()
+                .expect("the queue has a front");
             let now = self.at(ms);
-            let ended = if fails {
+            let outcome = if fails {
                 HealthOutcome::Failed
             } else {
                 HealthOutcome::Good
             };
-            self.balancer.end(id, ended, now);
+            self.balancer.end(id, outcome, now);
         }
-        for places in &mut self.places[..self.limited] {
-            let depth = 1.5 + 0.4 * self.per_s;
-            *places = (*places + self.per_s * STEP_MS as f64 / 1000.0).min(depth);
+        for quota in &mut self.quotas[..self.limited] {
+            let burst = 1.5 + 0.4 * self.per_s;
+            *quota = (*quota + self.per_s * STEP_MS as f64 / 1000.0).min(burst);
         }
         if self.random.random::<f64>() < REQUESTS_PER_S * STEP_MS as f64 / 1000.0 {
             self.request(ms);
@@ -112,16 +122,17 @@
 
     fn is_gray(&self, server: usize, ms: u64) -> bool {
         let turn = (ms / GRAY_MS) as usize;
-        (0..GRAY).any(|n| (turn * 5 + n * 3) % SERVERS == server)
+        (0..GRAY_SERVERS).any(|n| (turn * 5 + n * 3) % SERVERS == server)
     }
 
-    /// Sends a once-only request as a box does: to a due server with a place, or else the
-    /// cheapest without a limit, or else one of those with limits that has a place.
+    /// Sends a once-only request as a box does: to a sampled rate-limited server with
+    /// quota, else to the cheapest server without a limit, else to a rate-limited one
+    /// with quota.
     fn request(&mut self, ms: u64) {
         let now = self.at(ms);
-        let want = PickRequest {
+        let pick_request = PickRequest {
             retry_safe: false,
-            typical_latency: Duration::from_millis(WORK_MS),
+            typical_latency: Duration::from_millis(SERVICE_TIME_MS),
             cross_data_centre_cost: Duration::ZERO,
             tried: &[],
             service_load: ServiceLoad {
@@ -131,18 +142,19 @@
             },
         };
         self.sent += 1;
-        let due = self
-            .balancer
-            .sample_rate_limited(&want, now, &mut self.random);
-        let pick = self.first_with_place(due.into_iter().take(1).collect());
-        let pick = pick.or_else(|| self.balancer.pick(&want, now, &mut self.random));
+        let sampled =
+            self.balancer
+                .sample_rate_limited(&pick_request, now, &mut self.random);
+        let pick = self.first_with_quota(sampled.into_iter().take(1).collect());
+        let pick =
+            pick.or_else(|| self.balancer.pick(&pick_request, now, &mut self.random));
         let pick = pick.or_else(|| {
             let all = self.balancer.rate_limited_by_failure_probability(
-                &want,
+                &pick_request,
                 now,
                 &mut self.random,
             );
-            self.first_with_place(all.into_iter().take(4).collect())
+            self.first_with_quota(all.into_iter().take(4).collect())
         });
         let Some(pick) = pick else {
             self.refused += 1;
@@ -150,56 +162,60 @@
         };
         let of_pick = |n: &usize| key(*n) == pick.server.key();
         let server = (0..SERVERS).find(of_pick).expect("it is one of them");
-        let share = if self.is_gray(server, ms) {
-            GRAY_FAILS
+        let failure_probability = if self.is_gray(server, ms) {
+            GRAY_FAILURE_PROBABILITY
         } else {
-            USUAL
+            HEALTHY_FAILURE_PROBABILITY
         };
-        let fails = self.random.random::<f64>() < share;
+        let fails = self.random.random::<f64>() < failure_probability;
         self.failed += usize::from(fails);
-        self.at_limited += usize::from(server < self.limited);
+        self.sent_to_limited += usize::from(server < self.limited);
         let expected = ExpectedLatency {
-            baseline_ms: WORK_MS as f64,
-            healthy_ms: WORK_MS as f64,
+            baseline_ms: SERVICE_TIME_MS as f64,
+            healthy_ms: SERVICE_TIME_MS as f64,
             service_time: ServiceTime::new(),
         };
         let id = self.balancer.begin(pick.server.key(), expected, now);
-        self.ends.push_back((ms + WORK_MS, id, fails));
+        self.pending_ends
+            .push_back((ms + SERVICE_TIME_MS, id, fails));
     }
 
-    fn first_with_place(&mut self, picks: Vec<Pick>) -> Option<Pick> {
+    fn first_with_quota(&mut self, picks: Vec<Pick>) -> Option<Pick> {
         picks.into_iter().find(|pick| {
             let server = (0..SERVERS).find(|n| key(*n) == pick.server.key());
-            let places = &mut self.places[server.expect("it is one of them")];
-            let has_one = *places >= 1.0;
-            *places -= f64::from(u8::from(has_one));
-            has_one
+            let quota = &mut self.quotas[server.expect("it is one of them")];
+            let has_quota = *quota >= 1.0;
+            *quota -= f64::from(u8::from(has_quota));
+            has_quota
         })
     }
 }
 
-/// No more requests fail than without limits, though the servers are no free choice any more; and
-/// of what the well servers take, nine tenths are used.
+/// Although limits restrict the choice of servers, at most a tenth more requests fail
+/// than without limits, and at least nine tenths of the healthy servers' quota is used.
 #[test]
 fn limits_do_not_send_requests_to_gray_servers() {
     const SEEDS: u64 = 5;
     let mean = |limited: usize, of: fn(&Service) -> f64| {
-        let plays = (0..SEEDS).map(|seed| of(&Service::play(limited, 1.5, seed)));
-        plays.sum::<f64>() / SEEDS as f64
+        let runs = (0..SEEDS).map(|seed| of(&Service::simulate(limited, 1.5, seed)));
+        runs.sum::<f64>() / SEEDS as f64
     };
     let failed = |service: &Service| service.failed as f64 / service.sent as f64;
-    let usual = mean(0, failed);
+    let unlimited = mean(0, failed);
     for limited in [2, 6, 16] {
         let failed = mean(limited, failed);
         let used = mean(limited, |service| {
-            let takes = service.per_s * END_MS as f64 / 1000.0;
-            service.at_limited as f64 / (service.limited as f64 * takes)
+            let accepted = service.per_s * END_MS as f64 / 1000.0;
+            service.sent_to_limited as f64 / (service.limited as f64 * accepted)
         });
-        let well = 1.0 - GRAY as f64 / SERVERS as f64;
+        let healthy_share = 1.0 - GRAY_SERVERS as f64 / SERVERS as f64;
         eprintln!(
-            "{limited} limited: {failed:.3} fail, {usual:.3} usually, {used:.2} used"
+            "{limited} limited: {failed:.3} fail, {unlimited:.3} without limits, {used:.2} used"
         );
-        assert!(failed <= 1.1 * usual, "{limited}: {failed} of {usual}");
-        assert!(used >= 0.9 * well, "{limited}: {used}");
+        assert!(
+            failed <= 1.1 * unlimited,
+            "{limited}: {failed} fail, {unlimited} without limits"
+        );
+        assert!(used >= 0.9 * healthy_share, "{limited}: {used}");
     }
 }
