--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -1,4 +1,4 @@
-//! One link that stands, with what is still to be told on it.
+//! One open link to another box, with what is still to be sent on it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,76 +13,78 @@
 };
 use wingspur_transport::LinkSender;
 
-/// A link that stands.
+/// An open link to another box.
 #[derive(Debug)]
 pub struct ActiveLink {
     /// The box at the other side.
     pub peer: BoxRecord,
-    /// What it is to this one.
+    /// Whether the link is to a member of this box or to a hub.
     pub kind: LinkKind,
-    /// Whether this box opened it, and as what.
+    /// This box's role on a link that it opened; `None` if the other side opened it.
     pub opened_as: Option<LinkRole>,
-    /// Where frames go.
+    /// The sending side of the link.
     pub sender: LinkSender,
-    /// What was sent when, and what the other side had of that.
+    /// When frames were sent, and which of them the other side has acknowledged.
     pub clock: LinkClock,
-    /// What it has not been told yet of the catalog.
+    /// Catalog updates that are still to be sent.
     pub catalog: CatalogQueue,
-    /// Whether it is to be asked for a listing.
-    pub wants_listing: bool,
-    /// The version that is in force at the other side, as far as it has told.
+    /// Whether the next frame asks the other side for a catalog snapshot.
+    pub wants_snapshot: bool,
+    /// The version of the other side's active bundle, as it last reported; 0 if none or
+    /// unknown.
     pub bundle_version: BundleVersion,
-    /// What it is asked and answered of loans that nobody waits for.
-    pub lending: LeaseMessages,
-    /// What it has not been told yet of requests under which servers ended.
+    /// Lease requests and replies that no request waits for; they go with the next frame.
+    pub lease_messages: LeaseMessages,
+    /// Observations still to be sent about requests during which servers ended.
     pub suspects: Vec<SuspectUpdate>,
-    /// What it has not been told yet of servers' limits.
+    /// Changed limits of servers that are still to be sent.
     pub limits: BTreeMap<ServerKey, ServerLimitChange>,
-    /// The servers that leave of which it has not been told yet, with since when.
-    pub leaving_servers: BTreeMap<ServerKey, Instant>,
-    /// What it is to be told once.
+    /// Draining servers still to be sent, with the time since when they drain.
+    pub draining_servers: BTreeMap<ServerKey, Instant>,
+    /// State that is to be sent once, if it was not sent yet.
     pub initial_state: Option<InitialState>,
-    /// Whether it knows the servers, so that what is told of them means something there.
+    /// Whether the other side knows the servers, so that it can use updates about them.
     pub has_catalog: bool,
-    /// Whether it was told that this box stops.
+    /// Whether the last frame said that this box is stopping.
     pub leaving_sent: bool,
-    /// The newest era of the store that it was told.
+    /// The newest era of the store that was sent.
     pub sent_era: StoreEra,
-    /// When the last frame was sent.
+    /// When the last regular frame was sent.
     pub last_sent_at: Instant,
-    /// When the last one with news of servers and services was.
+    /// When the last frame with updates about servers and services was sent.
     pub updates_sent_at: Instant,
 }
 
-/// What the other side of a new link should know.
+/// State that is sent once to the other side of a new link.
 #[derive(Debug, Default)]
 pub struct InitialState {
     /// Whether the other side has just started and knows no server yet.
     pub peer_is_new: bool,
-    /// Of backend servers.
+    /// The health of backend servers.
     pub health: Vec<(ServerKey, HealthSnapshot)>,
-    /// Of requests under which servers ended.
+    /// Observations about requests during which servers ended.
     pub suspects: Vec<SuspectUpdate>,
-    /// Of servers' limits.
+    /// The current limits of servers.
     pub limits: Vec<ServerLimitChange>,
-    /// Of servers that leave, with since when.
-    pub leaving_servers: Vec<(ServerKey, Instant)>,
+    /// Draining servers, with the time since when they drain.
+    pub draining_servers: Vec<(ServerKey, Instant)>,
 }
 
 impl ActiveLink {
-    /// Whether so much is on its way that more would only wait behind it.
+    /// Whether so many frames are unacknowledged that further ones would only queue
+    /// behind them.
     pub fn is_window_full(&self) -> bool {
-        self.clock.unanswered() >= MOST_UNANSWERED
+        self.clock.unanswered() >= MAX_UNACKNOWLEDGED_FRAMES
     }
 
-    /// Whether something is to be told that no digest tells.
+    /// Whether there are updates about servers that are not part of the tallies.
     pub fn has_own_updates(&self) -> bool {
         !self.suspects.is_empty()
             || !self.limits.is_empty()
-            || !self.leaving_servers.is_empty()
+            || !self.draining_servers.is_empty()
     }
 
-    /// What the other side is to this box, as far as the fleet's view goes.
+    /// Returns what the other side is to this box: its own hub, a member or another hub.
     pub fn peer_relation(&self) -> PeerRole {
         match (self.opened_as, self.kind) {
             (Some(LinkRole::Member), _) => PeerRole::OwnHub,
@@ -91,18 +93,19 @@
         }
     }
 
-    /// Whether a listing is queued that has to wait for its turn.
+    /// Whether a catalog snapshot is queued that the pacer does not allow to go out yet.
     pub fn is_snapshot_delayed(&self, pacer: &UpdatePacer, now: Instant) -> bool {
         self.catalog.has_listing() && !pacer.snapshot_delay(now).is_zero()
     }
 
-    /// Whether what is told of servers means something at the other side: it knows them, or
-    /// is sent them first.
+    /// Whether the other side can use updates about servers: it knows the servers, or a
+    /// queued snapshot may go out before the updates.
     pub fn accepts_server_updates(&self, pacer: &UpdatePacer, now: Instant) -> bool {
         self.has_catalog || !self.is_snapshot_delayed(pacer, now)
     }
 
-    /// How long until what is queued of the catalog may go out; none where nothing has to.
+    /// Returns how long until the queued catalog updates may go out; `None` if none has
+    /// to.
     pub fn catalog_due_in(&self, pacer: &UpdatePacer, now: Instant) -> Option<Duration> {
         let due = self.catalog.due_in(now)?;
         Some(match self.catalog.has_listing() {
@@ -111,18 +114,21 @@
         })
     }
 
-    /// The listing that the other side is owed. It leaves out a bundle that the other side
-    /// has: a hub that has just taken over would owe each member the whole bundle.
+    /// Takes the queued catalog snapshot, `None` if there is none. The bundle version
+    /// goes with it so that a bundle that the other side already has is left out:
+    /// otherwise a hub that has just taken over would send the whole bundle to each
+    /// member.
     pub fn take_snapshot(&mut self) -> Option<PendingSnapshot> {
-        let listing = self.catalog.take_listing()?;
+        let snapshot = self.catalog.take_listing()?;
         self.has_catalog = true;
         Some(PendingSnapshot {
-            listing,
+            listing: snapshot,
             bundle_version: self.bundle_version,
         })
     }
 
-    /// Whether it is the link that was planned.
+    /// Whether this is the planned link: the same instance of the box, and opened in that
+    /// role.
     pub fn matches_plan(&self, planned: &PlannedLink) -> bool {
         self.peer.id == planned.to.id
             && self.peer.incarnation == planned.to.incarnation
@@ -130,7 +136,8 @@
     }
 }
 
-/// Frames in flight that the other side has not acknowledged. With one each 50 ms and an
-/// acknowledgement with each heartbeat at the latest, four are usual. Further frames would
-/// queue in the connection and be stale on arrival: a frame is composed when it is sent.
-const MOST_UNANSWERED: usize = 8;
+/// Window size: unacknowledged frames at which a link is full. With one each 50 ms and an
+/// acknowledgement with each heartbeat at the latest, four are usual. Further frames
+/// would queue in the connection and be stale on arrival: a frame is composed when it is
+/// sent.
+const MAX_UNACKNOWLEDGED_FRAMES: usize = 8;
--- a/crates/wingspur-edge/src/edge_box.rs
+++ b/crates/wingspur-edge/src/edge_box.rs
@@ -1,4 +1,4 @@
-//! An entry box over a catalog: started whole, stopped in order.
+//! Starts a box with its listeners and tasks, and stops it in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 use crate::settings::Settings;
 use crate::shutdown::ShutdownSchedule;
 
-/// A running entry box.
+/// A running box.
 #[derive(Debug)]
 pub struct EdgeBox {
     shared: Arc<EdgeState>,
@@ -42,14 +42,14 @@
 /// Why a box could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum EdgeError {
-    /// A port cannot be had.
+    /// A port cannot be bound, or its listener cannot be started.
     #[error("`{field}` {address}: {error}; free the port or choose another")]
     Bind {
-        /// The settings' field.
+        /// The field of the settings.
         field: &'static str,
-        /// The address.
+        /// The address; `0.0.0.0:0` where the listener failed after the port was bound.
         address: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
 }
@@ -70,7 +70,8 @@
             None => None,
         };
         let mut settings = settings;
-        // Other boxes are told the port that was found, where any would do.
+        // Port 0 in the settings means any free port: other boxes are sent the one in
+        // use.
         if let Ok(address) = peer_port.local_addr() {
             settings.peer_address = address;
         }
@@ -81,20 +82,22 @@
         let handler =
             move |request, from| handle_request(caller_shared.clone(), request, from);
         let callers = HttpListener::start(caller_port, spawner, options.clone(), handler);
-        let callers = callers.map_err(|error| lost("caller_address", error))?;
+        let callers = callers.map_err(|error| listener_error("caller_address", error))?;
         let peer_shared = shared.clone();
         let handler = move |request, _| handle_peer_request(peer_shared.clone(), request);
         let peers = HttpListener::start(peer_port, spawner, options.clone(), handler);
-        let peers = peers.map_err(|error| lost("peer_address", error))?;
+        let peers = peers.map_err(|error| listener_error("peer_address", error))?;
         let operator_shared = shared.clone();
         let handler = move |request, _| answer_operator(operator_shared.clone(), request);
         let operators =
             HttpListener::start(operator_port, spawner, options.clone(), handler.clone());
-        let operators = operators.map_err(|error| lost("operator_address", error))?;
+        let operators =
+            operators.map_err(|error| listener_error("operator_address", error))?;
         let collectors = collector_port
             .map(|port| HttpListener::start(port, spawner, options, handler))
             .transpose();
-        let collectors = collectors.map_err(|error| lost("metrics_address", error))?;
+        let collectors =
+            collectors.map_err(|error| listener_error("metrics_address", error))?;
         let (stop, signal) = stop_pair();
         let tasks = vec![
             spawner.spawn(run_catalog_watch(shared.clone(), signal.clone())),
@@ -103,7 +106,7 @@
             spawner.spawn(run_exchange(shared.clone(), signal.clone())),
             spawner.spawn(run_quota_leases(shared.clone(), signal.clone())),
             spawner.spawn(run_quarantine(shared.clone(), signal.clone())),
-            spawner.spawn(tidy(shared.clone(), signal)),
+            spawner.spawn(run_maintenance(shared.clone(), signal)),
         ];
         Ok(Self {
             shared,
@@ -116,37 +119,37 @@
         })
     }
 
-    /// Where callers come in.
+    /// Returns the address at which the box listens for callers.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Where operators read.
+    /// Returns the address of the operator port.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Where other boxes come in.
+    /// Returns the address at which the box listens for other boxes.
     pub fn peer_address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Whether it takes callers.
+    /// Whether the box takes callers.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// The version of the bundle in force; 0 for none.
+    /// Returns the version of the active bundle; 0 if there is none.
     pub fn bundle_version(&self) -> u64 {
         self.shared.bundle_version()
     }
 
-    /// The counters.
+    /// Returns the box's metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.shared.metrics
     }
 
-    /// Takes up changed settings while it runs.
+    /// Applies changed settings while the box runs; logs the fields that need a restart.
     pub fn reload(&self, settings: Settings) {
         let fixed = self.shared.reload(settings);
         if fixed.is_empty() {
@@ -156,81 +159,85 @@
         }
     }
 
-    /// Shows in the metrics how many log lines were dropped.
+    /// Sets the metric of dropped log lines.
     pub fn note_dropped_log_lines(&self, lines: usize) {
         self.shared.metrics.dropped_log_lines.set(lines as i64);
     }
 
-    /// Stops as planned: no new callers, all requests in flight to their end; returns
-    /// how many were cut.
+    /// Stops in order: goes on accepting callers for the load balancer's lag, lets the
+    /// requests in flight finish, answers the rest when the schedule's time is over, and
+    /// closes all ports. Returns how many requests were cut.
     pub async fn close(mut self) -> usize {
-        let plan = ShutdownSchedule::new(&self.shared.settings(), wingspur_clock::now());
-        plan.log();
-        self.log_out("not ready");
-        self.shared.stopping.begin(plan.answer_by);
+        let schedule =
+            ShutdownSchedule::new(&self.shared.settings(), wingspur_clock::now());
+        schedule.log();
+        self.log_open_requests("not ready");
+        self.shared.stopping.begin(schedule.answer_by);
         self.shared.links.lock().note_own_stop();
         self.shared.pending_updates.notify();
-        // The balancer learns of it late, and sends callers until then.
-        let accepting = wingspur_clock::sleep_until(plan.accept_until);
-        let limit = plan
+        // The load balancer notices the stop late, and sends callers until then.
+        let accepting = wingspur_clock::sleep_until(schedule.accept_until);
+        let accept_time = schedule
             .accept_until
             .saturating_duration_since(wingspur_clock::now());
         zip(
-            withdraw_announcement(&self.shared, limit.max(PORT_LIMIT)),
+            withdraw_announcement(&self.shared, accept_time.max(PORT_CLOSE_TIMEOUT)),
             accepting,
         )
         .await;
         self.callers.stop_accepting().await;
-        self.log_out("listener closed");
-        self.finish(plan.answer_by).await;
+        self.log_open_requests("listener closed");
+        self.drain_requests(schedule.answer_by).await;
         self.shared.stopping.end_requests();
-        self.callers.drain(plan.end).await;
-        let cut = self.note_cut();
+        self.callers.drain(schedule.end).await;
+        let cut = self.log_cut_requests();
         self.stop.close();
         for task in self.tasks {
             task.cancel().await;
         }
         let collectors = async {
             if let Some(collectors) = self.collectors {
-                collectors.close(PORT_LIMIT).await;
+                collectors.close(PORT_CLOSE_TIMEOUT).await;
             }
         };
         self.peers.close(Duration::ZERO).await;
-        zip(self.operators.close(PORT_LIMIT), collectors).await;
+        zip(self.operators.close(PORT_CLOSE_TIMEOUT), collectors).await;
         tracing::info!(cut, "stop: done.");
         cut
     }
 
-    /// Waits until all requests are over, or some time, and tells each second which are not.
-    async fn finish(&self, end: Instant) {
+    /// Waits until no request is in flight or `end` is reached; meanwhile logs each
+    /// second how many are left.
+    async fn drain_requests(&self, end: Instant) {
         loop {
-            let until = end.min(wingspur_clock::now() + TELL_EVERY);
+            let until = end.min(wingspur_clock::now() + PROGRESS_LOG_INTERVAL);
             if self.callers.drain(until).await || wingspur_clock::now() >= end {
                 return;
             }
-            self.log_out("waiting");
+            self.log_open_requests("waiting");
         }
     }
 
-    /// Tells which requests have no whole answer now that the box ends; returns how many.
-    fn note_cut(&self) -> usize {
-        self.log_out("end");
+    /// Logs the requests that the end of the box cuts before their response is complete;
+    /// returns how many there are.
+    fn log_cut_requests(&self) -> usize {
+        self.log_open_requests("end");
         let requests = &self.shared.in_flight;
-        for row in requests.oldest(MOST_CUT_LINES) {
+        for request in requests.oldest(MAX_CUT_REQUEST_LINES) {
             tracing::warn!(
-                id = row.id,
-                route = row.route,
-                server = row.server,
-                stage = ?row.stage,
-                took_ms = wingspur_clock::since(row.began).as_millis() as u64,
+                id = request.id,
+                route = request.route,
+                server = request.server,
+                stage = ?request.stage,
+                took_ms = wingspur_clock::since(request.began).as_millis() as u64,
                 "stop: a request is cut."
             );
         }
         requests.count()
     }
 
-    /// Tells how many requests and connections are out at a step of the stop.
-    fn log_out(&self, step: &str) {
+    /// Logs how many requests and connections are still open at a step of the stop.
+    fn log_open_requests(&self, step: &str) {
         let counts = self.callers.counts();
         let read = |count: &AtomicUsize| count.load(Ordering::Acquire);
         tracing::info!(
@@ -245,31 +252,31 @@
     }
 }
 
-/// Logs which servers are suspected and closes connections that have rested, until the box
-/// stops.
-async fn tidy(shared: Arc<EdgeState>, stop: StopSignal) {
-    let mut closed = wingspur_clock::now();
-    let mut news_is_late = false;
+/// Logs which servers are suspected, closes idle connections, drops servers that stayed
+/// away after a store outage, and updates the staleness metric, until the box stops.
+async fn run_maintenance(shared: Arc<EdgeState>, stop: StopSignal) {
+    let mut last_closed_at = wingspur_clock::now();
+    let mut is_stale = false;
     while !stop.is_triggered() {
-        wingspur_clock::sleep(TIDY_EVERY).await;
+        wingspur_clock::sleep(MAINTENANCE_INTERVAL).await;
         let now = wingspur_clock::now();
-        news_is_late = watch_news(&shared, news_is_late, now);
+        is_stale = update_staleness(&shared, is_stale, now);
         for service in shared.services.all() {
             log_suspicion_changes(&service);
         }
-        if now.saturating_duration_since(closed) >= CLOSE_EVERY {
-            closed = now;
+        if now.saturating_duration_since(last_closed_at) >= IDLE_CLOSE_INTERVAL {
+            last_closed_at = now;
             shared.services.close_idle(now);
         }
         expire_missing_servers(&shared, now);
     }
 }
 
-/// Shows how old the newest news of the store is, and tells when it becomes late; whether it
-/// is.
-fn watch_news(shared: &EdgeState, was_late: bool, now: Instant) -> bool {
+/// Updates the metric for the age of the newest state of the store, and logs when it
+/// becomes stale or fresh again. Returns whether it is stale.
+fn update_staleness(shared: &EdgeState, was_stale: bool, now: Instant) -> bool {
     let mut links = shared.links.lock();
-    let (age, is_late) = (
+    let (age, is_stale) = (
         links.watch_state().staleness(now),
         links.watch_state().is_lagging(now),
     );
@@ -277,36 +284,41 @@
     drop(links);
     let age_ms = age.as_millis() as u64;
     shared.metrics.news_age_ms.set(age_ms as i64);
-    match (was_late, is_late) {
+    match (was_stale, is_stale) {
         (false, true) => {
-            tracing::warn!(age_ms, %position, is_hub, "store: its news is late.");
+            tracing::warn!(
+                age_ms,
+                %position,
+                is_hub,
+                "store: this box's view of it is stale."
+            );
         }
         (true, false) => {
             tracing::info!(
                 age_ms,
                 %position,
                 is_hub,
-                "store: its news is in time again."
+                "store: this box's view of it is fresh again."
             );
         }
         _ => {}
     }
-    is_late
+    is_stale
 }
 
 async fn bind(
     field: &'static str,
     address: SocketAddr,
 ) -> Result<TcpListener, EdgeError> {
-    let bound = TcpListener::bind(address).await;
-    bound.map_err(|error| EdgeError::Bind {
+    let listener = TcpListener::bind(address).await;
+    listener.map_err(|error| EdgeError::Bind {
         field,
         address,
         error,
     })
 }
 
-fn lost(field: &'static str, error: std::io::Error) -> EdgeError {
+fn listener_error(field: &'static str, error: std::io::Error) -> EdgeError {
     let address = SocketAddr::from(([0, 0, 0, 0], 0));
     EdgeError::Bind {
         field,
@@ -315,10 +327,13 @@
     }
 }
 
-const TIDY_EVERY: Duration = Duration::from_millis(250);
-const CLOSE_EVERY: Duration = Duration::from_secs(1);
-/// How often a stop tells what it waits for.
-const TELL_EVERY: Duration = Duration::from_secs(1);
-/// So many requests that are cut have a line each; more than two were not seen.
-const MOST_CUT_LINES: usize = 20;
-const PORT_LIMIT: Duration = Duration::from_millis(200);
+/// How often `run_maintenance` checks for changes.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+/// How often connections that have been idle for too long are closed.
+const IDLE_CLOSE_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a stop logs what it waits for.
+const PROGRESS_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Most cut requests that are logged with a line each; normally no more than two are cut.
+const MAX_CUT_REQUEST_LINES: usize = 20;
+/// How long closing a port may take, and least time for withdrawing the announcement.
+const PORT_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/wingspur-edge/src/edge_state.rs
+++ b/crates/wingspur-edge/src/edge_state.rs
@@ -1,4 +1,4 @@
-//! What all parts of an entry box share.
+//! The state that all tasks of a box share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::settings::Settings;
 use crate::shutdown::Shutdown;
 
-/// What all parts of an entry box share.
+/// The state that all tasks of a box share.
 #[derive(Debug)]
 pub struct EdgeState {
     /// Counters and gauges.
     pub metrics: Metrics,
     /// The header names of callers and servers.
     pub header_names: HeaderNames,
-    /// Where bundles, servers and boxes are announced.
+    /// Client of the store, in which bundles, servers and boxes are announced.
     pub catalog: Catalog,
     /// The services and their servers.
     pub services: Services,
@@ -37,51 +37,51 @@
     pub directory: RankedMutex<ServerRegistry>,
     /// The links to other boxes.
     pub links: RankedMutex<Links>,
-    /// What is lent and borrowed of client accounts' allowances.
+    /// Quota leases for the limits of client accounts and servers.
     pub quota_leases: RankedMutex<QuotaLeaseManager>,
-    /// Who has room for resends, and what is lent of them.
+    /// The retry budgets that other boxes report, and the leases requested from them.
     pub resend_leases: RankedMutex<ResendLeases>,
-    /// What servers have said of themselves.
+    /// What servers have announced about themselves: limits, backoff and draining.
     pub announced_states: RankedMutex<AnnouncedStates>,
-    /// The requests under which servers have ended.
+    /// The requests during which servers have ended.
     pub suspect_requests: RankedMutex<SuspectRequests>,
-    /// What is let through of those that are in quarantine.
+    /// Which requests in quarantine may be sent, and the permits for that.
     pub quarantine: RankedMutex<QuarantineState>,
-    /// Rung when a question of another box waits for an answer.
+    /// Notified when quota lease requests are pending, of this box or of others.
     pub quota_lease_pending: Notify,
-    /// How this box is announced, if it is.
+    /// How this box is announced in the store; `None` if it is not.
     pub announcement: RankedMutex<Option<Announcement>>,
-    /// Rung when that may have to change.
+    /// Notified when the announcement may have to change.
     pub announcement_due: Notify,
-    /// Rung when the store has come back from an older copy.
+    /// Notified when the store was restored from an older copy.
     pub store_restored: Notify,
     /// Opens connections to other boxes.
     pub connector: Connector,
     /// Starts tasks.
     pub spawner: Spawner,
-    /// Rung when there is something to tell other boxes.
+    /// Notified when there are updates to send to other boxes.
     pub pending_updates: Notify,
-    /// Rung when some of that should not wait for the next tick.
+    /// Notified when some of these updates should not wait for the next tick.
     pub urgent_updates: Notify,
-    /// Rung when links may have to change.
+    /// Notified when the planned links may have changed.
     pub link_plan_changed: Notify,
-    /// The requests that are not over.
+    /// The requests in flight.
     pub in_flight: Arc<InFlightRequests>,
-    /// Whether the box is stopping, and by when.
+    /// Whether the box is stopping, and by when requests must be answered.
     pub stopping: Shutdown,
-    in_force: RankedMutex<Option<Arc<ActiveBundle>>>,
+    active_bundle: RankedMutex<Option<Arc<ActiveBundle>>>,
     settings: RankedMutex<Arc<Settings>>,
 }
 
 impl EdgeState {
-    /// A box that knows nothing yet.
+    /// Creates the state of a box that has no bundle, no servers and no links yet.
     pub fn new(
         settings: Settings,
         names: HeaderNames,
         catalog: Catalog,
         spawner: Spawner,
     ) -> Self {
-        // Drawn, not read from a clock that may jump.
+        // A random number, since a clock may jump and repeat a value.
         let incarnation = rand::random();
         let own = BoxRecord {
             id: settings.box_id.clone(),
@@ -139,17 +139,17 @@
             link_plan_changed: Notify::new(),
             in_flight: InFlightRequests::new(),
             stopping: Shutdown::new(),
-            in_force: RankedMutex::new(LockRank::InForce, None),
+            active_bundle: RankedMutex::new(LockRank::InForce, None),
             settings: RankedMutex::new(LockRank::Settings, Arc::new(settings)),
         }
     }
 
-    /// The box's settings as they stand now.
+    /// Returns the current settings of the box.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.lock().clone()
     }
 
-    /// Takes up changed settings; returns the fields that only a restart can change.
+    /// Applies changed settings; returns the names of changed fields that need a restart.
     pub fn reload(&self, new: Settings) -> Vec<&'static str> {
         let old = self.settings();
         let fixed = old.changes_needing_restart(&new);
@@ -158,60 +158,64 @@
         fixed
     }
 
-    /// The bundle in force.
+    /// Returns the active bundle; `None` before the first.
     pub fn active_bundle(&self) -> Option<Arc<ActiveBundle>> {
-        self.in_force.lock().clone()
+        self.active_bundle.lock().clone()
     }
 
-    /// The version in force; 0 for none.
+    /// Returns the version of the active bundle; 0 if there is none.
     pub fn bundle_version(&self) -> u64 {
         self.active_bundle().map_or(0, |bundle| bundle.version())
     }
 
-    /// Puts a bundle in force if it is newer than what is.
+    /// Activates a bundle if it is newer than the active one; returns whether it did.
+    /// `source` is where it came from, for the log.
     pub fn activate_bundle(&self, bundle: Arc<Bundle>, source: &str) -> bool {
-        let mut in_force = self.in_force.lock();
-        let before = in_force.as_ref().map_or(0, |old| old.version());
+        let mut active = self.active_bundle.lock();
+        let before = active.as_ref().map_or(0, |old| old.version());
         if bundle.version <= before {
             return false;
         }
         let version = bundle.version;
-        let new = ActiveBundle::new(bundle, in_force.as_deref(), &self.services);
+        let new = ActiveBundle::new(bundle, active.as_deref(), &self.services);
         let routes = new.bundle.host_routes.len();
-        *in_force = Some(Arc::new(new));
-        drop(in_force);
+        *active = Some(Arc::new(new));
+        drop(active);
         self.metrics.bundle_version.set(version as i64);
         tracing::info!(version, before, routes, source, "bundle: in force.");
         true
     }
 
-    /// Whether the box takes callers.
+    /// Whether the box takes callers: it is not stopping, has a bundle and servers, and
+    /// can enforce the limits of client accounts.
     pub fn is_ready(&self) -> bool {
         !self.stopping.has_begun()
             && self.bundle_version() > 0
             && !self.directory.lock().is_empty()
-            && self.can_count()
+            && self.can_enforce_account_limits()
     }
 
-    /// Whether this box can tell what client accounts may ask for, if it must: one that is
-    /// cut off from the others has a small part only, and its callers are better served
-    /// elsewhere.
-    fn can_count(&self) -> bool {
-        let in_force = self.active_bundle();
-        let must = in_force.is_some_and(|now| now.has_limited_accounts);
-        let heard_age = self.links.lock().peer_state_age(wingspur_clock::now());
-        !must || heard_age.is_some_and(|age| age <= CUT_OFF)
+    /// Whether this box can enforce the limits of client accounts, if any has one. A box
+    /// that is cut off from the others has only a small share of the quotas, so its
+    /// callers are better served by other boxes.
+    fn can_enforce_account_limits(&self) -> bool {
+        let active = self.active_bundle();
+        let is_needed = active.is_some_and(|bundle| bundle.has_limited_accounts);
+        let peer_state_age = self.links.lock().peer_state_age(wingspur_clock::now());
+        !is_needed || peer_state_age.is_some_and(|age| age <= MAX_PEER_STATE_AGE)
     }
 
-    /// Divides connections and budgets among the boxes that are announced now.
+    /// Recomputes this box's share of connections and retry budgets from the fleet's
+    /// size.
     pub fn update_fleet_shares(&self) {
-        let division = self.links.lock().division(wingspur_clock::now());
-        if let Some(in_force) = self.active_bundle() {
-            self.services.apply_fleet_shares(&in_force.bundle, division);
+        let fleet_size = self.links.lock().division(wingspur_clock::now());
+        if let Some(active) = self.active_bundle() {
+            self.services.apply_fleet_shares(&active.bundle, fleet_size);
         }
     }
 
-    /// How this box stands with the fleet now, as far as the retry budget's slack goes.
+    /// Returns this box's contact with the fleet and the fleet's size over the window of
+    /// the retry budget, from which its share of the budget's slack follows.
     pub fn fleet_membership(&self) -> FleetMembership {
         let window_s = self.settings().retry_budget.window_s;
         let window = Duration::from_secs_f64(window_s);
@@ -221,5 +225,6 @@
     }
 }
 
-/// A change of hubs takes less.
-const CUT_OFF: Duration = Duration::from_millis(2500);
+/// A box whose newest state from any other is older counts as cut off; a change of hubs
+/// takes less time.
+const MAX_PEER_STATE_AGE: Duration = Duration::from_millis(2500);
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -1,4 +1,4 @@
-//! The links of this box: whom it hears, what it tells whom.
+//! The links of this box to other boxes, and what is queued to be sent on each of them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,45 +23,47 @@
 use crate::active_link::{ActiveLink, InitialState};
 use crate::resend_leases::{LeaseSources, ResendBudgetReports};
 
-/// The links of this box, with what is still to be told on each.
+/// The links of this box, with what is still to be sent on each.
 #[derive(Debug)]
 pub struct Links {
     own: BoxRecord,
     rollup: Rollup,
-    updates: TallyUpdateReader,
+    tally_reader: TallyUpdateReader,
     planner: LinkPlanner,
-    feed: CatalogFreshnessTracker,
-    recent: RecentChanges,
+    freshness: CatalogFreshnessTracker,
+    recent_changes: RecentChanges,
     active: BTreeMap<LinkId, ActiveLink>,
     fleet: FleetView,
-    /// What announcements told of the fleet, and when that was read.
+    /// What the announced boxes say of the fleet, and when that was computed.
     announced: Option<(Instant, Arc<AnnouncementView>)>,
     next_id: LinkId,
-    /// The listing that was put together last, and when.
-    listing: Option<(Instant, Arc<CatalogSnapshotUpdate>)>,
-    /// Spaces what is told.
+    /// The catalog snapshot that was built last, and when.
+    snapshot_cache: Option<(Instant, Arc<CatalogSnapshotUpdate>)>,
+    /// Limits the rate of updates and catalog snapshots to what the box's link can carry.
     pacer: UpdatePacer,
     /// Whether this box is stopping.
-    leaving: bool,
-    /// Whether there is news that should not wait for the next tick.
+    stopping: bool,
+    /// Whether there are updates that should not wait for the usual gap between frames.
     urgent: bool,
 }
 
-/// What a tick has to say on one link.
+/// A frame that is to be sent on one link now.
 #[derive(Debug)]
 pub struct OutgoingFrame {
     /// The link.
     pub link: LinkId,
-    /// Where it goes.
+    /// The sending side of the link.
     pub sender: LinkSender,
-    /// The listing that goes before the frame, if one is owed.
-    pub listing: Option<PendingSnapshot>,
-    /// What it says.
+    /// The catalog snapshot to send before the frame; `None` if the other side needs
+    /// none.
+    pub snapshot: Option<PendingSnapshot>,
+    /// The frame.
     pub frame: Frame,
 }
 
 impl Links {
-    /// No links yet.
+    /// Starts without links. `link_mbps` is the bandwidth of the box's network link;
+    /// `first_start` says that the whole fleet starts for the first time.
     pub fn new(own: BoxRecord, link_mbps: f64, first_start: bool, now: Instant) -> Self {
         let fleet = match first_start {
             true => FleetView::at_first_start,
@@ -69,23 +71,23 @@
         };
         Self {
             rollup: Rollup::new(own.incarnation),
-            updates: TallyUpdateReader::default(),
+            tally_reader: TallyUpdateReader::default(),
             planner: LinkPlanner::new(own.clone()),
-            feed: CatalogFreshnessTracker::new(own.id.clone(), now),
-            recent: RecentChanges::default(),
+            freshness: CatalogFreshnessTracker::new(own.id.clone(), now),
+            recent_changes: RecentChanges::default(),
             active: BTreeMap::new(),
             fleet: fleet(hash_of(&own.id), now).in_data_centre(own.data_centre.clone()),
             announced: None,
             next_id: OWN_LINK + 1,
-            listing: None,
+            snapshot_cache: None,
             pacer: UpdatePacer::with_link(own.capacity, link_mbps, now),
-            leaving: false,
+            stopping: false,
             urgent: false,
             own,
         }
     }
 
-    /// Whether this box knows no other, linked or announced.
+    /// Whether this box knows no other box: none is linked and none is announced.
     pub fn is_alone(&self) -> bool {
         self.is_unlinked() && self.planner.size() == 1
     }
@@ -95,24 +97,25 @@
         self.position().is_start()
     }
 
-    /// Whether no link stands.
+    /// Whether this box has no link.
     pub fn is_unlinked(&self) -> bool {
         self.active.is_empty()
     }
 
-    /// This box as it announces itself.
+    /// The record by which this box announces itself.
     pub fn own(&self) -> &BoxRecord {
         &self.own
     }
 
-    /// Whom the box should keep links with.
+    /// The planner, which decides to which boxes this one should have links.
     pub fn planner(&mut self) -> &mut LinkPlanner {
         &mut self.planner
     }
 
-    /// How the box stands with the store.
+    /// How fresh this box's view of the store is, and whether it should read the store
+    /// itself.
     pub fn watch_state(&mut self) -> &mut CatalogFreshnessTracker {
-        &mut self.feed
+        &mut self.freshness
     }
 
     /// Whether this box is the hub of its data centre, as far as it knows.
@@ -121,7 +124,8 @@
         !plan.iter().any(|link| link.role == LinkRole::Member)
     }
 
-    /// Takes up a link; `opened_as` where this box opened it.
+    /// Adds a link and returns its id. `opened_as` is this box's role if it opened the
+    /// link, `peer_role` the other side's role if that one did.
     pub fn add(
         &mut self,
         peer: BoxRecord,
@@ -138,7 +142,7 @@
         };
         self.rollup.add_link(id, kind);
         if kind == LinkKind::Hub {
-            // Members are not announced, and so are no hub for others.
+            // A member may not be announced, so the planner must not take it for a hub.
             self.planner.upsert(peer.clone());
         }
         self.planner.note_reached(&peer.id);
@@ -150,30 +154,31 @@
             sender,
             clock: LinkClock::new(now),
             catalog: CatalogQueue::new(),
-            wants_listing: false,
+            wants_snapshot: false,
             bundle_version: 0,
             suspects: Vec::new(),
             limits: BTreeMap::new(),
-            leaving_servers: BTreeMap::new(),
+            draining_servers: BTreeMap::new(),
             initial_state: None,
             has_catalog: true,
-            lending: LeaseMessages::default(),
+            lease_messages: LeaseMessages::default(),
             leaving_sent: false,
             sent_era: 0,
             last_sent_at: now,
             updates_sent_at: now,
         };
-        let at_other_side = LinkPeer {
+        let link_peer = LinkPeer {
             data_centre: link.peer.data_centre.clone(),
             key: hash_of(&link.peer.id),
         };
         self.fleet
-            .add_link(id, at_other_side, link.peer_relation(), now);
+            .add_link(id, link_peer, link.peer_relation(), now);
         self.active.insert(id, link);
         id
     }
 
-    /// Gives up a link; returns the sources that are not heard any more.
+    /// Closes and removes a link; returns the sources whose tallies no link provides any
+    /// more.
     pub fn remove(&mut self, id: LinkId) -> Vec<SourceId> {
         let Some(link) = self.active.remove(&id) else {
             return Vec::new();
@@ -183,31 +188,31 @@
             self.planner.note_unlinked(peer);
         }
         link.sender.close();
-        self.feed.forget(id);
+        self.freshness.forget(id);
         self.fleet.drop_link(id, wingspur_clock::now());
         self.rollup.drop_link(id);
         self.remove_lost_sources()
     }
 
-    /// The sources that are not heard any more, forgotten here.
+    /// Forgets the sources whose tallies no link provides any more, and returns them.
     pub fn remove_lost_sources(&mut self) -> Vec<SourceId> {
         let lost = self.rollup.take_lost_sources();
         for source in &lost {
-            self.updates.forget(*source);
+            self.tally_reader.forget(*source);
         }
         lost
     }
 
-    /// Planned links that do not stand yet, and links opened here that are not planned any
-    /// more, once the planned ones stand.
+    /// Returns the planned links that are not open yet and, once all planned links are
+    /// open, the links opened by this box that are no longer planned.
     pub fn diff_plan(&self, now: Instant) -> (Vec<PlannedLink>, Vec<LinkId>) {
         let plan = self.planner.plan(now);
-        let stands = |planned: &PlannedLink| {
+        let is_open = |planned: &PlannedLink| {
             self.active.values().any(|link| link.matches_plan(planned))
         };
         let missing: Vec<PlannedLink> = plan
             .iter()
-            .filter(|planned| !stands(planned))
+            .filter(|planned| !is_open(planned))
             .cloned()
             .collect();
         if !missing.is_empty() {
@@ -220,61 +225,66 @@
         (missing, unplanned.map(|(id, _)| *id).collect())
     }
 
-    /// Takes in what this box itself has seen.
-    pub fn receive_own(&mut self, digest: &TallyUpdate) {
-        self.rollup.receive(OWN_LINK, digest);
+    /// Adds the tallies of this box's own requests.
+    pub fn receive_own(&mut self, update: &TallyUpdate) {
+        self.rollup.receive(OWN_LINK, update);
     }
 
-    /// Takes in digests that came by a link; returns the news for this box's own tables.
-    pub fn receive(&mut self, id: LinkId, digests: &[TallyUpdate]) -> Vec<SourceUpdate> {
-        for digest in digests {
-            self.rollup.receive(id, digest);
+    /// Adds tally updates received on a link; returns the updates for this box's own
+    /// tables.
+    pub fn receive(&mut self, id: LinkId, updates: &[TallyUpdate]) -> Vec<SourceUpdate> {
+        for update in updates {
+            self.rollup.receive(id, update);
         }
         let own = self.rollup.compose(OWN_LINK);
-        own.iter().map(|digest| self.updates.read(digest)).collect()
+        own.iter()
+            .map(|update| self.tally_reader.read(update))
+            .collect()
     }
 
-    /// News that came about without a digest, as when a member went.
+    /// Returns updates for this box's own tables that arise without a received tally
+    /// update, for example when a member's link ends.
     pub fn own_updates(&mut self) -> Vec<SourceUpdate> {
         self.receive(OWN_LINK, &[])
     }
 
-    /// The listing that was put together last, if it is still the present one: many boxes
-    /// that link at once are owed the same.
+    /// Returns the catalog snapshot that was built last, `None` if it is out of date. It
+    /// is cached since many boxes that link at the same time need the same snapshot.
     pub fn cached_snapshot(
         &self,
         version: BundleVersion,
         now: Instant,
     ) -> Option<CatalogUpdate> {
-        let (at, listing) = self.listing.as_ref()?;
-        let listed = &listing.snapshot;
-        let listed_version = listed.bundle.as_ref().map_or(0, |bundle| bundle.version);
-        let is_present = listed.position == self.position()
-            && listed_version == version
-            && now.saturating_duration_since(*at) < LISTING_FOR;
-        is_present.then(|| CatalogUpdate::Snapshot(listing.clone()))
+        let (built_at, snapshot) = self.snapshot_cache.as_ref()?;
+        let catalog = &snapshot.snapshot;
+        let cached_version = catalog.bundle.as_ref().map_or(0, |bundle| bundle.version);
+        let is_current = catalog.position == self.position()
+            && cached_version == version
+            && now.saturating_duration_since(*built_at) < SNAPSHOT_MAX_AGE;
+        is_current.then(|| CatalogUpdate::Snapshot(snapshot.clone()))
     }
 
-    /// Keeps a listing that was just put together.
-    pub fn cache_snapshot(&mut self, listing: Arc<CatalogSnapshotUpdate>, now: Instant) {
-        self.listing = Some((now, listing));
+    /// Caches a catalog snapshot that was just built.
+    pub fn cache_snapshot(&mut self, snapshot: Arc<CatalogSnapshotUpdate>, now: Instant) {
+        self.snapshot_cache = Some((now, snapshot));
     }
 
-    /// Lets go of a listing that is not the present one any more.
+    /// Drops the cached catalog snapshot once it has reached its maximum age.
     pub fn expire_snapshot(&mut self, now: Instant) {
-        self.listing
-            .take_if(|(at, _)| now.saturating_duration_since(*at) >= LISTING_FOR);
+        self.snapshot_cache.take_if(|(built_at, _)| {
+            now.saturating_duration_since(*built_at) >= SNAPSHOT_MAX_AGE
+        });
     }
 
-    /// Queues news of the catalog for all links but the one that it came by; `urgent` where
-    /// it changes anything.
+    /// Queues a catalog update for all links except `from`, on which it was received.
+    /// `urgent` says that it changes something and does not only advance the revision.
     pub fn broadcast(
         &mut self,
         update: &CatalogUpdate,
         urgent: bool,
         from: Option<LinkId>,
     ) {
-        self.recent.put(update);
+        self.recent_changes.put(update);
         for (id, link) in &mut self.active {
             if Some(*id) != from {
                 link.catalog.push(update, urgent);
@@ -282,56 +292,59 @@
         }
     }
 
-    /// Queues news of the catalog for one link.
+    /// Queues a catalog update for one link.
     pub fn send_update(&mut self, id: LinkId, update: CatalogUpdate) {
         if let Some(link) = self.active.get_mut(&id) {
             link.catalog.push(&update, true);
         }
     }
 
-    /// The changes of the catalog after a position, where they are all at hand.
+    /// Returns the catalog changes after a position; `None` if some of them are not kept
+    /// here.
     pub fn changes_since(&self, position: StorePosition) -> Option<CatalogChanges> {
-        self.recent.since(position)
+        self.recent_changes.since(position)
     }
 
-    /// Queues what the other side of a new link should know.
-    pub fn queue_initial_state(&mut self, id: LinkId, mut greeting: InitialState) {
+    /// Queues the state to be sent once to the other side of a new link.
+    pub fn queue_initial_state(&mut self, id: LinkId, mut initial_state: InitialState) {
         if let Some(link) = self.active.get_mut(&id) {
-            link.suspects.append(&mut greeting.suspects);
-            let limits = greeting.limits.drain(..);
+            link.suspects.append(&mut initial_state.suspects);
+            let limits = initial_state.limits.drain(..);
             link.limits
                 .extend(limits.map(|limit| (limit.server, limit)));
-            link.leaving_servers
-                .extend(greeting.leaving_servers.drain(..));
-            link.has_catalog = !greeting.peer_is_new;
-            link.initial_state = Some(greeting);
+            link.draining_servers
+                .extend(initial_state.draining_servers.drain(..));
+            link.has_catalog = !initial_state.peer_is_new;
+            link.initial_state = Some(initial_state);
         }
     }
 
-    /// Queues what was seen of a request under which a server ended, for all links that do
-    /// not hear it otherwise; whether it came from this box or a member of its own.
+    /// Queues an observation about a request during which a server ended, for all links
+    /// whose peer does not receive it another way. Returns whether it came from this box
+    /// or one of its members.
     pub fn broadcast_suspect(
         &mut self,
-        updates: &SuspectUpdate,
+        update: &SuspectUpdate,
         from: Option<LinkId>,
     ) -> bool {
         for link in self.recipients(from) {
-            if link.suspects.len() < MOST_SUSPECT_UPDATES {
-                link.suspects.push(*updates);
+            if link.suspects.len() < MAX_QUEUED_SUSPECT_UPDATES {
+                link.suspects.push(*update);
             }
         }
         self.is_own_update(from)
     }
 
-    /// Queues a changed limit of a server for all links that do not hear it otherwise; the
-    /// newest change of a server replaces those before.
+    /// Queues a changed limit of a server for all links whose peer does not receive it
+    /// another way. It replaces a change of the same server that is still queued.
     pub fn broadcast_limit(&mut self, limit: &ServerLimitChange, from: Option<LinkId>) {
         for link in self.recipients(from) {
             link.limits.insert(limit.server, *limit);
         }
     }
 
-    /// Queues that a server leaves for all links that do not hear it otherwise.
+    /// Queues that a server is draining since `since`, for all links whose peer does not
+    /// receive it another way.
     pub fn broadcast_leaving(
         &mut self,
         server: ServerKey,
@@ -339,18 +352,19 @@
         from: Option<LinkId>,
     ) {
         for link in self.recipients(from) {
-            link.leaving_servers.insert(server, since);
+            link.draining_servers.insert(server, since);
         }
     }
 
-    /// Whether news came from this box or a member of its own.
+    /// Whether an update came from this box or one of its members.
     fn is_own_update(&self, from: Option<LinkId>) -> bool {
-        let teller = from.and_then(|id| self.active.get(&id));
-        teller.is_none_or(|link| link.peer_relation() == PeerRole::Member)
+        let sender = from.and_then(|id| self.active.get(&id));
+        sender.is_none_or(|link| link.peer_relation() == PeerRole::Member)
     }
 
-    /// The links that do not hear news otherwise: what another hub tells, that one tells all
-    /// other hubs as well.
+    /// Returns the links whose peers do not receive an update another way. An update from
+    /// another hub goes to members only, since that hub sends it to all other hubs
+    /// itself.
     fn recipients(
         &mut self,
         from: Option<LinkId>,
@@ -361,71 +375,78 @@
             .iter_mut()
             .filter(move |(id, _)| Some(**id) != from);
         others.filter_map(move |(_, link)| {
-            let hears = is_own || link.peer_relation() == PeerRole::Member;
-            hears.then_some(link)
+            let is_recipient = is_own || link.peer_relation() == PeerRole::Member;
+            is_recipient.then_some(link)
         })
     }
 
     /// Notes that this box is stopping.
     pub fn note_own_stop(&mut self) {
-        self.leaving = true;
+        self.stopping = true;
     }
 
     /// Notes that the other side of a link is stopping.
     ///
-    /// Its frames still arrive on a link that has been given up here; they tell nothing more,
-    /// and above all nothing of this box.
+    /// Its frames still arrive after the link was removed here. They are ignored then:
+    /// they carry nothing new, and must not be taken for a stop of this box.
     pub fn note_peer_stop(&mut self, id: LinkId) {
         if let Some(link) = self.active.get(&id) {
             self.planner.note_stopping(&link.peer);
         }
     }
 
-    /// Notes that there is news which should not wait for the next tick.
+    /// Notes that there are updates that should not wait for the usual gap between
+    /// frames.
     pub fn mark_urgent(&mut self) {
         self.urgent = true;
     }
 
-    /// Asks the other side of a link for a listing.
+    /// Asks the other side of a link for a catalog snapshot with the next frame.
     pub fn request_snapshot(&mut self, id: LinkId) {
         if let Some(link) = self.active.get_mut(&id) {
-            link.wants_listing = true;
+            link.wants_snapshot = true;
         }
     }
 
-    /// Links on which the other side has not answered for too long.
+    /// Returns the links whose peer has left a frame unacknowledged for too long.
     pub fn unresponsive(&self, now: Instant) -> Vec<LinkId> {
-        let waits_long =
-            |link: &ActiveLink| link.clock.oldest_unanswered_age(now) >= MOST_WAIT;
-        let stuck = self.active.iter().filter(|(_, link)| waits_long(link));
-        stuck.map(|(id, _)| *id).collect()
+        let is_overdue =
+            |link: &ActiveLink| link.clock.oldest_unanswered_age(now) >= ACK_TIMEOUT;
+        let overdue = self.active.iter().filter(|(_, link)| is_overdue(link));
+        overdue.map(|(id, _)| *id).collect()
     }
 
-    /// What is to be sent now by a box with a bundle of this version in force: news, and a
-    /// sign of life where there was none for long.
+    /// Returns the frames that are due now: those with updates, and heartbeats on links
+    /// without a recent frame. `bundle_version` is the version of this box's active
+    /// bundle.
     pub fn take_frames(
         &mut self,
         bundle_version: BundleVersion,
-        rooms: &ResendBudgetReports,
+        resend_budgets: &ResendBudgetReports,
         now: Instant,
     ) -> Vec<OutgoingFrame> {
-        let feed = self.feed.state(now);
-        let hurry = std::mem::take(&mut self.urgent);
-        let home_gap = self.home_gap();
+        let freshness = self.freshness.state(now);
+        let urgent_updates = std::mem::take(&mut self.urgent);
+        let local_gap = self.local_gap();
         let known = self.announced(now);
         let fleet = self.fleet.outgoing_notes(&known, now);
-        let frames_per_s = self.active.len() as f64 / home_gap.as_secs_f64();
+        let frames_per_s = self.active.len() as f64 / local_gap.as_secs_f64();
         let mut frames = Vec::new();
-        // Who was told longest ago goes first, where not all can be told at once.
+        // The link with the oldest updates goes first, since the pacer may not allow
+        // updates on all links at once.
         let mut links: Vec<_> = self.active.iter_mut().collect();
         links.sort_by_key(|(_, link)| link.updates_sent_at);
         for (id, link) in links {
             let age = now.saturating_duration_since(link.last_sent_at);
-            let away = link.peer.data_centre != self.own.data_centre;
-            let gap = if away { AWAY_GAP } else { home_gap };
-            let gap = if hurry { gap / HURRY } else { gap };
+            let is_remote = link.peer.data_centre != self.own.data_centre;
+            let gap = if is_remote { REMOTE_GAP } else { local_gap };
+            let gap = if urgent_updates {
+                gap / URGENT_GAP_DIVISOR
+            } else {
+                gap
+            };
             let full = link.is_window_full();
-            let listing_is_delayed = link.is_snapshot_delayed(&self.pacer, now);
+            let snapshot_is_delayed = link.is_snapshot_delayed(&self.pacer, now);
             let accepts_updates = link.accepts_server_updates(&self.pacer, now);
             let updates_due =
                 updates_due_in(*id, link, gap, &self.rollup, &self.pacer, now);
@@ -433,84 +454,86 @@
             let catalog_due = link.catalog_due_in(&self.pacer, now);
             let catalog_due = catalog_due.is_some_and(|due| due.is_zero());
             let urgent = catalog_due
-                || link.wants_listing
+                || link.wants_snapshot
                 || (link.initial_state.is_some() && accepts_updates)
-                || (hurry && !link.suspects.is_empty())
-                || (self.leaving && !link.leaving_sent)
-                || link.sent_era < feed.era;
-            if !due && (!urgent || full) && age < HEARTBEAT {
+                || (urgent_updates && !link.suspects.is_empty())
+                || (self.stopping && !link.leaving_sent)
+                || link.sent_era < freshness.era;
+            if !due && (!urgent || full) && age < HEARTBEAT_INTERVAL {
                 continue;
             }
             link.last_sent_at = now;
-            link.leaving_sent = self.leaving;
-            // A full link still says what it has had: else two full sides wait for each other.
-            let mut listing = None;
+            link.leaving_sent = self.stopping;
+            // A frame on a full link still acknowledges what was received; otherwise two
+            // full sides would wait for each other.
+            let mut snapshot = None;
             let mut frame = Frame {
                 timestamps: link.clock.send(now),
                 bundle_version,
                 fleet: self.fleet.note_for_link(*id, &fleet, now),
-                leaving: self.leaving,
+                leaving: self.stopping,
                 ..Frame::default()
             };
             frame.resend_budgets = match link.peer_relation() {
-                PeerRole::OwnHub => rooms.own.clone(),
-                PeerRole::Member | PeerRole::Hub => rooms.aggregate.clone(),
+                PeerRole::OwnHub => resend_budgets.own.clone(),
+                PeerRole::Member | PeerRole::Hub => resend_budgets.aggregate.clone(),
             };
-            frame.lease_messages = std::mem::take(&mut link.lending);
+            frame.lease_messages = std::mem::take(&mut link.lease_messages);
             frame.delegated_shares = self.fleet.delegate_shares(*id, &known, now);
             if due {
-                let most_servers = match self.pacer.update_delay(now).is_zero() {
+                let max_servers = match self.pacer.update_delay(now).is_zero() {
                     true => self.pacer.max_servers_per_frame(frames_per_s),
                     false => 0,
                 };
-                frame.tally_updates = self.rollup.compose_within(*id, most_servers);
+                frame.tally_updates = self.rollup.compose_within(*id, max_servers);
                 self.pacer.record_update(&frame.tally_updates, now);
                 link.updates_sent_at = now;
             }
             if !full {
-                // What is held back does not count as told.
-                frame.catalog_freshness = feed.clone();
-                link.sent_era = feed.era;
-                if !listing_is_delayed {
-                    listing = link.take_snapshot();
+                // What is not sent because the link is full must not count as sent.
+                frame.catalog_freshness = freshness.clone();
+                link.sent_era = freshness.era;
+                if !snapshot_is_delayed {
+                    snapshot = link.take_snapshot();
                     frame.catalog = link.catalog.take(now);
                 }
-                if let Some(pending) = &listing {
+                if let Some(pending) = &snapshot {
                     self.pacer.record_snapshot(&pending.listing, now);
                 }
-                frame.wants_snapshot = std::mem::take(&mut link.wants_listing);
-                let greeting = link.initial_state.take_if(|_| accepts_updates);
-                frame.health = greeting.unwrap_or_default().health;
+                frame.wants_snapshot = std::mem::take(&mut link.wants_snapshot);
+                let initial_state = link.initial_state.take_if(|_| accepts_updates);
+                frame.health = initial_state.unwrap_or_default().health;
                 frame.membership = self.fleet.census_for(*id);
                 let suspects = link.suspects.drain(..);
-                frame.suspects =
-                    suspects.map(|updates| updates.to_message(now)).collect();
+                frame.suspects = suspects.map(|update| update.to_message(now)).collect();
                 let limits = std::mem::take(&mut link.limits).into_values();
-                frame.limits = limits.map(|limit| note_of(&limit, now)).collect();
-                let leaving = std::mem::take(&mut link.leaving_servers).into_iter();
-                let note = |(server, since)| leaving_note(server, since, now);
-                frame.draining_servers = leaving.map(note).collect();
+                frame.limits = limits.map(|limit| limit_update(&limit, now)).collect();
+                let draining = std::mem::take(&mut link.draining_servers).into_iter();
+                let to_update = |(server, since)| draining_update(server, since, now);
+                frame.draining_servers = draining.map(to_update).collect();
             }
             frames.push(OutgoingFrame {
                 link: *id,
                 sender: link.sender.clone(),
-                listing,
+                snapshot,
                 frame,
             });
         }
         frames
     }
 
-    /// When `take_frames` should be called again, if nothing happens before.
+    /// Returns how long until `take_frames` should be called again if nothing happens
+    /// before.
     pub fn next_tick(&self, now: Instant) -> Duration {
-        let home_gap = self.home_gap();
+        let local_gap = self.local_gap();
         let due = |(id, link): (&LinkId, &ActiveLink)| {
             if link.is_window_full() {
-                return FULL_CHECK;
+                return FULL_WINDOW_RECHECK;
             }
-            let away = link.peer.data_centre != self.own.data_centre;
-            let update_gap = if away { AWAY_GAP } else { home_gap };
-            let mut due = (link.last_sent_at + HEARTBEAT).saturating_duration_since(now);
+            let is_remote = link.peer.data_centre != self.own.data_centre;
+            let update_gap = if is_remote { REMOTE_GAP } else { local_gap };
+            let mut due =
+                (link.last_sent_at + HEARTBEAT_INTERVAL).saturating_duration_since(now);
             let pacer = &self.pacer;
             let updates_due =
                 updates_due_in(*id, link, update_gap, &self.rollup, pacer, now);
@@ -521,23 +544,26 @@
             due
         };
         let next = self.active.iter().map(due).min();
-        next.unwrap_or(HEARTBEAT).max(LEAST_TICK)
+        next.unwrap_or(HEARTBEAT_INTERVAL).max(MIN_TICK)
     }
 
-    /// How often news goes to a box of the same data centre: a hub of many tells each of
-    /// them less often, so that its link and processor bear them all.
-    fn home_gap(&self) -> Duration {
+    /// Returns the gap between updates to a box of the same data centre. A hub with many
+    /// links sends on each of them less often, so that its network link and processor can
+    /// cope.
+    fn local_gap(&self) -> Duration {
         let links = self.active.len() as u32;
-        HOME_GAP.max(Duration::from_secs(1) * links / MOST_FRAMES_PER_S)
+        LOCAL_GAP.max(Duration::from_secs(1) * links / MAX_FRAMES_PER_S)
     }
 
-    /// The boxes of the fleet, as far as this one knows.
+    /// Returns the number of boxes in the fleet, as far as this one knows.
     pub fn fleet_boxes(&mut self, now: Instant) -> usize {
         let known = self.announced(now);
         self.fleet.fleet_size(&known, now)
     }
 
-    /// How this box stands with the fleet, as far as what is shared over a window goes.
+    /// Returns this box's contact with the fleet and the largest fleet size within
+    /// `window`, from which it computes its share of what the fleet may spend over such a
+    /// window.
     pub fn fleet_membership(
         &mut self,
         window: Duration,
@@ -547,10 +573,11 @@
         self.fleet.membership(window, &known, now)
     }
 
-    /// What announcements tell of the fleet, as it was a moment ago.
+    /// Returns what the announced boxes say of the fleet; at most `ANNOUNCED_MAX_AGE`
+    /// old.
     fn announced(&mut self, now: Instant) -> Arc<AnnouncementView> {
         if let Some((at, known)) = &self.announced
-            && now.saturating_duration_since(*at) < ANNOUNCED_FOR
+            && now.saturating_duration_since(*at) < ANNOUNCED_MAX_AGE
         {
             return known.clone();
         }
@@ -560,63 +587,66 @@
     }
 
     fn read_announced(&self, now: Instant) -> AnnouncementView {
-        let told = match self.is_unlinked() {
+        let reported = match self.is_unlinked() {
             true => self.planner.reported_fleet_size(),
             false => 0,
         };
         let is_hub = self.is_hub(now);
-        let feed = self.feed.state(now);
-        let known = feed.reader.is_some() && !self.is_starting();
+        let freshness = self.freshness.state(now);
+        let known = freshness.reader.is_some() && !self.is_starting();
         AnnouncementView {
-            announced_boxes: self.planner.size().max(told),
+            announced_boxes: self.planner.size().max(reported),
             reported_fleet_size: self.planner.reported_fleet_size(),
             data_centres: self.planner.other_data_centres(),
             is_hub,
             is_acting_hub: is_hub && self.planner.rank() > 0,
-            age: known.then(|| Duration::from_millis(feed.age_ms.into())),
+            age: known.then(|| Duration::from_millis(freshness.age_ms.into())),
         }
     }
 
-    /// What this box is among the others, as far as lending goes.
+    /// Returns this box's role in quota leasing: its hub, the allocators that it asks and
+    /// its share, and for a hub also its share and the allocator for each data centre.
     pub fn quota_standing(&mut self, now: Instant) -> QuotaTopology {
         let own_hub = self.own_hub();
-        let lenders = own_hub.map_or_else(|| self.other_hubs(), |hub| vec![hub]);
+        let allocators = own_hub.map_or_else(|| self.other_hubs(), |hub| vec![hub]);
         let known = self.announced(now);
         let others = known.data_centres.iter();
         let names = others.chain(std::iter::once(&self.own.data_centre));
         let names = names.filter(|_| own_hub.is_none());
         let fleet = &mut self.fleet;
-        let places = names.map(|name| DataCentreQuota {
+        let data_centres = names.map(|name| DataCentreQuota {
             data_centre: name.clone(),
             share: fleet.share_for(name, &known, now),
             allocator: fleet.allocator_for(name, now),
         });
-        let places = places.collect();
+        let data_centres = data_centres.collect();
         QuotaTopology {
             own_hub,
-            allocators: lenders,
+            allocators,
             share: self.fleet.share(&known, now),
-            data_centres: places,
+            data_centres,
         }
     }
 
-    /// When what a frame of a link says was true at the latest and at the earliest, where it
-    /// says that it was so long ago.
+    /// Returns the earliest and the latest moment of an observation that a frame on a
+    /// link reports with an age. The earliest assumes that the frame was composed when
+    /// the other side's state was last proven current, the latest that it took no time to
+    /// arrive.
     pub fn observation_window(
         &self,
         id: LinkId,
         age: Duration,
         now: Instant,
     ) -> (Instant, Instant) {
-        let vouched = self
+        let confirmed_at = self
             .active
             .get(&id)
             .and_then(|link| link.clock.peer_state_as_of());
         let before = |moment: Instant| moment.checked_sub(age).unwrap_or(moment);
-        (before(vouched.unwrap_or(now)), before(now))
+        (before(confirmed_at.unwrap_or(now)), before(now))
     }
 
-    /// Whom this box may ask for a resend.
+    /// Returns the links to boxes that may be asked for a lease of their retry budget.
     pub fn lease_sources(&self) -> LeaseSources {
         let members = self.active.iter();
         let members =
@@ -628,42 +658,45 @@
         }
     }
 
-    /// How old at most the newest is that this box has heard of any other; none if it never
-    /// heard one.
+    /// Returns the maximum age of the newest state received from any other box; `None`
+    /// before the first.
     pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
         self.fleet.peer_state_age(now)
     }
 
-    /// The link with the hub that this box reports to.
+    /// Returns the link to the hub that this box reports to; `None` if there is none.
     pub fn own_hub(&self) -> Option<LinkId> {
         let mut links = self.active.iter();
         let own_hub = links.find(|(_, link)| link.peer_relation() == PeerRole::OwnHub);
         own_hub.map(|(id, _)| *id)
     }
 
-    /// Whether this box reports to a hub that knows the catalog.
+    /// Whether this box reports to a hub that has a catalog.
     pub fn hub_has_catalog(&self) -> bool {
         let hub = self.own_hub().and_then(|id| self.active.get(&id));
         hub.is_some_and(|hub| hub.has_catalog)
     }
 
-    /// The links with other hubs.
+    /// Returns the links between this box as a hub and other hubs.
     pub fn other_hubs(&self) -> Vec<LinkId> {
         let hubs = self.active.iter();
         let hubs = hubs.filter(|(_, link)| link.peer_relation() == PeerRole::Hub);
         hubs.map(|(id, _)| *id).collect()
     }
 
-    /// A frame that carries nothing but what is lent and asked for, with where it goes; none
-    /// where that waits for the next frame.
+    /// Returns a frame with nothing but lease messages if the message is urgent. A
+    /// message that is not urgent is queued for the next regular frame, and `None` is
+    /// returned; likewise if the link was removed.
     ///
-    /// It goes out beside the others and is none of those that the other side must answer:
-    /// requests wait for it.
+    /// The frame is sent apart from the regular ones, since requests wait for it. It
+    /// carries no timestamps, so the other side does not acknowledge it.
     pub fn lease_frame(&mut self, message: QuotaMessage) -> Option<OutgoingFrame> {
         let link = self.active.get_mut(&message.link)?;
         if !message.urgent {
-            link.lending.requests.extend(message.lending.requests);
-            link.lending.replies.extend(message.lending.replies);
+            link.lease_messages
+                .requests
+                .extend(message.lending.requests);
+            link.lease_messages.replies.extend(message.lending.replies);
             return None;
         }
         let frame = Frame {
@@ -674,20 +707,21 @@
         Some(OutgoingFrame {
             link: message.link,
             sender: link.sender.clone(),
-            listing: None,
+            snapshot: None,
             frame,
         })
     }
 
-    /// How the fleet is divided, as far as its counts are concerned.
+    /// Returns the fleet size by which connections and budgets are divided among the
+    /// boxes.
     pub fn division(&mut self, now: Instant) -> FleetSize {
         let boxes = self.fleet_boxes(now);
         self.planner.division(boxes)
     }
 
-    /// Notes what the other side of a link says of itself: how many boxes it counts, which
-    /// bundle it has, and how it stands with the store as of the moment that the stamps
-    /// vouch for.
+    /// Records what the other side of a link reports of itself: how many boxes it counts,
+    /// which bundle it has, which shares it delegates, and how fresh its view of the
+    /// store was at the moment that the frame's timestamps prove.
     pub fn note_frame(&mut self, id: LinkId, frame: &Frame, now: Instant) {
         let Some(link) = self.active.get_mut(&id) else {
             return;
@@ -697,30 +731,32 @@
         link.has_catalog |= !known.is_start();
         link.catalog.drop_known_listing(known, frame.bundle_version);
         link.clock.receive(&frame.timestamps);
-        let vouched = link.clock.peer_state_as_of();
-        if let Some(vouched) = vouched {
-            self.feed.receive(id, &frame.catalog_freshness, vouched);
+        let confirmed_at = link.clock.peer_state_as_of();
+        if let Some(confirmed_at) = confirmed_at {
+            self.freshness
+                .receive(id, &frame.catalog_freshness, confirmed_at);
         }
         let known = self.announced(now);
         self.fleet
             .receive_census(id, &frame.membership, &known, now);
-        self.fleet.receive(id, frame.fleet, &known, vouched, now);
         self.fleet
-            .receive_delegated_shares(id, &frame.delegated_shares, vouched);
+            .receive(id, frame.fleet, &known, confirmed_at, now);
+        self.fleet
+            .receive_delegated_shares(id, &frame.delegated_shares, confirmed_at);
     }
 
-    /// Takes in that the other side of a link has ended it in order: it uses this box's part
-    /// no more.
+    /// Records that the other side closed a link in order: it does not use this box's
+    /// share any more.
     pub fn record_orderly_close(&mut self, id: LinkId, now: Instant) {
         self.fleet.release_share(id, now);
     }
 
-    /// Who is linked, for logs.
+    /// Returns the box at the other side of a link; `None` if the link was removed.
     pub fn peer(&self, id: LinkId) -> Option<&BoxId> {
         self.active.get(&id).map(|link| &link.peer.id)
     }
 
-    /// The number of links, and of members among them.
+    /// Returns the number of links, and how many of them are to members.
     pub fn link_counts(&self) -> (usize, usize) {
         let members = self
             .active
@@ -729,15 +765,15 @@
         (self.active.len(), members.count())
     }
 
-    /// Up to where this box knows the store's history.
+    /// Returns the position in the store's history up to which this box knows it.
     pub fn position(&self) -> StorePosition {
-        self.feed.position()
+        self.freshness.position()
     }
 }
 
-/// How long until a link may be told what was seen of servers and services; none where there
-/// is nothing to tell. What fails does not wait for the pacer: it is little, whatever the
-/// number of servers.
+/// Returns how long until updates about servers and services may go out on a link; `None`
+/// if there are none or the other side cannot use them yet. Failures do not wait for the
+/// pacer, since they are few, whatever the number of servers.
 fn updates_due_in(
     id: LinkId,
     link: &ActiveLink,
@@ -757,8 +793,8 @@
     })
 }
 
-/// A server's limit as it is told now.
-fn note_of(limit: &ServerLimitChange, now: Instant) -> ServerLimitUpdate {
+/// Converts a server's limit to the message about it, with its age as of now.
+fn limit_update(limit: &ServerLimitChange, now: Instant) -> ServerLimitUpdate {
     ServerLimitUpdate {
         server: limit.server,
         per_s: limit.per_s,
@@ -766,7 +802,11 @@
     }
 }
 
-fn leaving_note(server: ServerKey, since: Instant, now: Instant) -> ServerDrainingUpdate {
+fn draining_update(
+    server: ServerKey,
+    since: Instant,
+    now: Instant,
+) -> ServerDrainingUpdate {
     ServerDrainingUpdate {
         server,
         age_ms: age_ms(since, now),
@@ -778,31 +818,36 @@
     age.as_millis().min(u128::from(u32::MAX)) as u32
 }
 
-/// How often news may go to a box of the same data centre: a request takes several times as
-/// long, so a view that old still tells who is busy.
-const HOME_GAP: Duration = Duration::from_millis(50);
-/// Frames that a hub sends in a second: with four kilobytes each, a tenth of a link of a
-/// hundred megabits.
-const MOST_FRAMES_PER_S: u32 = 320;
-/// News that should not wait goes out after so small a part of the usual gap.
-const HURRY: u32 = 5;
-/// How often news may go to another data centre, where each byte is priced.
-const AWAY_GAP: Duration = Duration::from_millis(100);
-/// What waits for one link at most; what does not fit is known by the store's record, or is
-/// one ending of many. 400 requests are out at 40 servers that end at once.
-const MOST_SUSPECT_UPDATES: usize = 1024;
-/// A listing tells for how long its entries are doubtful, which shrinks as it waits.
-const LISTING_FOR: Duration = Duration::from_millis(100);
-/// A link without news is heard so often. News of the store is known to be of the last 1.3 s
-/// if the reader's last answer is at most 0.7 s old: a way there and one back may each wait
-/// for a heartbeat.
-const HEARTBEAT: Duration = Duration::from_millis(200);
-/// How soon a full link is looked at again.
-const FULL_CHECK: Duration = Duration::from_millis(50);
-/// A side that has not answered for so long does not read, or is not reached.
-const MOST_WAIT: Duration = Duration::from_secs(3);
-const LEAST_TICK: Duration = Duration::from_millis(10);
-/// Reading the announcements ranks all boxes, and each frame and request asks for them: that
-/// would be a good part of a box's processor time. A box that is a tenth of a second late to
-/// know of another is within the margin that joining has.
-const ANNOUNCED_FOR: Duration = Duration::from_millis(100);
+/// Gap between updates to a box of the same data centre. A request takes several times as
+/// long, so a view of that age still shows which servers are busy.
+const LOCAL_GAP: Duration = Duration::from_millis(50);
+/// Most frames that a hub sends a second: with 4 kB each, a tenth of a 100 Mbit/s link.
+const MAX_FRAMES_PER_S: u32 = 320;
+/// The usual gap between updates is divided by this when updates are urgent.
+const URGENT_GAP_DIVISOR: u32 = 5;
+/// Gap between updates to a box of another data centre, where traffic is charged by the
+/// byte.
+const REMOTE_GAP: Duration = Duration::from_millis(100);
+/// Most suspect updates that are queued for one link. An update beyond that is dropped:
+/// the store has a record of the request, or it is one server end of many. When 40
+/// servers end at once, 400 requests are in flight at them.
+const MAX_QUEUED_SUSPECT_UPDATES: usize = 1024;
+/// Maximum age of a cached snapshot: it says for how long its entries are still in doubt,
+/// and that time shrinks while the snapshot waits.
+const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(100);
+/// Gap between frames on a link without updates. A view of the store is known to be at
+/// most 1.3 s old if the reader's last response from the store is at most 0.7 s old,
+/// since each of the two directions may have to wait for a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// How soon a link with a full window is checked again.
+const FULL_WINDOW_RECHECK: Duration = Duration::from_millis(50);
+/// A peer that has left a frame unacknowledged for so long does not read, or cannot be
+/// reached.
+const ACK_TIMEOUT: Duration = Duration::from_secs(3);
+/// Shortest time that `next_tick` returns.
+const MIN_TICK: Duration = Duration::from_millis(10);
+/// How long the computed view of the announced boxes is reused. Computing it ranks all
+/// boxes, and each frame and request needs it, which would take a good part of a box's
+/// processor time. Learning of another box 0.1 s late is within the margin allowed for
+/// joining.
+const ANNOUNCED_MAX_AGE: Duration = Duration::from_millis(100);
--- a/crates/wingspur-edge/src/locks.rs
+++ b/crates/wingspur-edge/src/locks.rs
@@ -1,4 +1,4 @@
-//! Locks with a stated order, asserted in debug builds.
+//! Mutexes that must be locked in a fixed order, which debug builds assert.
 //!
 //! A thread may take a lock only while all locks that it holds have a lower rank. No
 //! lock is held across an `await`, a system call or a call to a peer.
@@ -11,17 +11,17 @@
 pub enum LockRank {
     /// The settings.
     Settings,
-    /// The bundle in force.
+    /// The active bundle.
     InForce,
     /// The links to other boxes.
     Links,
-    /// What is lent and borrowed.
+    /// The quota leases.
     Lending,
-    /// Who has room for resends.
+    /// The leases of retry budget.
     ResendLoans,
-    /// The requests under which servers have ended.
+    /// The requests during which servers have ended.
     Suspects,
-    /// What is let through of requests in quarantine.
+    /// The permits for requests in quarantine.
     Quarantine,
     /// How this box is announced.
     Announcement,
@@ -35,29 +35,29 @@
     Budget,
     /// A service's backend servers.
     Balancer,
-    /// What a service's refused callers were promised.
+    /// The retry times that a service's rejected callers were given.
     Returns,
-    /// What servers have said of themselves.
+    /// What servers have announced about themselves.
     Standings,
-    /// How a route's answers spread.
+    /// The distribution of a route's response times.
     ServiceTime,
     /// The service of each server.
     ServersByKey,
     /// The connections by server.
     Backends,
-    /// The data centres that are evacuated.
+    /// The evacuated data centres.
     Evacuated,
-    /// Who lives.
+    /// Which boxes are alive.
     Membership,
-    /// The judges that this box holds.
+    /// The outlier detectors that run at this box.
     Judges,
     /// The table of one service.
     ServiceTable,
     /// The logs of once-only shards.
     Shards,
-    /// The buckets of caller accounts.
+    /// The token buckets of client accounts.
     Accounts,
-    /// The requests that are not over.
+    /// The requests in flight.
     RequestsOut,
 }
 
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Takes the lock; panics in debug builds when the order is broken.
+    /// Takes the lock. In debug builds, panics if the thread holds a lock of the same or
+    /// a higher rank.
     pub fn lock(&self) -> RankedMutexGuard<'_, T> {
         held::enter(self.rank);
         let guard = self.inner.lock().expect("no holder panics");
--- a/crates/wingspur-edge/src/notify.rs
+++ b/crates/wingspur-edge/src/notify.rs
@@ -1,10 +1,10 @@
-//! Wakes a task that waits for something to happen, or for a time.
+//! Wakes a task that waits for an event, with a timeout.
 
 use std::time::Duration;
 
 use futures_lite::FutureExt;
 
-/// A notification that one task waits for; several before it looks count as one.
+/// A notification that one task waits for. Several before it waits again count as one.
 #[derive(Debug, Clone)]
 pub struct Notify {
     sender: async_channel::Sender<()>,
@@ -12,23 +12,23 @@
 }
 
 impl Notify {
-    /// Without a notification.
+    /// Creates a `Notify` without a pending notification.
     pub fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Self { sender, receiver }
     }
 
-    /// Wakes the task that waits, or lets its next wait end at once.
+    /// Wakes the waiting task, or makes its next wait end at once.
     pub fn notify(&self) {
         // A full channel holds a notification that the task has not seen yet.
         let _ = self.sender.try_send(());
     }
 
-    /// Waits for a notification, at most `patience`; whether there was one.
-    pub async fn wait(&self, patience: Duration) -> bool {
+    /// Waits for a notification for at most `timeout`; returns whether there was one.
+    pub async fn wait(&self, timeout: Duration) -> bool {
         let notified = async { self.receiver.recv().await.is_ok() };
         let expired = async {
-            wingspur_clock::sleep(patience).await;
+            wingspur_clock::sleep(timeout).await;
             false
         };
         notified.or(expired).await
--- a/crates/wingspur-edge/src/peer_exchange.rs
+++ b/crates/wingspur-edge/src/peer_exchange.rs
@@ -1,4 +1,4 @@
-//! Keeps the links that should stand, and the news going over them.
+//! Opens, serves and closes the links to other boxes, and exchanges frames over them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -37,63 +37,72 @@
         let (mut missing, unplanned) =
             shared.links.lock().diff_plan(wingspur_clock::now());
         if shared.links.lock().is_starting() {
-            // Nothing is known yet: only a hub has something to tell.
+            // A box without a catalog can learn only from its hub, so it links as a
+            // member only.
             missing.retain(|planned| planned.role == LinkRole::Member);
         }
         for id in unplanned {
             drop_link(&shared, id, "another hub took its place");
         }
-        let mut all_stand = true;
+        let mut all_open = true;
         for planned in missing {
-            all_stand &= keep_link(&shared, planned).await;
+            all_open &= open_planned_link(&shared, planned).await;
         }
-        if shared.links.lock().is_alone() && wingspur_clock::since(started) >= SEEDS_AFTER
+        if shared.links.lock().is_alone() && wingspur_clock::since(started) >= SEED_DELAY
         {
-            ask_seeds(&shared).await;
+            link_to_seed(&shared).await;
         }
         shared.update_fleet_shares();
-        // The next best box may do at once.
-        let pause = if all_stand { REPLAN_EVERY } else { REPLAN_SOON };
+        // After a failure the plan names the next best box, which may be reached at once.
+        let pause = if all_open {
+            REPLAN_INTERVAL
+        } else {
+            REPLAN_RETRY_DELAY
+        };
         shared.link_plan_changed.wait(pause).await;
     }
 }
 
-/// Asks the seeds who else is there, until one answers.
-async fn ask_seeds(shared: &Arc<EdgeState>) {
+/// Links as a member to the first seed box that can be reached, in random order.
+async fn link_to_seed(shared: &Arc<EdgeState>) {
     let settings = shared.settings();
     let seeds = settings.catalog.iter().flat_map(|catalog| &catalog.seeds);
     let mut seeds: Vec<_> = seeds.collect();
-    // Boxes that start together do not all press on the first.
+    // The order is random so that boxes that start together don't all connect to the
+    // first.
     seeds.shuffle(&mut rand::rng());
     for seed in seeds
         .into_iter()
         .filter(|seed| **seed != settings.peer_address)
     {
-        match open(shared, *seed, LinkRole::Member).await {
+        match open_with_hello(shared, *seed, LinkRole::Member).await {
             Ok(opened) => {
-                tracing::info!(%seed, "peer: a seed answers.");
-                return take_up(shared, opened, LinkRole::Member);
+                tracing::info!(%seed, "peer: linked to a seed box.");
+                return add_opened_link(shared, opened, LinkRole::Member);
+            }
+            Err(error) => {
+                tracing::info!(%seed, %error, "peer: cannot link to a seed box.")
             }
-            Err(error) => tracing::info!(%seed, %error, "peer: a seed is silent."),
         }
     }
 }
 
-/// Sends news over the links until the box stops.
+/// Sends frames over the links until the box stops.
 pub async fn run_exchange(shared: Arc<EdgeState>, stop: StopSignal) {
-    let mut listings = SnapshotFrameCache::default();
+    let mut snapshot_frames = SnapshotFrameCache::default();
     while !stop.is_triggered() {
         let pause = shared.links.lock().next_tick(wingspur_clock::now());
         if shared.pending_updates.wait(pause).await {
-            // What happens at about the same time goes in one frame.
+            // Waits a little, so that updates of about the same time go in one frame.
             let gap = shared.links.lock().next_tick(wingspur_clock::now());
-            shared.urgent_updates.wait(gap.min(GATHER)).await;
+            shared.urgent_updates.wait(gap.min(BATCH_WAIT)).await;
         }
-        tick(&shared, &mut listings);
+        tick(&shared, &mut snapshot_frames);
     }
 }
 
-/// Answers a request on the peer port.
+/// Handles a request on the peer port: a `POST` to `LINK_PATH` opens a link, anything
+/// else gets a 404.
 pub async fn handle_peer_request(
     shared: Arc<EdgeState>,
     request: Request<Incoming>,
@@ -110,13 +119,14 @@
     response
 }
 
-/// Opens a planned link; whether it stands.
-async fn keep_link(shared: &Arc<EdgeState>, planned: PlannedLink) -> bool {
+/// Opens a planned link and returns whether that succeeded. A box that cannot be reached
+/// is left out of the plan for a while.
+async fn open_planned_link(shared: &Arc<EdgeState>, planned: PlannedLink) -> bool {
     let to = planned.to;
-    match open(shared, to.peer_address, planned.role).await {
+    match open_with_hello(shared, to.peer_address, planned.role).await {
         Ok(opened) => {
             tracing::info!(peer = %to.id, role = ?planned.role, "peer: linked.");
-            take_up(shared, opened, planned.role);
+            add_opened_link(shared, opened, planned.role);
             true
         }
         Err(error) => {
@@ -133,16 +143,16 @@
     }
 }
 
-/// A link that this box has opened, with the other side's greeting.
+/// A link that this box has opened, with the other side's hello.
 type Opened = (LinkSender, LinkReceiver, Hello);
 
-async fn open(
+async fn open_with_hello(
     shared: &EdgeState,
     to: SocketAddr,
     role: LinkRole,
 ) -> Result<Opened, LinkError> {
     let starting = shared.links.lock().is_starting();
-    let patience = LinkTimeouts {
+    let timeouts = LinkTimeouts {
         connect: if starting {
             START_CONNECT_TIMEOUT
         } else {
@@ -150,20 +160,20 @@
         },
         answer: OPEN_TIMEOUT,
     };
-    let opened = open_link(&shared.connector, to, LINK_PATH, patience).await;
+    let opened = open_link(&shared.connector, to, LINK_PATH, timeouts).await;
     let (sender, mut receiver) = opened?;
     sender.send(&own_hello(shared, role))?;
     let hello: Hello = receiver.next(OPEN_TIMEOUT).await?;
-    check(shared, &hello)?;
+    check_hello(shared, &hello)?;
     Ok((sender, receiver, hello))
 }
 
-/// Takes up a link that was opened here, and reads it in a task of its own.
-fn take_up(shared: &Arc<EdgeState>, opened: Opened, role: LinkRole) {
+/// Adds a link that this box opened, and reads it in a task of its own.
+fn add_opened_link(shared: &Arc<EdgeState>, opened: Opened, role: LinkRole) {
     let (sender, receiver, hello) = opened;
     let (peer, now) = (hello.from.clone(), wingspur_clock::now());
     let id = shared.links.lock().add(peer, Some(role), None, sender, now);
-    greet(shared, id, &hello);
+    queue_updates_for_new_link(shared, id, &hello);
     shared
         .spawner
         .detach(read_link(shared.clone(), id, receiver));
@@ -178,11 +188,11 @@
     let hello = match receiver.next::<Hello>(OPEN_TIMEOUT).await {
         Ok(hello) => hello,
         Err(error) => {
-            tracing::info!(%error, "peer: a link without a greeting.");
+            tracing::info!(%error, "peer: no valid hello on a new link.");
             return shared.metrics.count_peer_refusal("no_greeting");
         }
     };
-    if let Err(error) = check(&shared, &hello) {
+    if let Err(error) = check_hello(&shared, &hello) {
         tracing::warn!(peer = %hello.from.id, %error, "peer: a link was refused.");
         return shared.metrics.count_peer_refusal("not_admitted");
     }
@@ -190,7 +200,7 @@
         return;
     }
     let id = admit(&shared, &hello, sender);
-    greet(&shared, id, &hello);
+    queue_updates_for_new_link(&shared, id, &hello);
     read_link(shared, id, receiver).await;
 }
 
@@ -206,70 +216,74 @@
     )
 }
 
-/// Brings the other side up to date, if it is behind.
-fn greet(shared: &Arc<EdgeState>, id: LinkId, hello: &Hello) {
-    let theirs = hello.position;
-    if theirs.era() > 0 {
-        handle_store_era(shared, theirs.era(), "peer");
+/// Queues the catalog updates that the other side of a new link lacks, and its initial
+/// state.
+fn queue_updates_for_new_link(shared: &Arc<EdgeState>, id: LinkId, hello: &Hello) {
+    let peer_position = hello.position;
+    if peer_position.era() > 0 {
+        handle_store_era(shared, peer_position.era(), "peer");
     }
     let now = wingspur_clock::now();
-    if let Some(update) = catch_up_update(shared, theirs, hello.bundle_version, now) {
+    if let Some(update) =
+        catch_up_update(shared, peer_position, hello.bundle_version, now)
+    {
         shared.links.lock().send_update(id, update);
     }
-    let has_started = theirs.is_start();
-    let greeting = greeting(shared, has_started);
-    shared.links.lock().queue_initial_state(id, greeting);
+    let peer_is_new = peer_position.is_start();
+    let initial_state = initial_state(shared, peer_is_new);
+    shared.links.lock().queue_initial_state(id, initial_state);
     shared.pending_updates.notify();
 }
 
-/// What a box is told by which this one links; what is made of servers only where it has
-/// just started: the others have heard that, and it is most of a greeting.
-fn greeting(shared: &EdgeState, has_started: bool) -> InitialState {
+/// Returns the state to send once on a new link. Server health is included only if the
+/// other side has just started: other boxes have it already, and it is most of the
+/// initial state.
+fn initial_state(shared: &EdgeState, peer_is_new: bool) -> InitialState {
     let now = wingspur_clock::now();
-    let mut greeting = InitialState {
-        peer_is_new: has_started,
+    let mut initial_state = InitialState {
+        peer_is_new,
         suspects: initial_suspect_updates(shared),
         ..InitialState::default()
     };
-    let standings = shared.announced_states.lock();
-    greeting.limits = standings.limits.current_limits();
-    greeting.leaving_servers = standings.draining();
-    drop(standings);
-    let services = match has_started {
+    let announced_states = shared.announced_states.lock();
+    initial_state.limits = announced_states.limits.current_limits();
+    initial_state.draining_servers = announced_states.draining();
+    drop(announced_states);
+    let services = match peer_is_new {
         true => shared.services.all(),
         false => Vec::new(),
     };
     for service in services {
-        greeting
+        initial_state
             .health
             .extend(service.balancer.lock().health_snapshots(now));
     }
-    greeting
+    initial_state
 }
 
-/// Takes over what the other side of a new link knows.
-fn adopt_greeting(shared: &EdgeState, frame: &Frame, now: Instant) {
-    for (key, note) in &frame.health {
+/// Merges the server health that the other side of a new link sent into the balancers.
+fn merge_health(shared: &EdgeState, frame: &Frame, now: Instant) {
+    for (key, snapshot) in &frame.health {
         if let Some(service) = shared.services.of_server(*key) {
             service
                 .balancer
                 .lock()
-                .merge_health_snapshot(*key, note, now);
+                .merge_health_snapshot(*key, snapshot, now);
         }
     }
 }
 
 async fn read_link(shared: Arc<EdgeState>, id: LinkId, mut receiver: LinkReceiver) {
     loop {
-        match receiver.next::<Frame>(SILENCE).await {
-            Ok(frame) => take_frame(&shared, id, frame),
+        match receiver.next::<Frame>(RECEIVE_TIMEOUT).await {
+            Ok(frame) => handle_frame(&shared, id, frame),
             Err(error) => {
                 if matches!(error, LinkError::Ended) {
                     let now = wingspur_clock::now();
                     shared.links.lock().record_orderly_close(id, now);
                 }
-                let opened_here = shared.links.lock().peer(id).cloned();
-                if let (Some(peer), LinkError::Silent(_)) = (opened_here, &error) {
+                let peer = shared.links.lock().peer(id).cloned();
+                if let (Some(peer), LinkError::Silent(_)) = (peer, &error) {
                     shared
                         .links
                         .lock()
@@ -282,7 +296,7 @@
     }
 }
 
-fn take_frame(shared: &Arc<EdgeState>, id: LinkId, mut frame: Frame) {
+fn handle_frame(shared: &Arc<EdgeState>, id: LinkId, mut frame: Frame) {
     let now = wingspur_clock::now();
     let updates = std::mem::take(&mut frame.catalog);
     match frame.content {
@@ -304,11 +318,11 @@
     links.note_frame(id, &frame, now);
     let updates = links.receive(id, &frame.tally_updates);
     let lost = links.remove_lost_sources();
-    let passes_on = links.link_counts().0 > 1;
+    let has_other_links = links.link_counts().0 > 1;
     drop(links);
     forget_sources(shared, &lost);
     apply_tallies(shared, &updates, now);
-    adopt_greeting(shared, &frame, now);
+    merge_health(shared, &frame, now);
     handle_suspect_updates(shared, id, &frame.suspects);
     handle_limit_updates(shared, id, &frame.limits);
     handle_leaving_updates(shared, id, &frame.draining_servers);
@@ -317,10 +331,10 @@
         shared.link_plan_changed.notify();
     }
     if frame.wants_snapshot {
-        let listing = current_snapshot(shared, now);
-        shared.links.lock().send_update(id, listing);
+        let snapshot = current_snapshot(shared, now);
+        shared.links.lock().send_update(id, snapshot);
     }
-    if passes_on || frame.wants_snapshot {
+    if has_other_links || frame.wants_snapshot {
         shared.pending_updates.notify();
     }
 }
@@ -352,40 +366,41 @@
     shared.pending_updates.notify();
 }
 
-/// Gathers what this box has seen, and sends what is due.
-fn tick(shared: &Arc<EdgeState>, listings: &mut SnapshotFrameCache) {
+/// Collects this box's own tallies, sends the frames that are due, and drops links on
+/// which the other side does not respond.
+fn tick(shared: &Arc<EdgeState>, snapshot_frames: &mut SnapshotFrameCache) {
     let now = wingspur_clock::now();
-    let digest = own_digest(shared);
+    let own_tallies = take_own_tallies(shared);
     let bundle_version = shared.bundle_version();
-    let rooms = resend_budget_reports(shared, now);
+    let resend_budgets = resend_budget_reports(shared, now);
     let mut links = shared.links.lock();
-    if !digest.servers.is_empty() || !digest.services.is_empty() {
-        links.receive_own(&digest);
+    if !own_tallies.servers.is_empty() || !own_tallies.services.is_empty() {
+        links.receive_own(&own_tallies);
     }
-    let frames = links.take_frames(bundle_version, &rooms, now);
-    let stuck = links.unresponsive(now);
+    let frames = links.take_frames(bundle_version, &resend_budgets, now);
+    let unresponsive = links.unresponsive(now);
     links.expire_snapshot(now);
     drop(links);
-    for id in stuck {
+    for id in unresponsive {
         drop_link(shared, id, &LinkError::SendQueueFull.to_string());
     }
     for outgoing in frames {
-        if let Err(error) = send(shared, &outgoing, listings) {
+        if let Err(error) = send(shared, &outgoing, snapshot_frames) {
             drop_link(shared, outgoing.link, &error.to_string());
         }
     }
-    listings.evict_unused();
+    snapshot_frames.evict_unused();
 }
 
-/// Sends a frame, and the listing that goes before it.
+/// Sends a frame, preceded by the catalog snapshot if there is one.
 fn send(
     shared: &EdgeState,
     outgoing: &OutgoingFrame,
-    listings: &mut SnapshotFrameCache,
+    snapshot_frames: &mut SnapshotFrameCache,
 ) -> Result<(), LinkError> {
-    if let Some(pending) = &outgoing.listing {
-        let listing = listings.frame(pending);
-        let bytes = outgoing.sender.send_encoded(&listing)?;
+    if let Some(pending) = &outgoing.snapshot {
+        let snapshot = snapshot_frames.frame(pending);
+        let bytes = outgoing.sender.send_encoded(&snapshot)?;
         shared.metrics.count_frame(bytes);
     }
     let bytes = outgoing.sender.send(&outgoing.frame)?;
@@ -393,20 +408,20 @@
     Ok(())
 }
 
-fn own_digest(shared: &EdgeState) -> TallyUpdate {
-    let mut digest = TallyUpdate::default();
+fn take_own_tallies(shared: &EdgeState) -> TallyUpdate {
+    let mut update = TallyUpdate::default();
     for service in shared.services.all() {
-        digest
+        update
             .servers
             .extend(service.balancer.lock().take_changes());
         if let Some(tally) = service.budget.lock().take_change() {
-            digest.services.push((server_key(&service.name), tally));
+            update.services.push((server_key(&service.name), tally));
         }
     }
-    digest
+    update
 }
 
-/// Lets this box's tables take in what others have seen.
+/// Applies the tallies of other boxes to this box's balancers and retry budgets.
 fn apply_tallies(shared: &EdgeState, updates: &[SourceUpdate], now: Instant) {
     for source in updates {
         for (keyed, counts) in &source.servers {
@@ -420,9 +435,9 @@
         }
         for service in shared.services.all() {
             let key = server_key(&service.name);
-            let counted = source.services.iter().find(|(other, _)| *other == key);
+            let service_tally = source.services.iter().find(|(other, _)| *other == key);
             let mut budget = service.budget.lock();
-            match counted {
+            match service_tally {
                 Some((_, tally)) => budget.merge_remote_counts(*tally, now),
                 None => budget.record_report(now),
             }
@@ -430,7 +445,7 @@
     }
 }
 
-/// Lets the news go out at once if a server has turned suspect.
+/// Requests that updates go out at once if a server of the service has become suspected.
 pub fn send_urgent_on_suspect(shared: &EdgeState, service: &ServiceState) {
     if service.balancer.lock().take_new_suspicion() {
         log_suspicion_changes(service);
@@ -440,23 +455,23 @@
     }
 }
 
-/// Logs which servers of a service this box has begun, or ceased, to suspect.
+/// Logs which servers of a service this box has started or stopped to suspect.
 pub fn log_suspicion_changes(service: &ServiceState) {
-    for turned in service
+    for change in service
         .balancer
         .lock()
         .take_suspicion_changes(wingspur_clock::now())
     {
-        let outcome = if turned.is_suspected {
+        let outcome = if change.is_suspected {
             "suspected"
         } else {
             "trusted again"
         };
         tracing::info!(
-            server = %turned.server.id,
+            server = %change.server.id,
             service = service.name,
-            failure_share = round_for_log(turned.failure_probability),
-            sent_ms_ago = turned.last_request_at.as_millis() as u64,
+            failure_share = round_for_log(change.failure_probability),
+            sent_ms_ago = change.last_request_at.as_millis() as u64,
             "server: {outcome}."
         );
     }
@@ -484,28 +499,32 @@
     }
 }
 
-fn check(shared: &EdgeState, hello: &Hello) -> Result<(), LinkError> {
-    let ours = hello.protocol == LINK_PROTOCOL_VERSION;
-    match ours && hello.fleet == shared.settings().fleet {
+fn check_hello(shared: &EdgeState, hello: &Hello) -> Result<(), LinkError> {
+    let is_same_protocol = hello.protocol == LINK_PROTOCOL_VERSION;
+    match is_same_protocol && hello.fleet == shared.settings().fleet {
         true => Ok(()),
         false => Err(LinkError::Gone),
     }
 }
 
-/// Where boxes open links.
+/// Path of the requests by which boxes open links.
 const LINK_PATH: &str = "/link";
-/// A connection within a region is up in milliseconds; a lost opening packet is only sent
-/// again after a second.
+/// A connection within a region is established in milliseconds, and a lost first packet
+/// is resent only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Boxes that start together meet hubs whose machines have no power yet; those that wait for
-/// one are ready later than the others.
+/// Shorter while the box starts: when boxes start together, a hub's machine may not have
+/// power yet, and a box that waited for it would be ready later than the others.
 const START_CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
+/// How long the other side may take to respond to a new link, and then to send its hello.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(700);
-/// The store tells who is there; seeds are for when it is silent.
-const SEEDS_AFTER: Duration = Duration::from_secs(1);
-/// Five signs of life in a row are missing.
-const SILENCE: Duration = Duration::from_millis(1000);
-const REPLAN_EVERY: Duration = Duration::from_millis(500);
-const REPLAN_SOON: Duration = Duration::from_millis(10);
-/// A frame waits at most so long for more to put into it.
-const GATHER: Duration = Duration::from_millis(50);
+/// How long after its start a box without any known peer turns to the seeds. Normally the
+/// store names the other boxes; the seeds are for when it is unavailable.
+const SEED_DELAY: Duration = Duration::from_secs(1);
+/// A link on which nothing was received for so long has lost five heartbeats in a row,
+/// and is dropped.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How often the links are compared with the plan if nothing notifies of a change.
+const REPLAN_INTERVAL: Duration = Duration::from_millis(500);
+const REPLAN_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Longest wait of a frame for further updates to go with it.
+const BATCH_WAIT: Duration = Duration::from_millis(50);
--- a/crates/wingspur-edge/src/shutdown.rs
+++ b/crates/wingspur-edge/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop as the requests that are out see it.
+//! The planned stop of a box: its schedule, and what it means for the requests in flight.
 
 use std::sync::OnceLock;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 
 use crate::settings::Settings;
 
-/// Whether the box is stopping, and by when all requests must have their answers.
+/// Whether the box is stopping, and by when all requests must have their responses.
 #[derive(Debug)]
 pub struct Shutdown {
     answer_by: OnceLock<Instant>,
@@ -17,7 +17,7 @@
 }
 
 impl Shutdown {
-    /// A box that nobody has told to stop.
+    /// Creates the state of a box that is not stopping.
     pub fn new() -> Self {
         let (trigger, signal) = stop_pair();
         Self {
@@ -27,10 +27,11 @@
         }
     }
 
-    /// Begins a stop; later ones change nothing.
+    /// Begins a stop, at which all requests must be answered by `answer_by`. Later calls
+    /// change nothing.
     pub fn begin(&self, answer_by: Instant) {
         if self.answer_by.set(answer_by).is_err() {
-            tracing::info!("stop: it has begun before.");
+            tracing::info!("stop: already in progress.");
         }
     }
 
@@ -39,19 +40,20 @@
         self.answer_by.get().is_some()
     }
 
-    /// When a request is given up that would otherwise be given up at `limit`: servers are
-    /// told no more time than the box will be there to pass their answers on.
+    /// Returns when a request is given up: at `limit`, or at the stop's `answer_by` if
+    /// that is earlier. Servers must not be given more time than the box will be there to
+    /// forward their responses.
     pub fn cap_deadline(&self, limit: Instant) -> Instant {
         let answer_by = self.answer_by.get();
         answer_by.map_or(limit, |answer_by| limit.min(*answer_by))
     }
 
-    /// Makes all requests that are out end now.
+    /// Makes all requests in flight end now with an error response.
     pub fn end_requests(&self) {
         self.trigger.close();
     }
 
-    /// Returns once all requests are to end.
+    /// Completes once `end_requests` was called.
     pub async fn drain_expired(&self) {
         self.signal.wait().await;
     }
@@ -63,23 +65,23 @@
     }
 }
 
-/// When a planned stop does what. All is counted from the signal, so that no step that takes
-/// long moves the end: that is half a second before the platform kills, and the ports that are
-/// closed after it take 0.2 s.
+/// The deadlines of a planned stop's steps. All are counted from the signal, so that a
+/// slow step does not move the end. The end is half a second before the platform kills
+/// the process, and closing the remaining ports after it takes 0.2 s.
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownSchedule {
-    /// Until then callers are accepted.
+    /// Until when connections of callers are accepted.
     pub accept_until: Instant,
-    /// Then all requests that are not over are answered as they stand.
+    /// When all requests still in flight are answered, with an error if need be.
     pub answer_by: Instant,
-    /// Then what is still not written is cut.
+    /// When responses that are not completely written are cut.
     pub end: Instant,
 }
 
 impl ShutdownSchedule {
-    /// The plan of a stop that the box was told of just now.
-    pub fn new(settings: &Settings, told: Instant) -> Self {
-        let accept_until = told + settings.balancer_lag();
+    /// Computes the schedule of a stop whose signal came at `signaled_at`.
+    pub fn new(settings: &Settings, signaled_at: Instant) -> Self {
+        let accept_until = signaled_at + settings.balancer_lag();
         let end = accept_until + settings.drain_limit();
         Self {
             accept_until,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Tells the plan.
+    /// Logs the schedule, in milliseconds from now.
     pub fn log(&self) {
         let now = wingspur_clock::now();
         let ms = |at: Instant| at.saturating_duration_since(now).as_millis() as u64;
@@ -101,7 +103,8 @@
     }
 }
 
-/// What a caller is told when the box ends before its request is over.
+/// Returns the result code for a request that the end of the box interrupts; `sent` says
+/// whether it was sent to a server.
 pub fn shutdown_result(sent: bool) -> ResultCode {
     match sent {
         true => ResultCode::DeadlineAfterSend,
