--- a/tests/tests/service_time.rs
+++ b/tests/tests/service_time.rs
@@ -1,14 +1,16 @@
-//! How good answers spread, and what silence says.
+//! The distribution of response times, and what the silence of an attempt says about
+//! failure.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use wingspur_state::ServiceTime;
 
-/// Learns ratios whose logarithms spread evenly by so much around `centre`.
-fn learned(centre: f64, half_width: f64, answers: usize) -> ServiceTime {
+/// Returns a `ServiceTime` that has learned `responses` ratios, with logarithms uniformly
+/// distributed within `half_width` around that of `centre`.
+fn learned(centre: f64, half_width: f64, responses: usize) -> ServiceTime {
     let mut random = StdRng::seed_from_u64(3);
     let mut time = ServiceTime::new();
-    for _ in 0..answers {
+    for _ in 0..responses {
         let offset = random.random_range(-half_width..half_width);
         time.record((centre.ln() + offset).exp());
     }
@@ -19,8 +21,8 @@
 fn a_quantile_is_the_inverse_of_the_survival() {
     let time = learned(1.2, 0.5, 200);
     for share in [0.9, 0.5, 0.1, 0.01] {
-        let back = time.survival(time.ratio_at_survival(share));
-        assert!((back - share).abs() < 1e-9, "{share}: {back}");
+        let survival = time.survival(time.ratio_at_survival(share));
+        assert!((survival - share).abs() < 1e-9, "{share}: {survival}");
     }
 }
 
--- a/tests/tests/stopping.rs
+++ b/tests/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! What a planned stop does to the requests that are out, and how long it takes.
+//! What a planned stop does to the requests in flight, and how long it takes.
 
 mod edge;
 
@@ -17,44 +17,36 @@
     parse_settings("test", &value.unwrap().to_string()).unwrap()
 }
 
-fn spans(drain: serde_json::Value) -> (Duration, Duration) {
+fn lag_and_drain_limit(drain: serde_json::Value) -> (Duration, Duration) {
     let settings = settings(drain);
     (settings.balancer_lag(), settings.drain_limit())
 }
 
-/// A box goes on accepting for 2.5 s after it was told to stop, since the balancer hears of
-/// it late, and ends 5.5 s after it. A request that comes last is held for 3 s at most, but
-/// its caller waits for up to 4 s. Such requests at servers that hung were still out when the
-/// box ended, and their connections closed with neither an answer nor a refusal: in three
-/// plays of planned work on 106 boxes, 13 requests in 675 stops, one logged as
-///
-/// ```text
-/// 2.225 s  attempt: sent.          server=i-7135f08479 left_ms=3992
-/// 3.090 s  retry: not hedged.      reason=budget_spent
-/// 5.508 s  stop: done.             cut=1
-/// ```
-///
-/// (seconds after the signal; no other line tells of that request).
+/// A box accepts callers for 2.5 s after the signal and ends at 5.5 s. A late request to
+/// a server that hung was held for 3 s, while its caller waited up to 4 s: the box closed
+/// the connection without any response, for 13 requests in 675 stops of 106 boxes.
 #[test]
 fn a_request_that_outlasts_the_stop_is_answered_before_the_box_ends() {
     for class in ["read", "once_only"] {
-        let (answer, cut) = stop_with_a_silent_server(class);
+        let (answer, cut) = stop_with_silent_server(class);
         assert_eq!(answer.status, 504, "{class}");
         assert!(answer.whole, "{class}");
         assert_eq!(cut, 0, "{class}");
     }
 }
 
-/// Stops a box while its only server is silent on a request; what the caller was told, and
-/// how many requests the box says that it cut.
-fn stop_with_a_silent_server(class: &'static str) -> (Answer, usize) {
+/// Stops a box while its only server does not respond to a request; returns the caller's
+/// response, and the number of requests that the box reports as cut.
+fn stop_with_silent_server(class: &'static str) -> (Answer, usize) {
     let servers = [BackendServer::start(|_| Reply::Silent)];
     let drain = json!({"balancer_lag_ms": 100, "kill_after_s": 2.0});
     let route = Route::new(class);
     let deployment = Deployment::start_with_drain(&servers, &[route], drain);
     let caller = deployment.caller();
     let calling = std::thread::spawn(move || caller.call(class, "id-1"));
-    edge::wait_until("the server has it", || !servers[0].ran().is_empty());
+    edge::wait_until("the server has the request", || {
+        !servers[0].ran().is_empty()
+    });
     let cut = deployment.close();
     (calling.join().expect("the caller ends"), cut)
 }
@@ -62,8 +54,8 @@
 #[test]
 fn a_stop_ends_half_a_second_before_the_platform_kills() {
     let ms = Duration::from_millis;
-    let stated = json!({"balancer_lag_ms": 2500});
-    assert_eq!(spans(stated), (ms(2500), ms(60_000)));
+    let without_kill = json!({"balancer_lag_ms": 2500});
+    assert_eq!(lag_and_drain_limit(without_kill), (ms(2500), ms(60_000)));
     for (kill_after_s, lag_ms, limit_ms) in [
         (6.0, 2500, 3000),
         (30.0, 2500, 27_000),
@@ -71,7 +63,11 @@
         (0.2, 0, 0),
     ] {
         let drain = json!({"balancer_lag_ms": 2500, "kill_after_s": kill_after_s});
-        assert_eq!(spans(drain), (ms(lag_ms), ms(limit_ms)), "{kill_after_s} s");
+        assert_eq!(
+            lag_and_drain_limit(drain),
+            (ms(lag_ms), ms(limit_ms)),
+            "{kill_after_s} s"
+        );
     }
 }
 
@@ -92,26 +88,27 @@
     assert_eq!(capacity(0.05, 5.0), 0);
 }
 
-/// How far a caller has come when the box is told to stop, and what it must be told.
-struct Caught {
+/// How much of a request a caller has sent when the box begins to stop, and what status
+/// it must get.
+struct StopCase {
     name: &'static str,
     reply: Reply,
-    /// What it has sent before the stop, and what it sends during it.
+    /// What the caller sends before the stop, and what it sends during the stop.
     before: &'static str,
     during: &'static str,
-    /// The status; 0 where its connection just closes.
+    /// The expected status; 0 if the connection closes without a response.
     status: u16,
 }
 
-const CAUGHT: &[Caught] = &[
-    Caught {
+const STOP_CASES: &[StopCase] = &[
+    StopCase {
         name: "nothing sent",
         reply: Reply::Whole,
         before: "",
         during: "",
         status: 0,
     },
-    Caught {
+    StopCase {
         name: "all sent during the stop",
         reply: Reply::Whole,
         before: "",
@@ -121,7 +118,7 @@
         ),
         status: 200,
     },
-    Caught {
+    StopCase {
         name: "all sent during the stop, the server silent",
         reply: Reply::Silent,
         before: "",
@@ -131,21 +128,21 @@
         ),
         status: 504,
     },
-    Caught {
+    StopCase {
         name: "half a head sent",
         reply: Reply::Whole,
         before: "GET /read/a HTTP/1.1\r\n",
         during: "host: site.example\r\nx-wingspur-request-id: id-1\r\n\r\n",
         status: 200,
     },
-    Caught {
+    StopCase {
         name: "half a head sent, and no more",
         reply: Reply::Whole,
         before: "GET /read/a HTTP/1.1\r\n",
         during: "",
         status: 0,
     },
-    Caught {
+    StopCase {
         name: "half a body sent",
         reply: Reply::Whole,
         before: concat!(
@@ -156,7 +153,7 @@
         during: "more",
         status: 200,
     },
-    Caught {
+    StopCase {
         name: "half a body sent, and no more",
         reply: Reply::Whole,
         before: concat!(
@@ -172,34 +169,35 @@
 #[test]
 fn whatever_a_caller_has_sent_when_the_box_stops_it_is_answered_once_all_was_read() {
     std::thread::scope(|scope| {
-        for caught in CAUGHT {
+        for case in STOP_CASES {
             scope.spawn(|| {
-                let (told, cut) = stop_under(caught);
-                assert_eq!(told, caught.status, "{}", caught.name);
-                assert_eq!(cut, 0, "{}", caught.name);
+                let (status, cut) = stop_during_request(case);
+                assert_eq!(status, case.status, "{}", case.name);
+                assert_eq!(cut, 0, "{}", case.name);
             });
         }
     });
 }
 
-/// Stops a box while a caller has come so far; the status that it was told, 0 for none.
-fn stop_under(caught: &Caught) -> (u16, usize) {
-    let reply = caught.reply;
+/// Stops a box in the middle of a caller's request; returns the status that the caller
+/// got, 0 for none, and the number of requests that the box reports as cut.
+fn stop_during_request(case: &StopCase) -> (u16, usize) {
+    let reply = case.reply;
     let servers = [BackendServer::start(move |_| reply)];
-    // Time enough to send the rest while it goes on accepting.
+    // The box accepts for 1 s, long enough to send the rest of the request.
     let drain = json!({"balancer_lag_ms": 1000, "kill_after_s": 3.0});
     let routes = [Route::new("read"), Route::new("once_only")];
     let deployment = Deployment::start_with_drain(&servers, &routes, drain);
     let mut stream = TcpStream::connect(deployment.caller().address()).unwrap();
-    // Longer than the stop: what has not come by then never comes.
+    // Longer than the stop: a response that has not arrived by then never does.
     let limit = Some(Duration::from_secs(6));
     stream.set_read_timeout(limit).unwrap();
-    stream.write_all(caught.before.as_bytes()).unwrap();
+    stream.write_all(case.before.as_bytes()).unwrap();
     let stopping = std::thread::spawn(move || deployment.close());
     std::thread::sleep(Duration::from_millis(200));
-    stream.write_all(caught.during.as_bytes()).unwrap();
+    stream.write_all(case.during.as_bytes()).unwrap();
     let mut line = String::new();
-    // A connection that is reset tells as little as one that closes.
+    // A reset connection counts like a closed one: no response.
     let read = BufReader::new(stream).read_line(&mut line).unwrap_or(0);
     let status = line.split(' ').nth(1).and_then(|text| text.parse().ok());
     let status = if read > 0 { status } else { None };
--- a/tests/tests/suspended_box.rs
+++ b/tests/tests/suspended_box.rs
@@ -1,7 +1,6 @@
-//! A box whose machine was suspended for some seconds: its steady clock knows nothing of it.
-//!
-//! By that clock, its news of the store was as fresh as before, callers whose time was over
-//! were still waiting, and connections that servers had long closed had rested for a moment.
+//! A box whose machine was suspended for some seconds, which its monotonic clock leaves
+//! out: by it the view of the store was still fresh, expired requests still had time, and
+//! connections that servers had long closed had been idle for a moment only.
 
 mod edge;
 
@@ -14,14 +13,16 @@
 use wingspur_tests::{Answer, BackendServer, Reply, StoreFault, call};
 use wingspur_transport::{BackendConnections, ReusePolicy};
 
-/// The clock is the process's: tests that step it take turns.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serializes the tests, since they all step the one clock of the process.
+static CLOCK: Mutex<()> = Mutex::new(());
 
-fn turn() -> MutexGuard<'static, ()> {
-    TURN.lock().unwrap_or_else(|broken| broken.into_inner())
+fn lock_clock() -> MutexGuard<'static, ()> {
+    CLOCK
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn ask(deployment: &Deployment, key: &str) -> Answer {
+fn get_with_key(deployment: &Deployment, key: &str) -> Answer {
     let authorization = format!("Bearer {key}");
     let headers = [
         ("host", "site.example"),
@@ -40,13 +41,13 @@
 
 #[test]
 fn time_goes_on_and_sleepers_wake() {
-    let _turn = turn();
+    let _clock = lock_clock();
     let before = wingspur_clock::now();
     let suspended = wingspur_clock::suspended();
     let sleeper = thread::spawn(|| {
         smol::block_on(wingspur_clock::sleep(Duration::from_secs(3600)));
     });
-    // However late the sleeper lies down, it wakes at the first step after that.
+    // However late the sleeper begins to sleep, it wakes at the next step of the clock.
     while !sleeper.is_finished() {
         wingspur_clock::simulate_suspension(Duration::from_secs(7200));
         thread::sleep(Duration::from_millis(5));
@@ -57,7 +58,7 @@
 
 #[test]
 fn a_request_whose_time_is_over_is_answered_at_once() {
-    let _turn = turn();
+    let _clock = lock_clock();
     let server = BackendServer::start(|_| Reply::Silent);
     let route = Route {
         class: "read",
@@ -66,47 +67,49 @@
     let servers = [server];
     let deployment = Deployment::start(&servers, &[route]);
     let answer = thread::scope(|scope| {
-        let asking = scope.spawn(|| ask(&deployment, ""));
-        wait_until("it is out", || !servers[0].heads().is_empty());
+        let caller = scope.spawn(|| get_with_key(&deployment, ""));
+        wait_until("the server has the request", || {
+            !servers[0].heads().is_empty()
+        });
         wingspur_clock::simulate_suspension(Duration::from_secs(90));
-        asking.join().expect("it does not panic")
+        caller.join().expect("the caller does not panic")
     });
     assert_eq!(answer.status, 504);
 }
 
 #[test]
 fn a_box_that_was_suspended_says_nothing_final_by_its_old_news() {
-    let _turn = turn();
+    let _clock = lock_clock();
     let servers = [BackendServer::start(|_| Reply::Whole)];
     let bundle = configuration(1, &[Route::new("read")]);
     let bundle = with_accounts(bundle, &[("school", &["key-a"])]);
     let deployment = Deployment::start_configured(&servers, &bundle);
-    wait_until("its news is fresh", || {
-        ask(&deployment, "key-z").status == 401
+    wait_until("the box's view of the store is fresh", || {
+        get_with_key(&deployment, "key-z").status == 401
     });
-    // A watch that is under way ends as usual; the next one hangs, and the box's news is of
-    // a moment ago by its steady clock.
+    // A watch in progress ends as usual and the next one hangs. By the monotonic clock,
+    // the box's view of the store is then still only a moment old.
     deployment.store.set_fault(StoreFault::Silent);
     thread::sleep(Duration::from_secs(1));
     wingspur_clock::simulate_suspension(Duration::from_secs(10));
-    let answer = ask(&deployment, "key-z");
-    assert_eq!(answer.status, 503, "a key that came meanwhile may be its");
-    assert_eq!(ask(&deployment, "key-a").status, 200);
+    let answer = get_with_key(&deployment, "key-z");
+    assert_eq!(answer.status, 503, "the key may have been added meanwhile");
+    assert_eq!(get_with_key(&deployment, "key-a").status, 200);
 }
 
 #[test]
 fn a_connection_that_rested_while_suspended_is_not_used() {
-    let _turn = turn();
+    let _clock = lock_clock();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     let backend = BackendConnections::new(address);
     let timeout = Duration::from_secs(10);
     smol::block_on(async {
         let first = backend.connect(ReusePolicy::Any, timeout).await;
-        backend.release(first.expect("it listens"));
-        let again = backend.connect(ReusePolicy::Any, timeout).await;
-        backend.release(again.expect("it listens"));
-        assert_eq!(backend.opened(), 1, "it is used again");
+        backend.release(first.expect("the server accepts"));
+        let reused = backend.connect(ReusePolicy::Any, timeout).await;
+        backend.release(reused.expect("the server accepts"));
+        assert_eq!(backend.opened(), 1, "an idle connection is reused");
         wingspur_clock::simulate_suspension(Duration::from_secs(30));
         let fresh = backend.connect(ReusePolicy::Any, timeout).await;
         assert!(fresh.is_ok());
--- a/tests/tests/workers.rs
+++ b/tests/tests/workers.rs
@@ -1,12 +1,12 @@
-//! What a panic in one task does to the others.
+//! A panic in one task does not affect the others.
 
 use std::time::Duration;
 
 use futures_lite::FutureExt;
 use wingspur_transport::Workers;
 
-/// A box may have one worker thread only: if a task's panic ended it, the box would stay up
-/// and answer nobody.
+/// A box may have only one worker thread. If a panic in a task ended that thread, the box
+/// would keep running without answering any request.
 #[test]
 fn a_panic_in_a_task_does_not_stop_the_others() {
     let workers = Workers::start(1);
