--- a/crates/wingspur-coordination/src/box_registry.rs
+++ b/crates/wingspur-coordination/src/box_registry.rs
@@ -1,4 +1,4 @@
-//! Which boxes the fleet has, each counted once.
+//! Registry of the boxes in the fleet, each counted once.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -8,146 +8,152 @@
 
 use crate::LinkId;
 
-/// The boxes that this one is linked with or is told of by other hubs.
+/// Boxes that this one is linked to or that other hubs report.
 ///
-/// While a hub takes another's place, both count the members that move. By numbers
-/// alone the fleet is taken for larger than it is, and a part of what it shares by its number
-/// is used by nobody. A box that starts again keeps its key: its new run uses its part only
-/// once its former one cannot any more.
+/// While one hub replaces another, both count the members that move. Adding up numbers
+/// would overestimate the fleet, and a share of its quotas would be used by nobody, so
+/// boxes are counted by key. A restarted box keeps its key: its new instance uses the
+/// share only once the previous instance no longer can.
 #[derive(Debug)]
 pub struct BoxRegistry {
-    links: BTreeMap<LinkId, LinkCensus>,
-    /// Over how many links each box is counted now.
-    present: HashMap<BoxKey, u32>,
-    /// When those were last counted that no link counts any more.
-    left: HashMap<BoxKey, Instant>,
+    links: BTreeMap<LinkId, LinkBoxes>,
+    /// Number of links over which each box is counted now.
+    link_counts: HashMap<BoxKey, u32>,
+    /// Boxes that no link counts any more, with the time at which the last link stopped
+    /// counting them.
+    departed: HashMap<BoxKey, Instant>,
     /// This box and its members.
-    here: BTreeSet<BoxKey>,
+    own_boxes: BTreeSet<BoxKey>,
 }
 
 #[derive(Debug, Default)]
-struct LinkCensus {
-    /// The member at the other side; none for a hub.
+struct LinkBoxes {
+    /// Key of the member at the other side; `None` for a hub.
     member: Option<BoxKey>,
-    /// Whom it counts.
-    counts: BTreeSet<BoxKey>,
-    /// Whom the other side has been told of; none before it was.
-    told: Option<BTreeSet<BoxKey>>,
+    /// Boxes that are counted over this link.
+    counted: BTreeSet<BoxKey>,
+    /// Boxes that the other side has been sent; `None` before the first update.
+    sent: Option<BTreeSet<BoxKey>>,
 }
 
 impl BoxRegistry {
-    /// Counts this box only.
+    /// Creates a registry that counts only this box.
     pub fn new(own: BoxKey) -> Self {
         Self {
             links: BTreeMap::new(),
-            present: HashMap::from([(own, 1)]),
-            left: HashMap::new(),
-            here: BTreeSet::from([own]),
+            link_counts: HashMap::from([(own, 1)]),
+            departed: HashMap::new(),
+            own_boxes: BTreeSet::from([own]),
         }
     }
 
-    /// Takes up a link with a member.
+    /// Adds a link to a member.
     pub fn add_member(&mut self, link: LinkId, member: BoxKey) {
-        let census = LinkCensus {
+        let link_boxes = LinkBoxes {
             member: Some(member),
-            ..LinkCensus::default()
+            ..LinkBoxes::default()
         };
-        self.links.insert(link, census);
-        self.here.insert(member);
+        self.links.insert(link, link_boxes);
+        self.own_boxes.insert(member);
         self.add(link, member);
     }
 
-    /// Takes up a link with another hub, which will tell whom it counts.
+    /// Adds a link to another hub, which will send the boxes that it counts.
     pub fn add_hub(&mut self, link: LinkId) {
-        self.links.insert(link, LinkCensus::default());
+        self.links.insert(link, LinkBoxes::default());
     }
 
-    /// Gives up a link.
+    /// Removes a link and what it counts.
     pub fn drop_link(&mut self, link: LinkId, now: Instant) {
-        let Some(census) = self.links.remove(&link) else {
+        let Some(link_boxes) = self.links.remove(&link) else {
             return;
         };
-        for counted in census.counts {
-            self.release(counted, now);
+        for key in link_boxes.counted {
+            self.release(key, now);
         }
         let mut others = self.links.values();
-        if let Some(member) = census.member
+        if let Some(member) = link_boxes.member
             && !others.any(|other| other.member == Some(member))
         {
-            self.here.remove(&member);
+            self.own_boxes.remove(&member);
         }
     }
 
-    /// Takes in whom another hub counts.
-    pub fn receive(&mut self, link: LinkId, note: &MembershipUpdate, now: Instant) {
-        let Some(census) = self.links.get(&link) else {
+    /// Applies the boxes that another hub counts.
+    pub fn receive(&mut self, link: LinkId, update: &MembershipUpdate, now: Instant) {
+        let Some(link_boxes) = self.links.get(&link) else {
             return;
         };
-        let mut gone = note.left.clone();
-        if note.is_full {
-            gone.extend(census.counts.iter().copied());
+        let mut removed = update.left.clone();
+        if update.is_full {
+            removed.extend(link_boxes.counted.iter().copied());
         }
-        for key in &note.joined {
+        for key in &update.joined {
             self.add(link, *key);
         }
-        for key in gone {
-            let stays = note.is_full && note.joined.contains(&key);
-            let census = self.links.get_mut(&link);
-            if !stays && census.is_some_and(|census| census.counts.remove(&key)) {
+        for key in removed {
+            let stays = update.is_full && update.joined.contains(&key);
+            let link_boxes = self.links.get_mut(&link);
+            if !stays
+                && link_boxes.is_some_and(|link_boxes| link_boxes.counted.remove(&key))
+            {
                 self.release(key, now);
             }
         }
     }
 
-    /// What another hub has not been told yet of this box and its members.
+    /// Returns the changes to this box and its members that another hub has not been sent
+    /// yet.
     pub fn updates_for(&mut self, link: LinkId) -> MembershipUpdate {
-        let Some(census) = self.links.get_mut(&link) else {
+        let Some(link_boxes) = self.links.get_mut(&link) else {
             return MembershipUpdate::default();
         };
-        if census.told.as_ref() == Some(&self.here) {
+        if link_boxes.sent.as_ref() == Some(&self.own_boxes) {
             return MembershipUpdate::default();
         }
-        let whole = census.told.is_none();
-        let told = census.told.take().unwrap_or_default();
-        let note = MembershipUpdate {
-            is_full: whole,
-            joined: self.here.difference(&told).copied().collect(),
-            left: told.difference(&self.here).copied().collect(),
+        let is_first = link_boxes.sent.is_none();
+        let sent = link_boxes.sent.take().unwrap_or_default();
+        let update = MembershipUpdate {
+            is_full: is_first,
+            joined: self.own_boxes.difference(&sent).copied().collect(),
+            left: sent.difference(&self.own_boxes).copied().collect(),
         };
-        census.told = Some(self.here.clone());
-        note
+        link_boxes.sent = Some(self.own_boxes.clone());
+        update
     }
 
-    /// How many boxes there are: all that are counted now, or were a moment ago.
+    /// Returns the number of boxes that are counted now or were within `DEPARTED_TTL`.
     ///
-    /// Members that are between two hubs are counted by neither, but still spend.
+    /// Members that are moving between two hubs are counted by neither, but still use
+    /// their quota.
     pub fn count(&mut self, now: Instant) -> usize {
-        self.left
-            .retain(|_, at| now.saturating_duration_since(*at) < HUB_CHANGE);
-        self.present.len() + self.left.len()
+        self.departed
+            .retain(|_, at| now.saturating_duration_since(*at) < DEPARTED_TTL);
+        self.link_counts.len() + self.departed.len()
     }
 
     fn add(&mut self, link: LinkId, key: BoxKey) {
-        let Some(census) = self.links.get_mut(&link) else {
+        let Some(link_boxes) = self.links.get_mut(&link) else {
             return;
         };
-        if census.counts.insert(key) {
-            *self.present.entry(key).or_default() += 1;
-            self.left.remove(&key);
+        if link_boxes.counted.insert(key) {
+            *self.link_counts.entry(key).or_default() += 1;
+            self.departed.remove(&key);
         }
     }
 
     fn release(&mut self, key: BoxKey, now: Instant) {
-        let Some(links) = self.present.get_mut(&key) else {
+        let Some(link_count) = self.link_counts.get_mut(&key) else {
             return;
         };
-        *links -= 1;
-        if *links == 0 {
-            self.present.remove(&key);
-            self.left.insert(key, now);
+        *link_count -= 1;
+        if *link_count == 0 {
+            self.link_counts.remove(&key);
+            self.departed.insert(key, now);
         }
     }
 }
 
-/// A box that has no hub for longer is out of touch, and spends no slack.
-const HUB_CHANGE: Duration = Duration::from_secs(4);
+/// How long a box still counts after the last link has stopped counting it. A box that
+/// has no hub for longer has lost contact, and uses no slack.
+const DEPARTED_TTL: Duration = Duration::from_secs(4);
--- a/crates/wingspur-coordination/src/catalog_freshness.rs
+++ b/crates/wingspur-coordination/src/catalog_freshness.rs
@@ -1,4 +1,4 @@
-//! How fresh this box's view of the catalog is, and who keeps it so.
+//! Tracks how current this box's view of the catalog is, and which box reads the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,73 +8,73 @@
 
 use crate::{LinkId, hash_of};
 
-/// What is known of the catalog's freshness.
+/// State of the knowledge about the freshness of the catalog.
 #[derive(Debug)]
 pub struct CatalogFreshnessTracker {
     own: BoxId,
-    /// Up to where the store's history is known.
+    /// Position up to which the changes of the store are known.
     position: StorePosition,
-    /// The newest era that the store, or a peer, has named; 0 for none.
+    /// Newest era that the store or a peer has reported; 0 if none.
     era: StoreEra,
-    /// When this box itself last had an answer of the store; none when it does not read.
-    own_fresh: Option<Instant>,
-    /// Whether this box tries to read, and has no answer.
-    own_tries: bool,
-    /// What each link says: who reads, and when it last had an answer.
+    /// When the store last answered this box; `None` while this box does not read it.
+    own_read_at: Option<Instant>,
+    /// Whether this box tries to read and gets no answer.
+    own_read_failing: bool,
+    /// Reader that each link reports, and when the store last answered that reader.
     links: BTreeMap<LinkId, (BoxId, Instant)>,
-    /// Links whose other side tries to read, and has no answer.
-    trying: BTreeSet<LinkId>,
-    /// Since when nobody is known to read.
-    unfed_since: Instant,
-    /// How much later this box steps in than others of its rank: most are not announced,
-    /// and so of the same.
+    /// Links whose other side tries to read and gets no answer.
+    failing_links: BTreeSet<LinkId>,
+    /// Since when no box is known to read.
+    no_reader_since: Instant,
+    /// Delay of this box within its rank, by a hash of its name: most boxes are not
+    /// announced and therefore have the same rank.
     own_stagger: Duration,
 }
 
-/// How an era that was named stands to the newest that was known.
+/// Relation of a reported era to the newest known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EraChange {
-    /// It is the same.
+    /// It is the newest known era.
     Same,
-    /// It is the first that this box sees.
+    /// It is the first era that this box learns of.
     First,
-    /// The store has come back from an older copy since.
+    /// It is newer: the store has been restored from an older copy.
     Restored {
-        /// The era that was known before.
+        /// The newest era known before.
         before: StoreEra,
     },
-    /// It was over already.
+    /// It is older than the newest known era.
     Older,
 }
 
 impl CatalogFreshnessTracker {
-    /// Nothing known yet.
+    /// Creates a tracker that knows nothing yet.
     pub fn new(own: BoxId, now: Instant) -> Self {
-        let place = hash_of(&own) as f64 / u64::MAX as f64;
+        let fraction = hash_of(&own) as f64 / u64::MAX as f64;
         Self {
-            own_stagger: SAME_RANK_STAGGER.mul_f64(place),
+            own_stagger: SAME_RANK_STAGGER.mul_f64(fraction),
             own,
             position: StorePosition::default(),
             era: 0,
-            own_fresh: None,
-            own_tries: false,
+            own_read_at: None,
+            own_read_failing: false,
             links: BTreeMap::new(),
-            trying: BTreeSet::new(),
-            unfed_since: now,
+            failing_links: BTreeSet::new(),
+            no_reader_since: now,
         }
     }
 
-    /// Up to where this box knows the store's history.
+    /// Returns the position up to which this box knows the changes of the store.
     pub fn position(&self) -> StorePosition {
         self.position
     }
 
-    /// The newest era that is known of; this box may have no listing of it yet.
+    /// Returns the newest known era; this box may not have a snapshot of it yet.
     pub fn era(&self) -> StoreEra {
         self.era
     }
 
-    /// Notes an era that the store or a peer has named.
+    /// Records an era that the store or a peer has reported.
     pub fn note_era(&mut self, era: StoreEra) -> EraChange {
         if era < self.era {
             return EraChange::Older;
@@ -89,83 +89,83 @@
         EraChange::Restored { before }
     }
 
-    /// Whether the store has been restored since what this box knows was read.
+    /// Whether the store has been restored since the state that this box knows was read.
     pub fn is_of_older_era(&self) -> bool {
         self.position.era() < self.era
     }
 
-    /// Notes that all changes up to a position are known.
+    /// Records that all changes up to a position are known.
     pub fn advance_to(&mut self, position: StorePosition) {
         self.position = self.position.max(position);
         self.era = self.era.max(position.era());
     }
 
-    /// Notes an answer of the store to this box.
+    /// Records that the store has answered this box.
     pub fn note_answer(&mut self, now: Instant) {
-        self.own_fresh = Some(now);
-        self.own_tries = false;
+        self.own_read_at = Some(now);
+        self.own_read_failing = false;
     }
 
-    /// Notes that the store did not answer this box.
+    /// Records that the store has not answered this box.
     pub fn note_no_answer(&mut self) {
-        self.own_tries = true;
+        self.own_read_failing = true;
     }
 
-    /// Whether this box may leave it to another, which tries in vain, to try again soon; a
-    /// hub never may.
+    /// Whether this box may leave retrying to another box whose reads of the store also
+    /// fail. A hub never may.
     pub fn may_defer_read(&self, is_hub: bool) -> bool {
-        !is_hub && !self.trying.is_empty()
+        !is_hub && !self.failing_links.is_empty()
     }
 
-    /// Notes that this box does not read any more.
+    /// Records that this box no longer reads the store.
     pub fn stop_reading(&mut self) {
-        self.own_fresh = None;
-        self.own_tries = false;
+        self.own_read_at = None;
+        self.own_read_failing = false;
     }
 
-    /// Notes what the other side of a link says.
+    /// Applies the freshness that the other side of a link reports.
     pub fn receive(&mut self, link: LinkId, state: &CatalogFreshness, now: Instant) {
         match state.is_read_failing {
-            true => self.trying.insert(link),
-            false => self.trying.remove(&link),
+            true => self.failing_links.insert(link),
+            false => self.failing_links.remove(&link),
         };
         let Some(reader) = &state.reader else {
             self.links.remove(&link);
             return;
         };
         if *reader == self.own {
-            // Our own reading comes back to us.
+            // The peer only repeats what this box itself has read.
             self.links.remove(&link);
             return;
         }
         if !self.covers(state.position) {
-            // How fresh that is says nothing of what is known here.
+            // The reported age is that of a position which this box does not know yet.
             return;
         }
         let age = Duration::from_millis(u64::from(state.age_ms));
-        let fresh = now.checked_sub(age).unwrap_or(now);
-        self.links.insert(link, (reader.clone(), fresh));
+        let read_at = now.checked_sub(age).unwrap_or(now);
+        self.links.insert(link, (reader.clone(), read_at));
     }
 
-    /// Whether all is known here that stands up to a position of the newest era.
+    /// Whether this box knows all changes up to a position of the newest era.
     fn covers(&self, position: StorePosition) -> bool {
         position.era() == self.era && position <= self.position
     }
 
-    /// Forgets a link.
+    /// Removes a link.
     pub fn forget(&mut self, link: LinkId) {
         self.links.remove(&link);
-        self.trying.remove(&link);
+        self.failing_links.remove(&link);
     }
 
-    /// What this box says of itself.
+    /// Returns the freshness that this box reports, with the newest reader it knows of.
     pub fn state(&self, now: Instant) -> CatalogFreshness {
-        let own = self.own_fresh.map(|at| (&self.own, at));
+        let own = self.own_read_at.map(|at| (&self.own, at));
         let theirs = self.links.values().map(|(reader, at)| (reader, *at));
         let best = own.into_iter().chain(theirs).max_by_key(|(_, at)| *at);
         let Some((reader, at)) = best else {
             return CatalogFreshness {
-                is_read_failing: self.own_tries,
+                is_read_failing: self.own_read_failing,
                 position: self.position,
                 era: self.era,
                 ..CatalogFreshness::default()
@@ -175,64 +175,71 @@
         CatalogFreshness {
             reader: Some(reader.clone()),
             age_ms: age.min(u128::from(u32::MAX)) as u32,
-            is_read_failing: self.own_tries,
+            is_read_failing: self.own_read_failing,
             position: self.position,
             era: self.era,
         }
     }
 
-    /// How old the newest news is, whoever read it.
+    /// Returns the age of the newest known read of the store, by any box, or the time
+    /// without a known reader.
     pub fn staleness(&self, now: Instant) -> Duration {
         let theirs = self.links.values().map(|(_, at)| *at);
-        let known = theirs.chain(self.own_fresh).chain([self.unfed_since]);
-        let newest = known.max().unwrap_or(self.unfed_since);
+        let known = theirs.chain(self.own_read_at).chain([self.no_reader_since]);
+        let newest = known.max().unwrap_or(self.no_reader_since);
         now.saturating_duration_since(newest)
     }
 
-    /// How old the newest reading of the store is that has reached this box; none before
-    /// any has.
+    /// Returns the age of the newest read of the store that has reached this box; `None`
+    /// if there was none.
     pub fn confirmed_age(&self, now: Instant) -> Option<Duration> {
         let theirs = self.links.values().map(|(_, at)| *at);
-        let newest = theirs.chain(self.own_fresh).max()?;
+        let newest = theirs.chain(self.own_read_at).max()?;
         Some(now.saturating_duration_since(newest))
     }
 
-    /// Whether the news is later than usual.
+    /// Whether the catalog is staler than in normal operation.
     pub fn is_lagging(&self, now: Instant) -> bool {
-        self.staleness(now) > LATE_NEWS
+        self.staleness(now) > LAG_THRESHOLD
     }
 
-    /// Whether this box should read the store itself: the hub always does, another box when
-    /// nobody's reading has reached it for a while, each a little later than the one before
-    /// it in rank.
+    /// Whether this box should read the store itself. The hub always does; another box
+    /// does when no read by any other box has reached it for a while. Boxes begin one
+    /// after the other, in the order of their rank.
     pub fn should_watch_store(
         &mut self,
         is_hub: bool,
         rank: usize,
         now: Instant,
     ) -> bool {
-        let freshest = self.links.values().map(|(_, at)| *at).max();
-        if let Some(at) = freshest {
-            self.unfed_since = self.unfed_since.max(at);
+        let newest = self.links.values().map(|(_, at)| *at).max();
+        if let Some(at) = newest {
+            self.no_reader_since = self.no_reader_since.max(at);
         }
-        let stagger = RANK_STAGGER * (rank.min(MOST_STAGGERED) as u32) + self.own_stagger;
-        is_hub || now.saturating_duration_since(self.unfed_since) >= STALE + stagger
+        let stagger =
+            RANK_STAGGER * (rank.min(MAX_STAGGERED_RANKS) as u32) + self.own_stagger;
+        is_hub
+            || now.saturating_duration_since(self.no_reader_since)
+                >= MAX_READ_AGE + stagger
     }
 }
 
-/// A feed that is older has broken off. A reader's watch ends each 0.65 s, and a frame each
-/// way may wait for a heartbeat of 0.2 s: 1.1 s at the most while all is well.
+/// Maximum age of the newest read by others; an older one means that updates have
+/// stopped. The watch of a reader ends every 0.65 s, and a frame in each direction may
+/// wait for a heartbeat of 0.2 s, so the age is at most 1.1 s in normal operation.
 ///
-/// No box acts for longer on news whose age it cannot vouch for than this, the stagger
-/// (0.33 s) and one call of the store: the age is reckoned from the sending of this
-/// box's own frame that the other side had, so no delay on the way is left out.
-const STALE: Duration = Duration::from_millis(1300);
-/// Later than news is while all is well, and half of the 2.4 s or so within which changes
-/// must be in force: where this is usual, hubs are overloaded.
-const LATE_NEWS: Duration = Duration::from_millis(1200);
-/// Boxes step in one after the other, so that one call, not forty, finds out: those that may
-/// be the hub first, and the others drawn out by their names. What one reads it tells its
-/// hub, and that the others, in some 50 ms.
+/// No box uses a catalog of unconfirmed age for longer than this plus the stagger (0.33
+/// s) and one call to the store: the age is counted from the moment at which this box
+/// sent the frame that the other side acknowledged, so it includes every delay in
+/// transit.
+const MAX_READ_AGE: Duration = Duration::from_millis(1300);
+/// Staleness above that of normal operation, and half of the 2.4 s or so within which
+/// changes must be active. If it is exceeded regularly, hubs are overloaded.
+const LAG_THRESHOLD: Duration = Duration::from_millis(1200);
+/// Boxes begin to read one after the other, so that one call instead of forty finds out
+/// whether the store answers: first those that may become the hub, then the others,
+/// spread by the hashes of their names. What one box reads reaches its hub and from there
+/// the others within some 50 ms.
 const RANK_STAGGER: Duration = Duration::from_millis(20);
-const MOST_STAGGERED: usize = 4;
+const MAX_STAGGERED_RANKS: usize = 4;
 const SAME_RANK_STAGGER: Duration = Duration::from_millis(250);
--- a/crates/wingspur-coordination/src/catalog_queue.rs
+++ b/crates/wingspur-coordination/src/catalog_queue.rs
@@ -1,5 +1,5 @@
-//! News of the catalog on its way to one link: gathered, so that a wave of changes is told
-//! in few frames.
+//! Queue of the catalog updates for one link, which combines many changes into few
+//! frames.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,36 +7,36 @@
 use wingspur_protocol::{CatalogSnapshotUpdate, CatalogUpdate};
 use wingspur_state::StorePosition;
 
-/// What one link has not been told yet of the catalog.
+/// Catalog updates that have not been sent on one link yet.
 ///
-/// When many servers join at once, each of their writes goes to all links of a hub.
-/// One frame for each would make all news seconds late, and boxes would go on sending to a
-/// server that they take for idle.
+/// When many servers join at once, each of their writes goes to all links of a hub. With
+/// one frame for each write, all updates would be seconds late, and boxes would go on
+/// sending to a server that they take for idle.
 #[derive(Debug)]
 pub struct CatalogQueue {
     updates: Vec<CatalogUpdate>,
-    /// Whether some of them change anything at the other side.
+    /// Whether any of the updates changes the state of the other side.
     urgent: bool,
-    /// When the link was last told any; none before it was.
-    told: Option<Instant>,
+    /// When updates were last sent on the link; `None` before the first.
+    last_sent: Option<Instant>,
 }
 
 impl CatalogQueue {
-    /// Nothing to tell.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self {
             updates: Vec::new(),
             urgent: false,
-            told: None,
+            last_sent: None,
         }
     }
 
-    /// Queues an update; one that is not `urgent` tells of a revision only, and waits for
-    /// another reason to speak.
+    /// Queues an update. One that is not `urgent` only advances the position in the
+    /// store, and waits until something else is sent.
     pub fn push(&mut self, update: &CatalogUpdate, urgent: bool) {
         self.urgent |= urgent;
         if matches!(update, CatalogUpdate::Snapshot(_)) {
-            // It tells all that the ones before it do.
+            // A snapshot contains everything that the updates before it do.
             self.updates.clear();
         }
         if let Some(last) = self.updates.last_mut()
@@ -47,20 +47,21 @@
         self.updates.push(update.clone());
     }
 
-    /// How long until the link must be told; none while there is nothing that it must know.
+    /// Returns the time until the queue must be sent; `None` if nothing in it is urgent.
     pub fn due_in(&self, now: Instant) -> Option<Duration> {
-        let gap = self.told.map_or(Duration::ZERO, |told| {
-            (told + CATALOG_GAP).saturating_duration_since(now)
+        let delay = self.last_sent.map_or(Duration::ZERO, |last_sent| {
+            (last_sent + MIN_SEND_INTERVAL).saturating_duration_since(now)
         });
-        self.urgent.then_some(gap)
+        self.urgent.then_some(delay)
     }
 
-    /// Whether a listing is queued.
+    /// Whether a snapshot is queued.
     pub fn has_listing(&self) -> bool {
         self.listing().is_some()
     }
 
-    /// The queued listing: it is the first update, since it replaces all before it.
+    /// Returns the queued snapshot, which is always the first update, since it replaces
+    /// all before it.
     fn listing(&self) -> Option<&Arc<CatalogSnapshotUpdate>> {
         match self.updates.first() {
             Some(CatalogUpdate::Snapshot(listing)) => Some(listing),
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Drops a queued listing that tells the other side nothing: it knows the store's history
-    /// up to a position by now, and a version of the bundle.
+    /// Drops a queued snapshot that contains nothing new for the other side, which by now
+    /// knows the history of the store up to `position` and a version of the bundle.
     pub fn drop_known_listing(&mut self, position: StorePosition, bundle_version: u64) {
         let is_known = |update: &Arc<CatalogSnapshotUpdate>| {
             let bundle = update.snapshot.bundle.as_ref();
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Takes the listing that is queued, which goes before all else.
+    /// Takes the queued snapshot, which is sent before everything else.
     pub fn take_listing(&mut self) -> Option<Arc<CatalogSnapshotUpdate>> {
         let listing = self.listing()?.clone();
         self.updates.remove(0);
         Some(listing)
     }
 
-    /// Takes all that is queued, to be told now.
+    /// Takes all queued updates, to be sent now.
     pub fn take(&mut self, now: Instant) -> Vec<CatalogUpdate> {
         if !self.updates.is_empty() {
-            self.told = Some(now);
+            self.last_sent = Some(now);
         }
         self.urgent = false;
         std::mem::take(&mut self.updates)
@@ -106,7 +107,7 @@
     }
 }
 
-/// A link is told of the catalog no more often: the first change goes at once, and those
-/// that follow are late by a thirtieth of the two seconds within which they must be in
-/// force.
-const CATALOG_GAP: Duration = Duration::from_millis(60);
+/// Minimum time between catalog updates on a link. The first change is sent at once, and
+/// those that follow are delayed by a thirtieth of the 2 s within which they must be
+/// active.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(60);
--- a/crates/wingspur-coordination/src/fleet_connectivity.rs
+++ b/crates/wingspur-coordination/src/fleet_connectivity.rs
@@ -1,80 +1,87 @@
-//! Whether a box has been in touch with the whole fleet for long enough to share in what
-//! the fleet has but once.
+//! Tracks whether a box has been in contact with the whole fleet for long enough to use
+//! its share of fleet-wide limits.
 
 use std::time::{Duration, Instant};
 
 use wingspur_state::MembershipState;
 
-/// When a box was in touch with the whole fleet.
+/// Period in which a box was in contact with the whole fleet.
 ///
-/// A box is in touch at a moment if it is linked with its hub, and that hub with the hubs of
-/// all other data centres; so all others count it, or do within `NEWS`. The slack of a retry
-/// budget is divided by the number of boxes, and only boxes that have been in touch for
-/// `join_after` use their parts.
+/// A box is in contact at a moment if it is linked to its hub, and that hub to the hubs
+/// of all other data centres. All other boxes then count it, at the latest after
+/// `COUNT_PROPAGATION`. The slack of a retry budget is divided by the number of boxes,
+/// and only boxes that have been in contact for `required_contact_time` use their shares.
 ///
-/// Why the parts that are used in a window never add up to more than the slack: let the
-/// window begin at t and be W long. Who uses its part in it sends between t - `ON_WAY` and
-/// t + W, has then been in touch for W + `ON_WAY` + `TOUCH`, and was last in touch at most
-/// `TOUCH` before it sent. So all of them were in touch at t - `ON_WAY` - `TOUCH`; a run that
-/// took the place of another is not among them beside it. `NEWS` later, still before any of
-/// them sends, each has been told how many they are, since hubs count who has left them for
-/// longer than that; and each holds the largest number that it was told in the time that it
-/// was in touch. So each part is at most the slack divided by how many use one.
+/// The shares that are used in a window never add up to more than the slack, for this
+/// reason. Let the window begin at t and last W. A box that uses its share in it sends
+/// between t - `RESEND_TRANSIT` and t + W, has by then been in contact for W +
+/// `RESEND_TRANSIT` + `CONTACT_TTL`, and was last in contact at most `CONTACT_TTL` before
+/// it sent. So all of these boxes were in contact at t - `RESEND_TRANSIT` -
+/// `CONTACT_TTL`; an instance that replaced another is not among them together with the
+/// other. After a further `COUNT_PROPAGATION`, still before any of them sends, each has
+/// received their number, since hubs count boxes that have left them for longer than
+/// that. Each box keeps the largest number that it received while it was in contact, so
+/// each share is at most the slack divided by the number of boxes that use one.
 #[derive(Debug, Clone, Default)]
 pub struct FleetConnectivity {
-    /// Since when the box has been in touch, and when it last was.
-    spell: Option<(Instant, Instant)>,
-    /// When the box started, if the whole fleet started with it for the first time.
+    /// Since when the box has been in contact, and when it last was; `None` if it never
+    /// was.
+    period: Option<(Instant, Instant)>,
+    /// When the box started, if it started together with all others of a fleet that had
+    /// never run before.
     first_start: Option<Instant>,
 }
 
 impl FleetConnectivity {
-    /// A box that starts now with the whole fleet, for the first time.
+    /// Creates the state of a box that starts now with the whole fleet, which has never
+    /// run before.
     pub fn at_first_start(now: Instant) -> Self {
         Self {
-            spell: None,
+            period: None,
             first_start: Some(now),
         }
     }
 
-    /// Takes in that the box was in touch at a moment.
+    /// Records that the box was in contact at a moment.
     pub fn note(&mut self, at: Instant) {
-        self.spell = match self.spell {
-            Some((_, last)) if at <= last => self.spell,
-            Some((since, last)) if at.saturating_duration_since(last) <= TOUCH => {
+        self.period = match self.period {
+            Some((_, last)) if at <= last => self.period,
+            Some((since, last)) if at.saturating_duration_since(last) <= CONTACT_TTL => {
                 Some((since, at))
             }
             _ => Some((at, at)),
         };
     }
 
-    /// How long ago the box was last in touch; none if it never was.
+    /// Returns the time since the last contact; `None` if there was none.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.spell
+        self.period
             .map(|(_, last)| now.saturating_duration_since(last))
     }
 
-    /// Whether the box has been in touch for so long that all others count it.
+    /// Whether the box has been in contact for long enough that all others count it.
     pub fn is_settled(&self, now: Instant) -> bool {
-        let spell = self
-            .spell
-            .filter(|(_, last)| now.saturating_duration_since(*last) <= TOUCH);
-        spell.is_some_and(|(since, _)| now.saturating_duration_since(since) >= NEWS)
+        let period = self
+            .period
+            .filter(|(_, last)| now.saturating_duration_since(*last) <= CONTACT_TTL);
+        period.is_some_and(|(since, _)| {
+            now.saturating_duration_since(since) >= COUNT_PROPAGATION
+        })
     }
 
-    /// Whether the box may use its part of what is shared over a window.
+    /// Returns whether the box may use its share of a limit that applies over `window`.
     pub fn membership_state(&self, window: Duration, now: Instant) -> MembershipState {
-        let Some((since, last)) = self.spell else {
+        let Some((since, last)) = self.period else {
             return MembershipState::Disconnected;
         };
-        if now.saturating_duration_since(last) > TOUCH {
+        if now.saturating_duration_since(last) > CONTACT_TTL {
             return MembershipState::Disconnected;
         }
-        let waits_for = match self.is_from_the_first(since) {
-            true => ON_WAY + TOUCH + MARGIN,
+        let required = match self.is_connected_since_first_start(since) {
+            true => RESEND_TRANSIT + CONTACT_TTL + MARGIN,
             false => required_contact_time(window),
         };
-        if now.saturating_duration_since(since) < waits_for {
+        if now.saturating_duration_since(since) < required {
             return MembershipState::Joining;
         }
         MembershipState::Joined
@@ -82,35 +89,39 @@
 }
 
 impl FleetConnectivity {
-    /// Whether the box has been in touch since the fleet first started.
+    /// Whether the box has been in contact since the fleet first started.
     ///
-    /// Why it need not wait for a window: nobody spent anything before, and a run that takes
-    /// the place of another is none of these. All of them were in touch together
-    /// `FIRST_CONTACT` after the start, and `NEWS` later each had been told how many they
-    /// are, before any of them spends. A box that joins later has been in touch for a window
-    /// and `ON_WAY` and `TOUCH` before it spends, so also at the last moment at which those
-    /// were whose spending its window holds.
-    fn is_from_the_first(&self, since: Instant) -> bool {
+    /// Such a box need not wait for a whole window: nothing was used before, and none of
+    /// these boxes is an instance that replaced another. All of them were in contact
+    /// `FIRST_CONTACT_TIMEOUT` after the start, and after a further `COUNT_PROPAGATION`
+    /// each had received their number, before any of them uses its share. A box that
+    /// joins later has been in contact for a window, `RESEND_TRANSIT` and `CONTACT_TTL`
+    /// before it uses its share. So it was also in contact at the last moment at which
+    /// those boxes were whose use falls within its window.
+    fn is_connected_since_first_start(&self, since: Instant) -> bool {
         self.first_start
-            .is_some_and(|start| since <= start + FIRST_CONTACT)
+            .is_some_and(|start| since <= start + FIRST_CONTACT_TIMEOUT)
     }
 }
 
-/// For how long a box must have been in touch, and how long the number of boxes is held.
+/// Returns how long a box must have been in contact before it uses its share over
+/// `window`, which is also how long the number of boxes is kept.
 pub fn required_contact_time(window: Duration) -> Duration {
-    window + ON_WAY + TOUCH + MARGIN
+    window + RESEND_TRANSIT + CONTACT_TTL + MARGIN
 }
 
-/// A change of hubs takes less: 70 ms where the hub says that it stops, a second of silence
-/// and the time of a connection where it does not.
-const TOUCH: Duration = Duration::from_secs(2);
-/// Boxes that start together are linked within a second or two.
-const FIRST_CONTACT: Duration = Duration::from_secs(3);
-/// A resend reaches its server within this, or never.
-const ON_WAY: Duration = wingspur_state::MAX_RESEND_TRANSIT;
-/// A number of boxes reaches every box within this: on each of the two links to it a sign of
-/// life comes each 0.2 s, and one that is silent for a second is given up.
-const NEWS: Duration = Duration::from_millis(2600);
-const _: () = assert!(NEWS.as_millis() < ON_WAY.as_millis() + TOUCH.as_millis());
-/// For what frames take on their way, and for clocks that are read late.
+/// A contact holds for this long. A change of hubs takes less: 70 ms if the hub announces
+/// its stop, otherwise a second of silence and the time to connect.
+const CONTACT_TTL: Duration = Duration::from_secs(2);
+/// Boxes that start together are linked within one or two seconds.
+const FIRST_CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A resend reaches its server within this time or not at all.
+const RESEND_TRANSIT: Duration = wingspur_state::MAX_RESEND_TRANSIT;
+/// The number of boxes reaches every box within this time: on each of the two links to a
+/// box a heartbeat is sent every 0.2 s, and a link that is silent for a second is closed.
+const COUNT_PROPAGATION: Duration = Duration::from_millis(2600);
+const _: () = assert!(
+    COUNT_PROPAGATION.as_millis() < RESEND_TRANSIT.as_millis() + CONTACT_TTL.as_millis()
+);
+/// Allowance for the transit time of frames and for clocks that are read late.
 const MARGIN: Duration = Duration::from_secs(1);
--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! How many boxes there are, and whether all of them count this one.
+//! Size of the fleet, and whether all other boxes count this one.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,29 +6,29 @@
 use wingspur_protocol::{DelegatedShare, FleetStatus, MembershipUpdate};
 use wingspur_state::{BoxKey, DataCentreId, FleetMembership, MembershipState};
 
-use crate::fleet_size::LONGEST_HOLD;
+use crate::fleet_size::MAX_HOLD;
 use crate::{
     BoxRegistry, DELEGATION_TTL, FleetConnectivity, FleetSizeTracker, LinkId,
     ShareDelegation, required_contact_time,
 };
 
-/// What a box knows of the fleet by its links and the announcements.
+/// What a box knows of the fleet from its links and from the announcements.
 #[derive(Debug)]
 pub struct FleetView {
-    links: BTreeMap<LinkId, HeardLink>,
-    count: FleetSizeTracker,
-    census: BoxRegistry,
-    contact: FleetConnectivity,
+    links: BTreeMap<LinkId, ObservedLink>,
+    size_tracker: FleetSizeTracker,
+    registry: BoxRegistry,
+    connectivity: FleetConnectivity,
     delegation: ShareDelegation,
     /// This box's data centre.
-    home: DataCentreId,
-    /// Whom its part of what the servers of each data centre take is left to.
-    places: BTreeMap<DataCentreId, ShareDelegation>,
-    /// The same for a data centre of which nothing was said yet.
-    fresh: ShareDelegation,
+    own_data_centre: DataCentreId,
+    /// Delegations of this box's share of the limits of the servers in each data centre.
+    server_delegations: BTreeMap<DataCentreId, ShareDelegation>,
+    /// Delegation state of a data centre that has no entry in `server_delegations` yet.
+    initial_delegation: ShareDelegation,
 }
 
-/// What the other side of a link is to this box.
+/// Role of the other side of a link, as seen from this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRole {
     /// A box that reports to this one.
@@ -42,30 +42,30 @@
 /// The box at the other side of a link.
 #[derive(Debug, Clone)]
 pub struct LinkPeer {
-    /// Where it stands.
+    /// Data centre in which the box runs.
     pub data_centre: DataCentreId,
-    /// Its key.
+    /// Key under which the box is counted.
     pub key: BoxKey,
 }
 
-/// What is announced, and what this box is by it.
+/// State of the announcements, and the role that this box has by them.
 #[derive(Debug, Clone)]
 pub struct AnnouncementView {
-    /// Announced boxes, this one included.
+    /// Number of announced boxes, including this one.
     pub announced_boxes: usize,
-    /// The greatest size of the fleet that an announced box tells of; 0 for unknown.
+    /// Largest fleet size that an announced box reports; 0 if unknown.
     pub reported_fleet_size: usize,
     /// The other data centres.
     pub data_centres: Vec<DataCentreId>,
     /// Whether this box is the hub of its data centre.
     pub is_hub: bool,
-    /// Whether it is so in place of another that it cannot reach.
+    /// Whether it is the hub in place of another box that it cannot reach.
     pub is_acting_hub: bool,
-    /// How old the view of the announcements is; none if nothing is known.
+    /// Age of the view of the announcements; `None` if nothing is known.
     pub age: Option<Duration>,
 }
 
-/// What a box tells of the fleet, by what the other side is to it.
+/// Fleet status that a box sends, by the role of the receiver.
 #[derive(Debug, Clone, Copy)]
 pub struct OutgoingFleetNotes {
     to_member: FleetStatus,
@@ -73,23 +73,25 @@
 }
 
 #[derive(Debug)]
-struct HeardLink {
+struct ObservedLink {
     data_centre: DataCentreId,
-    with: PeerRole,
-    told: FleetStatus,
-    heard: Instant,
-    /// When it surely ran, and heard this box.
-    vouched: Option<Instant>,
-    /// When a member last left its part to this box.
-    delegated: Option<Instant>,
-    /// The parts that another hub has left to this one, and when it last did.
-    left: BTreeMap<DataCentreId, (f64, Instant)>,
+    role: PeerRole,
+    status: FleetStatus,
+    last_seen: Instant,
+    /// Latest moment at which the peer is known to have been running and receiving from
+    /// this box.
+    as_of: Option<Instant>,
+    /// When a member last delegated its share to this box.
+    delegated_at: Option<Instant>,
+    /// Shares that another hub has delegated to this one, with the time of the latest
+    /// delegation.
+    delegated_shares: BTreeMap<DataCentreId, (f64, Instant)>,
 }
 
 impl OutgoingFleetNotes {
-    /// What one link is told.
-    pub fn note_for(&self, with: PeerRole) -> FleetStatus {
-        match with {
+    /// Returns the status for a link to a peer of this role.
+    pub fn note_for(&self, role: PeerRole) -> FleetStatus {
+        match role {
             PeerRole::Member => self.to_member,
             PeerRole::Hub => self.to_hub,
             PeerRole::OwnHub => FleetStatus::default(),
@@ -98,69 +100,73 @@
 }
 
 impl FleetView {
-    /// A box that knows of no other, by its own key.
+    /// Creates the view of a box that knows of no other box; `own` is its key.
     pub fn new(own: BoxKey, now: Instant) -> Self {
         Self {
             delegation: ShareDelegation::new(now),
-            home: DataCentreId::default(),
-            places: BTreeMap::new(),
-            fresh: ShareDelegation::new(now),
+            own_data_centre: DataCentreId::default(),
+            server_delegations: BTreeMap::new(),
+            initial_delegation: ShareDelegation::new(now),
             links: BTreeMap::new(),
-            count: FleetSizeTracker::default(),
-            census: BoxRegistry::new(own),
-            contact: FleetConnectivity::default(),
+            size_tracker: FleetSizeTracker::default(),
+            registry: BoxRegistry::new(own),
+            connectivity: FleetConnectivity::default(),
         }
     }
 
-    /// The same for a box that starts with the whole fleet, for the first time.
+    /// Creates the view of a box that starts together with all others of a fleet that has
+    /// never run before.
     pub fn at_first_start(own: BoxKey, now: Instant) -> Self {
         Self {
-            contact: FleetConnectivity::at_first_start(now),
+            connectivity: FleetConnectivity::at_first_start(now),
             delegation: ShareDelegation::at_first_start(now),
-            fresh: ShareDelegation::at_first_start(now),
+            initial_delegation: ShareDelegation::at_first_start(now),
             ..Self::new(own, now)
         }
     }
 
-    /// The same for a box of a data centre.
-    pub fn in_data_centre(self, home: DataCentreId) -> Self {
-        Self { home, ..self }
+    /// Sets the data centre of this box.
+    pub fn in_data_centre(self, own_data_centre: DataCentreId) -> Self {
+        Self {
+            own_data_centre,
+            ..self
+        }
     }
 
-    /// Takes up a link with a box of a data centre.
-    pub fn add_link(&mut self, id: LinkId, peer: LinkPeer, with: PeerRole, now: Instant) {
-        match with {
-            PeerRole::Member => self.census.add_member(id, peer.key),
-            PeerRole::Hub | PeerRole::OwnHub => self.census.add_hub(id),
+    /// Adds a link to a box.
+    pub fn add_link(&mut self, id: LinkId, peer: LinkPeer, role: PeerRole, now: Instant) {
+        match role {
+            PeerRole::Member => self.registry.add_member(id, peer.key),
+            PeerRole::Hub | PeerRole::OwnHub => self.registry.add_hub(id),
         }
-        let link = HeardLink {
+        let link = ObservedLink {
             data_centre: peer.data_centre,
-            with,
-            told: FleetStatus::default(),
-            heard: now,
-            vouched: None,
-            delegated: None,
-            left: BTreeMap::new(),
+            role,
+            status: FleetStatus::default(),
+            last_seen: now,
+            as_of: None,
+            delegated_at: None,
+            delegated_shares: BTreeMap::new(),
         };
         self.links.insert(id, link);
     }
 
-    /// Gives up a link.
+    /// Removes a link.
     pub fn drop_link(&mut self, id: LinkId, now: Instant) {
         self.links.remove(&id);
-        self.census.drop_link(id, now);
+        self.registry.drop_link(id, now);
     }
 
-    /// Takes in that the hub at a link, which may have been given up here, does not use this
-    /// box's part any more.
+    /// Records that the hub on a link no longer uses this box's share. The link may
+    /// already have been removed here.
     pub fn release_share(&mut self, id: LinkId, now: Instant) {
         self.delegation.release(id, now);
-        for delegation in self.places.values_mut() {
+        for delegation in self.server_delegations.values_mut() {
             delegation.release(id, now);
         }
     }
 
-    /// Takes in whom another hub counts.
+    /// Applies the list of boxes that another hub counts.
     pub fn receive_census(
         &mut self,
         id: LinkId,
@@ -169,196 +175,218 @@
         now: Instant,
     ) {
         if *note != MembershipUpdate::default() {
-            self.census.receive(id, note, now);
+            self.registry.receive(id, note, now);
             self.fleet_size(known, now);
         }
     }
 
-    /// What another hub has not been told yet of whom this one counts.
+    /// Returns the changes to the boxes that this hub counts which the hub on the link
+    /// has not been sent yet; empty for other links.
     pub fn census_for(&mut self, id: LinkId) -> MembershipUpdate {
-        match self.links.get(&id).map(|link| link.with) {
-            Some(PeerRole::Hub) => self.census.updates_for(id),
+        match self.links.get(&id).map(|link| link.role) {
+            Some(PeerRole::Hub) => self.registry.updates_for(id),
             Some(PeerRole::Member | PeerRole::OwnHub) | None => {
                 MembershipUpdate::default()
             }
         }
     }
 
-    /// Takes in what the other side of a link tells, which was true at a moment or later;
-    /// none where it is not known at which.
+    /// Applies a status from the other side of a link. `as_of` is a moment at or after
+    /// which the status was true; `None` if no such moment is known.
     pub fn receive(
         &mut self,
         id: LinkId,
-        told: FleetStatus,
+        status: FleetStatus,
         known: &AnnouncementView,
-        vouched: Option<Instant>,
+        as_of: Option<Instant>,
         now: Instant,
     ) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         let counts = |note: &FleetStatus| (note.boxes, note.counted);
-        // A hub of a hundred members hears thousands of frames a second.
-        let changed = counts(&link.told) != counts(&told);
-        link.told = told;
-        link.heard = vouched.unwrap_or(link.heard);
-        link.vouched = vouched.or(link.vouched);
-        if told.delegates_shares && link.with == PeerRole::Member {
-            link.delegated = vouched.or(link.delegated);
+        // A hub with a hundred members receives thousands of frames per second, so the
+        // size is recomputed only on a change.
+        let changed = counts(&link.status) != counts(&status);
+        link.status = status;
+        link.last_seen = as_of.unwrap_or(link.last_seen);
+        link.as_of = as_of.or(link.as_of);
+        if status.delegates_shares && link.role == PeerRole::Member {
+            link.delegated_at = as_of.or(link.delegated_at);
         }
-        if link.with == PeerRole::OwnHub
-            && let Some(vouched) = vouched
-            && let Some(touch_ms) = told.hub_contact_age_ms
-            && let Some(at) = vouched.checked_sub(Duration::from_millis(touch_ms.into()))
+        if link.role == PeerRole::OwnHub
+            && let Some(as_of) = as_of
+            && let Some(contact_age_ms) = status.hub_contact_age_ms
+            && let Some(at) =
+                as_of.checked_sub(Duration::from_millis(contact_age_ms.into()))
         {
-            self.contact.note(at);
+            self.connectivity.note(at);
         }
         if changed {
             self.fleet_size(known, now);
         }
     }
 
-    /// What the other sides of links should be told now.
+    /// Returns the status to send on links now, for each role of the peer.
     pub fn outgoing_notes(
         &mut self,
         known: &AnnouncementView,
         now: Instant,
     ) -> OutgoingFleetNotes {
-        self.note_contact(known, now);
-        let age = self.contact.age(now).filter(|_| known.is_hub);
-        let touch_ms = age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32);
+        self.record_contact(known, now);
+        let age = self.connectivity.age(now).filter(|_| known.is_hub);
+        let contact_age_ms =
+            age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32);
         OutgoingFleetNotes {
             to_member: FleetStatus {
                 boxes: self.fleet_size(known, now) as u32,
-                hub_contact_age_ms: touch_ms,
+                hub_contact_age_ms: contact_age_ms,
                 ..FleetStatus::default()
             },
             to_hub: FleetStatus {
                 boxes: 0,
-                counted: self.census.count(now) as u32,
-                hub_contact_age_ms: touch_ms,
+                counted: self.registry.count(now) as u32,
+                hub_contact_age_ms: contact_age_ms,
                 delegates_shares: false,
             },
         }
     }
 
-    /// The boxes of the fleet, as far as this one knows.
+    /// Returns the number of boxes in the fleet, as far as this box knows.
     pub fn fleet_size(&mut self, known: &AnnouncementView, now: Instant) -> usize {
-        let linked = self.census.count(now);
-        let own_hub = self.with(PeerRole::OwnHub);
-        let told_here = own_hub.map(|link| link.told.boxes).max();
-        // Another hub may count a hub of this data centre that this one does not hear.
-        let told_there = self.with(PeerRole::Hub).map(|link| link.told.counted).max();
-        let told = told_here.max(told_there).unwrap_or(0);
-        let counted = known.announced_boxes.max(linked).max(told as usize);
-        self.count.record(counted, now)
+        let linked = self.registry.count(now);
+        let own_hub = self.links_with_role(PeerRole::OwnHub);
+        let own_hub_size = own_hub.map(|link| link.status.boxes).max();
+        // Another hub may count a hub of this data centre that this box cannot reach.
+        let other_hubs_size = self
+            .links_with_role(PeerRole::Hub)
+            .map(|link| link.status.counted)
+            .max();
+        let reported = own_hub_size.max(other_hubs_size).unwrap_or(0);
+        let counted = known.announced_boxes.max(linked).max(reported as usize);
+        self.size_tracker.record(counted, now)
     }
 
-    /// How this box stands with the fleet, as far as what is shared over a window goes.
+    /// Returns the fleet size and this box's membership state for a budget that is shared
+    /// over `window`.
     pub fn membership(
         &mut self,
         window: Duration,
         known: &AnnouncementView,
         now: Instant,
     ) -> FleetMembership {
-        self.note_contact(known, now);
+        self.record_contact(known, now);
         let span = required_contact_time(window);
-        // Counts that are not held for the span would divide the slack by too few.
-        let contact = match span <= LONGEST_HOLD {
-            true => self.contact.membership_state(window, now),
+        // If counts are not kept for the whole span, the slack would be divided by too
+        // few boxes.
+        let membership = match span <= MAX_HOLD {
+            true => self.connectivity.membership_state(window, now),
             false => MembershipState::Disconnected,
         };
         FleetMembership {
-            // Each tick counts: a request need not.
-            boxes: self.count.max_within(span, now).max(known.announced_boxes),
-            state: contact,
+            // The size is recorded on each tick, so there is no need to record it on a
+            // request.
+            boxes: self
+                .size_tracker
+                .max_within(span, now)
+                .max(known.announced_boxes),
+            state: membership,
         }
     }
 
-    /// What a frame that is sent now on a link tells of the fleet.
+    /// Returns the fleet status for a frame that is sent now on a link.
     pub fn note_for_link(
         &mut self,
         id: LinkId,
-        told: &OutgoingFleetNotes,
+        notes: &OutgoingFleetNotes,
         now: Instant,
     ) -> FleetStatus {
-        let with = self.links.get(&id).map_or(PeerRole::Hub, |link| link.with);
-        let mut note = told.note_for(with);
+        let role = self.links.get(&id).map_or(PeerRole::Hub, |link| link.role);
+        let mut note = notes.note_for(role);
         note.delegates_shares =
-            with == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
+            role == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
         note
     }
 
-    /// This box's part of what the fleet has but once: its own, and those of the members that
-    /// leave theirs to it, of all boxes. The parts of all boxes never add up to more than the
-    /// whole, as long as none of them counts fewer boxes than have a part.
+    /// Returns the fraction of a fleet-wide quota that this box may use: its own share
+    /// and those that members delegate to it, divided by the number of boxes. The shares
+    /// of all boxes never add up to more than the quota, as long as no box counts fewer
+    /// boxes than have a share.
     pub fn share(&mut self, known: &AnnouncementView, now: Instant) -> f64 {
-        self.note_contact(known, now);
+        self.record_contact(known, now);
         self.fleet_size(known, now);
-        if !self.may_use_part(known, now) {
+        if !self.may_use_share(known, now) {
             return 0.0;
         }
-        let is_left = |link: &&HeardLink| {
-            let left = link.delegated;
-            left.is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_TTL)
+        let is_delegated = |link: &&ObservedLink| {
+            let delegated_at = link.delegated_at;
+            delegated_at
+                .is_some_and(|at| now.saturating_duration_since(at) < DELEGATION_TTL)
         };
-        let left = self.with(PeerRole::Member).filter(is_left).count();
-        let parts = left + usize::from(self.delegation.is_free(now));
-        let counted = self.count.max_within(LONGEST_HOLD, now);
+        let delegating = self
+            .links_with_role(PeerRole::Member)
+            .filter(is_delegated)
+            .count();
+        let shares = delegating + usize::from(self.delegation.is_free(now));
+        let counted = self.size_tracker.max_within(MAX_HOLD, now);
         let boxes = counted
             .max(known.announced_boxes)
             .max(known.reported_fleet_size)
-            .max(parts);
-        parts as f64 / boxes as f64
+            .max(shares);
+        shares as f64 / boxes as f64
     }
 
-    /// This box's part of what the servers of a data centre take: its own, unless it leaves
-    /// that to another hub, and those that other hubs leave to it.
+    /// Returns the fraction that this box may use of the limits of the servers in a data
+    /// centre: its own share, unless it is delegated to another hub, and the shares that
+    /// other hubs delegate to it.
     ///
-    /// Each box's part is used by one hub, but for `DELEGATED_FOR` after a member has gone
-    /// from one hub to another: the former one may have left it to the holder just before.
+    /// Each box's share is used by one hub at a time, except for `DELEGATION_TTL` after a
+    /// member has moved from one hub to another: the former hub may have delegated the
+    /// share to the allocator just before.
     pub fn share_for(
         &mut self,
         data_centre: &DataCentreId,
         known: &AnnouncementView,
         now: Instant,
     ) -> f64 {
-        let is_free = self.place(data_centre).is_free(now);
+        let is_free = self.delegation_for(data_centre).is_free(now);
         let own = if is_free { self.share(known, now) } else { 0.0 };
-        let hubs = self.with(PeerRole::Hub);
-        let left = hubs.filter_map(|link| link.left.get(data_centre));
-        let left =
-            left.filter(|(_, at)| now.saturating_duration_since(*at) < DELEGATION_TTL);
-        let left: f64 = left.map(|(part, _)| part).sum();
-        (own + left).min(1.0)
+        let hubs = self.links_with_role(PeerRole::Hub);
+        let delegated = hubs.filter_map(|link| link.delegated_shares.get(data_centre));
+        let delegated = delegated
+            .filter(|(_, at)| now.saturating_duration_since(*at) < DELEGATION_TTL);
+        let delegated: f64 = delegated.map(|(share, _)| share).sum();
+        (own + delegated).min(1.0)
     }
 
-    /// The hub that holds what the servers of a data centre take; none where this box does.
+    /// Returns the link to the hub that allocates the limits of the servers in a data
+    /// centre; `None` if this box allocates them.
     ///
-    /// The hub there, since most that is sent to them comes from there; where it is not heard,
-    /// that of the first data centre that is.
+    /// The hub of that data centre is preferred, since most requests to its servers come
+    /// from there. If that hub is not reachable, it is the hub of the first data centre,
+    /// by name, whose hub is reachable.
     pub fn allocator_for(
         &self,
         data_centre: &DataCentreId,
         now: Instant,
     ) -> Option<LinkId> {
         let hubs = self.links.iter().filter(|(_, link)| {
-            let age = now.saturating_duration_since(link.heard);
-            link.with == PeerRole::Hub && age < HUB_HEARD_WITHIN
+            let age = now.saturating_duration_since(link.last_seen);
+            link.role == PeerRole::Hub && age < HUB_TIMEOUT
         });
         let hubs: Vec<_> = hubs.collect();
-        if *data_centre == self.home {
+        if *data_centre == self.own_data_centre {
             return None;
         }
         let there = hubs
             .iter()
             .find(|(_, link)| link.data_centre == *data_centre);
         let first = hubs.iter().min_by_key(|(_, link)| &link.data_centre);
-        let first = first.filter(|(_, link)| link.data_centre < self.home);
+        let first = first.filter(|(_, link)| link.data_centre < self.own_data_centre);
         there.or(first).map(|(id, _)| **id)
     }
 
-    /// The parts that this box, a hub, leaves to the hub at a link.
+    /// Returns the shares that this box, if it is a hub, delegates to the hub on a link.
     pub fn delegate_shares(
         &mut self,
         id: LinkId,
@@ -368,107 +396,121 @@
         let is_hub = self
             .links
             .get(&id)
-            .is_some_and(|link| link.with == PeerRole::Hub);
+            .is_some_and(|link| link.role == PeerRole::Hub);
         if !is_hub || !known.is_hub {
             return Vec::new();
         }
-        let part = self.share(known, now);
-        let mut left = Vec::new();
-        for name in known.data_centres.iter().filter(|_| part > 0.0) {
-            let is_holder = self.allocator_for(name, now) == Some(id);
-            if is_holder && self.place(name).delegate_to(id, now) {
-                left.push(DelegatedShare {
+        let own_share = self.share(known, now);
+        let mut delegated = Vec::new();
+        for name in known.data_centres.iter().filter(|_| own_share > 0.0) {
+            let is_allocator = self.allocator_for(name, now) == Some(id);
+            if is_allocator && self.delegation_for(name).delegate_to(id, now) {
+                delegated.push(DelegatedShare {
                     data_centre: name.clone(),
-                    share: part,
+                    share: own_share,
                 });
             }
         }
-        left
+        delegated
     }
 
-    /// Takes in the parts that another hub leaves to this one, as of a moment or later.
+    /// Applies the shares that another hub delegates to this one. `as_of` is a moment at
+    /// or after which they were delegated; with `None` they are ignored.
     pub fn receive_delegated_shares(
         &mut self,
         id: LinkId,
-        left: &[DelegatedShare],
-        vouched: Option<Instant>,
+        delegated: &[DelegatedShare],
+        as_of: Option<Instant>,
     ) {
-        let (Some(link), Some(vouched)) = (self.links.get_mut(&id), vouched) else {
+        let (Some(link), Some(as_of)) = (self.links.get_mut(&id), as_of) else {
             return;
         };
         for DelegatedShare {
             data_centre,
-            share: part,
-        } in left
+            share: fraction,
+        } in delegated
         {
-            link.left.insert(data_centre.clone(), (*part, vouched));
+            link.delegated_shares
+                .insert(data_centre.clone(), (*fraction, as_of));
         }
     }
 
-    fn place(&mut self, data_centre: &DataCentreId) -> &mut ShareDelegation {
-        if !self.places.contains_key(data_centre) {
-            self.places.insert(data_centre.clone(), self.fresh);
+    fn delegation_for(&mut self, data_centre: &DataCentreId) -> &mut ShareDelegation {
+        if !self.server_delegations.contains_key(data_centre) {
+            self.server_delegations
+                .insert(data_centre.clone(), self.initial_delegation);
         }
-        self.places.get_mut(data_centre).expect("it is there")
+        self.server_delegations
+            .get_mut(data_centre)
+            .expect("the delegation was inserted above")
     }
 
-    /// How old at most the newest is that this box has heard of any other; none if it never
-    /// heard one.
+    /// Returns the maximum age of the newest state received from any other box; `None` if
+    /// none was received.
     pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
-        let vouched = self.links.values().filter_map(|link| link.vouched);
-        let newest = vouched.max()?;
+        let as_of = self.links.values().filter_map(|link| link.as_of);
+        let newest = as_of.max()?;
         Some(now.saturating_duration_since(newest))
     }
 
-    /// Whether this box knows how many boxes there are at least: by what announcements tell,
-    /// or by its hub's links, once these have stood for long enough. One that is cut off from
-    /// the store and from a data centre stops before the others cease to count it.
-    fn may_use_part(&self, known: &AnnouncementView, now: Instant) -> bool {
-        let in_touch = self.contact.age(now).is_some_and(|age| age <= CUT_OFF);
-        let is_told = known.reported_fleet_size > 1 || self.contact.is_settled(now);
+    /// Whether this box knows a lower bound of the fleet size: from the announcements, or
+    /// from the links of its hub once these have been up for long enough. A box that is
+    /// cut off from the store and from a data centre stops using its share before the
+    /// others cease to count it.
+    fn may_use_share(&self, known: &AnnouncementView, now: Instant) -> bool {
+        let in_contact = self
+            .connectivity
+            .age(now)
+            .is_some_and(|age| age <= MAX_CONTACT_AGE);
+        let is_size_known =
+            known.reported_fleet_size > 1 || self.connectivity.is_settled(now);
         let store_age = known.age.unwrap_or(Duration::MAX);
-        is_told && (in_touch || store_age <= USED_WITHOUT_STORE)
+        is_size_known && (in_contact || store_age <= MAX_USE_WITHOUT_STORE)
     }
 
-    /// Notes, on a hub, when it was in touch with the hubs of all data centres.
-    fn note_contact(&mut self, known: &AnnouncementView, now: Instant) {
-        let fresh = known.age.is_some_and(|age| age <= MOST_FEED_AGE);
-        if !known.is_hub || !fresh {
+    /// On a hub, records when it was last in contact with the hubs of all data centres.
+    fn record_contact(&mut self, known: &AnnouncementView, now: Instant) {
+        let is_current = known.age.is_some_and(|age| age <= MAX_ANNOUNCEMENTS_AGE);
+        if !known.is_hub || !is_current {
             return;
         }
         if known.is_acting_hub && known.data_centres.is_empty() {
-            // The hub that it stands in for may run, with members that nobody here hears of.
+            // The hub that this box replaces may still be running, with members that no
+            // box here receives anything from.
             return;
         }
-        let heard = |data_centre: &DataCentreId| {
-            let hubs = self.with(PeerRole::Hub);
+        let last_seen = |data_centre: &DataCentreId| {
+            let hubs = self.links_with_role(PeerRole::Hub);
             let there = hubs.filter(|link| link.data_centre == *data_centre);
-            there.map(|link| link.heard).max()
+            there.map(|link| link.last_seen).max()
         };
-        let heard: Option<Vec<Instant>> = known.data_centres.iter().map(heard).collect();
-        if let Some(heard) = heard {
-            self.contact.note(heard.into_iter().min().unwrap_or(now));
+        let last_seen: Option<Vec<Instant>> =
+            known.data_centres.iter().map(last_seen).collect();
+        if let Some(last_seen) = last_seen {
+            self.connectivity
+                .note(last_seen.into_iter().min().unwrap_or(now));
         }
     }
 
-    fn with(&self, with: PeerRole) -> impl Iterator<Item = &HeardLink> {
-        self.links.values().filter(move |link| link.with == with)
+    fn links_with_role(&self, role: PeerRole) -> impl Iterator<Item = &ObservedLink> {
+        self.links.values().filter(move |link| link.role == role)
     }
 }
 
-/// A hub that was not heard for so long is lost, or about to be: links end after as long.
-const HUB_HEARD_WITHIN: Duration = Duration::from_secs(1);
-/// A box that was in touch so long ago is taken for cut off.
-const CUT_OFF: Duration = Duration::from_secs(2);
-/// A box that has neither news of the store nor a way to all data centres gives up its part
-/// after this; the others count it for a quarter of a minute longer.
-const USED_WITHOUT_STORE: Duration = Duration::from_secs(45);
-const _: () = assert!(USED_WITHOUT_STORE.as_secs() + 15 <= LONGEST_HOLD.as_secs());
-/// How old a hub's view of the announcements may be while it counts as in touch.
+/// A hub that has been silent for this long is lost or about to be: links time out after
+/// the same time.
+const HUB_TIMEOUT: Duration = Duration::from_secs(1);
+/// A box whose last contact with the fleet is older than this counts as cut off.
+const MAX_CONTACT_AGE: Duration = Duration::from_secs(2);
+/// A box without contact to all data centres stops using its share when its view of the
+/// announcements is older than this; the others count it for 15 s longer.
+const MAX_USE_WITHOUT_STORE: Duration = Duration::from_secs(45);
+const _: () = assert!(MAX_USE_WITHOUT_STORE.as_secs() + 15 <= MAX_HOLD.as_secs());
+/// Maximum age of a hub's view of the announcements for the hub to count as in contact.
 ///
-/// Of a fleet that is cut in two, one part may keep the store, and lose sight of the other
-/// when its leases end, 7 s after the cut at the earliest (10 s after a renewal each 3 s).
-/// Boxes that start there then may spend slack 16 s later, 23 s after the cut. The other part
-/// stops 7 s after it and the 2 s that a contact holds, so its last resends arrive 12 s after
-/// the cut: a window and a second before.
-const MOST_FEED_AGE: Duration = Duration::from_secs(7);
+/// If a fleet is cut in two, one part may keep the store and lose sight of the other when
+/// its leases expire, 7 s after the cut at the earliest (leases last 10 s and are renewed
+/// every 3 s). Boxes that start there then may use slack 16 s later, 23 s after the cut.
+/// The other part stops 7 s after the cut plus the 2 s for which a contact holds, so its
+/// last resends arrive 12 s after the cut: a window and one second earlier.
+const MAX_ANNOUNCEMENTS_AGE: Duration = Duration::from_secs(7);
--- a/crates/wingspur-coordination/src/link_clock.rs
+++ b/crates/wingspur-coordination/src/link_clock.rs
@@ -1,55 +1,60 @@
-//! How old at most what the other side of a link says is, by this box's own clock.
+//! Bounds the age of what the other side of a link reports, using only this box's own
+//! clock.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use wingspur_protocol::LinkTimestamps;
 
-/// The clock of one link: what was sent on it when, and what the other side had of that.
+/// Clock of one link: when frames were sent, and which of them the other side has
+/// received.
 ///
-/// Every frame carries the time of its sending and the newest such time that its sender had
-/// from the other side. What a frame says was put together after its sender had that, so it
-/// is no older than the moment at which this box sent it, however long the frame itself was
-/// on its way or waited in a connection. No two clocks need to agree.
+/// Every frame carries its send time and the newest send time that its sender has
+/// received from the other side. The content of a frame was composed after its sender
+/// received that time, so it is no older than the moment at which this box sent it, no
+/// matter how long the frame was in transit or waited in a connection. The clocks of the
+/// two boxes need not agree.
 #[derive(Debug)]
 pub struct LinkClock {
-    began: Instant,
-    /// The newest time of sending that came from the other side.
-    heard_ms: Option<u32>,
-    /// When this box sent the newest frame that the other side had.
+    started: Instant,
+    /// Newest send time received from the other side, in milliseconds of its clock.
+    peer_sent_ms: Option<u32>,
+    /// When this box sent the newest frame that the other side has acknowledged.
     answered: Option<Instant>,
-    /// The frames that the other side has not said to have, oldest first.
+    /// Send times, in milliseconds since `started`, of the frames that the other side has
+    /// not acknowledged, oldest first.
     unanswered: VecDeque<u32>,
 }
 
 impl LinkClock {
-    /// The clock of a link that is taken up now.
+    /// Creates the clock of a link that is opened now.
     pub fn new(now: Instant) -> Self {
         Self {
-            began: now,
-            heard_ms: None,
+            started: now,
+            peer_sent_ms: None,
             answered: None,
             unanswered: VecDeque::new(),
         }
     }
 
-    /// The stamps of a frame that is sent now.
+    /// Returns the timestamps of a frame that is sent now, and counts the frame as
+    /// unanswered.
     pub fn send(&mut self, now: Instant) -> LinkTimestamps {
-        let sent_ms = now.saturating_duration_since(self.began).as_millis() as u32;
+        let sent_ms = now.saturating_duration_since(self.started).as_millis() as u32;
         self.unanswered.push_back(sent_ms);
         LinkTimestamps {
             sent_ms,
-            heard_ms: self.heard_ms,
+            heard_ms: self.peer_sent_ms,
         }
     }
 
-    /// Takes in the stamps of a frame that came.
-    pub fn receive(&mut self, stamps: &LinkTimestamps) {
-        self.heard_ms = Some(stamps.sent_ms);
-        let Some(answered_ms) = stamps.heard_ms else {
+    /// Applies the timestamps of a received frame.
+    pub fn receive(&mut self, timestamps: &LinkTimestamps) {
+        self.peer_sent_ms = Some(timestamps.sent_ms);
+        let Some(answered_ms) = timestamps.heard_ms else {
             return;
         };
-        let answered = self.began + Duration::from_millis(u64::from(answered_ms));
+        let answered = self.started + Duration::from_millis(u64::from(answered_ms));
         self.answered = self.answered.max(Some(answered));
         while self
             .unanswered
@@ -60,21 +65,22 @@
         }
     }
 
-    /// What the other side said last was true at this moment or later; none before it has
-    /// answered anything.
+    /// Returns a moment at or after which the latest report of the other side was true;
+    /// `None` before it has acknowledged a frame.
     pub fn peer_state_as_of(&self) -> Option<Instant> {
         self.answered
     }
 
-    /// Frames that the other side has not said to have.
+    /// Returns the number of frames that the other side has not acknowledged.
     pub fn unanswered(&self) -> usize {
         self.unanswered.len()
     }
 
-    /// For how long the oldest of them has waited.
+    /// Returns how long the oldest unacknowledged frame has waited; zero if there is
+    /// none.
     pub fn oldest_unanswered_age(&self, now: Instant) -> Duration {
         let oldest = self.unanswered.front().map_or(now, |sent_ms| {
-            self.began + Duration::from_millis(u64::from(*sent_ms))
+            self.started + Duration::from_millis(u64::from(*sent_ms))
         });
         now.saturating_duration_since(oldest)
     }
--- a/crates/wingspur-coordination/src/recent_changes.rs
+++ b/crates/wingspur-coordination/src/recent_changes.rs
@@ -1,28 +1,30 @@
-//! The newest changes of the catalog, for a box that is a little behind.
+//! Keeps the newest changes of the catalog, for boxes that are a little behind.
 
 use std::collections::VecDeque;
 
 use wingspur_protocol::{CatalogChange, CatalogChanges, CatalogUpdate};
 use wingspur_state::StorePosition;
 
-/// The newest changes that this box has told on, each following on the one before.
+/// The newest changes that this box has passed on, each following the one before.
 ///
-/// Members that link with a hub which has just taken over are often some changes behind it. Told all there is, each of them is owed a listing of every server.
+/// Members that link to a hub which has just taken over are often a few changes behind
+/// it. Without these changes, each of them would have to be sent a snapshot of every
+/// server.
 #[derive(Debug, Default)]
 pub struct RecentChanges {
-    /// Oldest first; none begins later than the one before it ends.
-    kept: VecDeque<CatalogChanges>,
-    /// Single changes in them.
+    /// Batches of changes, oldest first; none begins later than the one before it ends.
+    batches: VecDeque<CatalogChanges>,
+    /// Number of single changes in `batches`.
     count: usize,
 }
 
 impl RecentChanges {
-    /// Takes in what is told of the catalog.
+    /// Records a catalog update that is passed on. A snapshot clears the kept changes.
     pub fn put(&mut self, update: &CatalogUpdate) {
         let CatalogUpdate::Changes { changes, .. } = update else {
             return self.clear();
         };
-        let newest = self.kept.back().map(|last| last.position);
+        let newest = self.batches.back().map(|last| last.position);
         if newest.is_some_and(|newest| changes.after > newest) {
             self.clear();
         }
@@ -30,20 +32,24 @@
             return;
         }
         self.count += changes.changes.len();
-        self.kept.push_back(changes.clone());
-        while self.count > MOST_CHANGES || self.kept.len() > MOST_CHANGES {
-            let oldest = self.kept.pop_front();
+        self.batches.push_back(changes.clone());
+        while self.count > MAX_CHANGES || self.batches.len() > MAX_CHANGES {
+            let oldest = self.batches.pop_front();
             self.count -= oldest.map_or(0, |oldest| oldest.changes.len());
         }
     }
 
-    /// All changes after a position, in one; none if they are not all kept.
+    /// Returns all changes after a position as one batch; `None` if not all of them are
+    /// kept or there are none.
     pub fn since(&self, position: StorePosition) -> Option<CatalogChanges> {
-        let newest = self.kept.back()?.position;
-        let first = self.kept.iter().position(|kept| kept.position > position)?;
-        let after = self.kept[first].after;
-        let changes = self.kept.range(first..);
-        let changes = changes.flat_map(|kept| &kept.changes);
+        let newest = self.batches.back()?.position;
+        let first = self
+            .batches
+            .iter()
+            .position(|batch| batch.position > position)?;
+        let after = self.batches[first].after;
+        let changes = self.batches.range(first..);
+        let changes = changes.flat_map(|batch| &batch.changes);
         let changes: Vec<CatalogChange> = changes.cloned().collect();
         (after <= position).then_some(CatalogChanges {
             after: position,
@@ -53,11 +59,11 @@
     }
 
     fn clear(&mut self) {
-        self.kept.clear();
+        self.batches.clear();
         self.count = 0;
     }
 }
 
-/// As many changes as a listing of the largest site of today has entries; told one by one
-/// they would cost no less than it.
-const MOST_CHANGES: usize = 1000;
+/// Number of entries in a snapshot of the largest supported site: more single changes
+/// would cost no less than a snapshot.
+const MAX_CHANGES: usize = 1000;
--- a/crates/wingspur-coordination/src/rollup.rs
+++ b/crates/wingspur-coordination/src/rollup.rs
@@ -1,8 +1,8 @@
-//! Aggregates the tallies of boxes, and composes the updates of each link.
+//! Aggregates the tallies of boxes, and composes the tally updates for each link.
 //!
-//! Every box has a rollup. Its own tallies and those of its members, if it is a hub, add up
-//! to its total. A link is sent the total without what it reported itself. Digests of other
-//! hubs are forwarded to members unchanged.
+//! Every box has a rollup. Its own tallies and, on a hub, those of its members add up to
+//! its total. A link is sent the total without what it reported itself. Tally updates of
+//! other hubs are forwarded to members unchanged.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -45,9 +45,9 @@
 pub struct SourceUpdate {
     /// Who reported them.
     pub source: SourceId,
-    /// Server tallies as they stand, with the counts that are new.
+    /// Current tallies of servers, each with the increase since the previous update.
     pub servers: Vec<(KeyedTally, ServerTally)>,
-    /// New counts of services.
+    /// Increases of the tallies of services, by service key.
     pub services: Vec<(u64, ServiceTally)>,
 }
 
@@ -61,33 +61,35 @@
 struct Link {
     kind: LinkKind,
     /// What a member has reported.
-    told: Tallies,
+    reported: Tallies,
     /// Changes of this box's total.
     unsent: Unsent,
     /// Changes of other hubs' tallies.
     unsent_foreign: BTreeMap<SourceId, Unsent>,
-    /// Other hubs that it should forget: their requests have ended, or others report them.
-    gone: Vec<SourceId>,
+    /// Other hubs that the member should forget, because their requests have ended or
+    /// other boxes report them.
+    lost_sources: Vec<SourceId>,
 }
 
 /// What has changed since a link was last sent an update; everything for a new link.
 #[derive(Debug, Default)]
 struct Unsent {
-    whole: bool,
-    /// Servers that have failed, refused or kept silent: each request that goes there before
-    /// the update arrives may be lost.
+    is_full: bool,
+    /// Servers that have failed, refused or not responded: each request that goes there
+    /// before the update arrives may be lost.
     failing: KeySet,
-    /// Servers of which only good answers and requests that are out have changed.
+    /// Servers where only successful responses and requests in flight have changed.
     servers: KeySet,
-    /// Where the next update begins among those, so that each has its turn.
+    /// Position in `servers` at which the next update begins, so that each server gets
+    /// its turn.
     next: usize,
     services: BTreeSet<u64>,
 }
 
-/// What an update takes of one source.
+/// The changes of one source that go into one update.
 #[derive(Debug, Default)]
-struct Taken {
-    whole: bool,
+struct Selection {
+    is_full: bool,
     servers: Vec<ServerKey>,
     services: BTreeSet<u64>,
 }
@@ -97,12 +99,12 @@
 struct Changed {
     /// Its position in the index.
     position: usize,
-    /// Whether it has failed, refused or kept silent.
+    /// Whether it has failed, refused or not responded.
     is_failing: bool,
 }
 
 impl Rollup {
-    /// A rollup that reports as `source`.
+    /// Creates a rollup that reports as `source`.
     pub fn new(source: SourceId) -> Self {
         let mut rollup = Self {
             source,
@@ -118,86 +120,88 @@
 
     /// Adds a link.
     pub fn add_link(&mut self, id: LinkId, kind: LinkKind) {
-        let whole = || Unsent {
-            whole: true,
+        let all_unsent = || Unsent {
+            is_full: true,
             ..Unsent::default()
         };
         let mut unsent_foreign = BTreeMap::new();
         if kind == LinkKind::Member {
-            unsent_foreign.extend(self.foreign.keys().map(|source| (*source, whole())));
+            unsent_foreign
+                .extend(self.foreign.keys().map(|source| (*source, all_unsent())));
         }
         let link = Link {
             kind,
-            told: Tallies::default(),
-            unsent: whole(),
+            reported: Tallies::default(),
+            unsent: all_unsent(),
             unsent_foreign,
-            gone: Vec::new(),
+            lost_sources: Vec::new(),
         };
         self.links.insert(id, link);
     }
 
-    /// Removes a link. The counts of a member stay, its requests in flight do not.
+    /// Removes a link. The counters of a member stay in the total; its requests in flight
+    /// do not.
     pub fn drop_link(&mut self, id: LinkId) {
         let Some(link) = self.links.remove(&id) else {
             return;
         };
         let mut changed = Vec::new();
-        for (key, told) in &link.told.servers {
+        for (key, reported) in &link.reported.servers {
             let total = self.total.servers.entry(*key).or_default();
-            *total = total.without_stale(told);
+            *total = total.without_stale(reported);
             changed.push(Changed {
                 position: self.index.position(*key),
-                is_failing: told.silence_quarters > 0,
+                is_failing: reported.silence_quarters > 0,
             });
         }
         self.mark(None, &changed, &[]);
-        let by_link = self.foreign.iter().filter(|(_, (by, _))| *by == id);
+        let by_link = self.foreign.iter().filter(|(_, (link, _))| *link == id);
         let lost: Vec<SourceId> = by_link.map(|(source, _)| *source).collect();
-        lost.into_iter().for_each(|source| self.lose(source));
+        lost.into_iter().for_each(|source| self.drop_source(source));
     }
 
-    /// The sources that were lost since the last call.
+    /// Returns the sources that were lost since the last call.
     pub fn take_lost_sources(&mut self) -> Vec<SourceId> {
         std::mem::take(&mut self.lost)
     }
 
-    /// Applies a digest that a link sent.
-    pub fn receive(&mut self, id: LinkId, digest: &TallyUpdate) {
+    /// Applies a tally update that was received on a link.
+    pub fn receive(&mut self, id: LinkId, update: &TallyUpdate) {
         match self.links.get(&id).map(|link| link.kind) {
-            Some(LinkKind::Member) => self.receive_from_member(id, digest),
-            Some(LinkKind::Hub) => self.receive_from_hub(id, digest),
+            Some(LinkKind::Member) => self.receive_from_member(id, update),
+            Some(LinkKind::Hub) => self.receive_from_hub(id, update),
             None => {}
         }
     }
 
-    /// The update of a link; empty when it has been sent everything.
+    /// Composes the update for a link; empty when the link has been sent everything.
     pub fn compose(&mut self, id: LinkId) -> Vec<TallyUpdate> {
         self.compose_within(id, usize::MAX)
     }
 
-    /// The same with tallies of `most_servers` servers at most. Those that fail are included
-    /// whatever their number; what does not fit waits for the next update.
+    /// Composes an update with the tallies of at most `max_servers` servers. Failing
+    /// servers are included whatever their number; what does not fit waits for the next
+    /// update.
     ///
-    /// Changes grow with the servers, and the bandwidth of a link does not: sent all of them,
-    /// each link would receive failures as late as everything else.
-    pub fn compose_within(
-        &mut self,
-        id: LinkId,
-        most_servers: usize,
-    ) -> Vec<TallyUpdate> {
+    /// The volume of changes grows with the number of servers, and the bandwidth of a
+    /// link does not: if all changes were sent, each link would receive failures as late
+    /// as everything else.
+    pub fn compose_within(&mut self, id: LinkId, max_servers: usize) -> Vec<TallyUpdate> {
         let Some(link) = self.links.get_mut(&id) else {
             return Vec::new();
         };
-        let gone = std::mem::take(&mut link.gone).into_iter();
-        let mut digests: Vec<TallyUpdate> = gone.map(nothing_left).collect();
-        let mut room = most_servers;
+        let lost_sources = std::mem::take(&mut link.lost_sources).into_iter();
+        let mut updates: Vec<TallyUpdate> = lost_sources.map(end_of_source).collect();
+        let mut servers_left = max_servers;
         let index = &mut self.index;
-        let taken = link.unsent.take_within(&mut room, &self.total, index);
-        if !taken.is_empty() {
-            let digest = self.total.without(&link.told, &taken);
-            digests.push(TallyUpdate {
+        let selection = link
+            .unsent
+            .take_within(&mut servers_left, &self.total, index);
+        if !selection.is_empty() {
+            let update = self.total.without(&link.reported, &selection);
+            updates.push(TallyUpdate {
                 source: self.source,
-                ..digest
+                ..update
             });
         }
         for (source, unsent) in &mut link.unsent_foreign {
@@ -205,16 +209,16 @@
                 *unsent = Unsent::default();
                 continue;
             };
-            let taken = unsent.take_within(&mut room, tallies, index);
-            if !taken.is_empty() {
-                let digest = tallies.without(&Tallies::default(), &taken);
-                digests.push(TallyUpdate {
+            let selection = unsent.take_within(&mut servers_left, tallies, index);
+            if !selection.is_empty() {
+                let update = tallies.without(&Tallies::default(), &selection);
+                updates.push(TallyUpdate {
                     source: *source,
-                    ..digest
+                    ..update
                 });
             }
         }
-        digests
+        updates
     }
 
     /// Whether a link has yet to be sent anything.
@@ -224,10 +228,11 @@
         };
         let foreign = link.unsent_foreign.values();
         let any_foreign = foreign.into_iter().any(|unsent| !unsent.is_empty());
-        !link.unsent.is_empty() || !link.gone.is_empty() || any_foreign
+        !link.unsent.is_empty() || !link.lost_sources.is_empty() || any_foreign
     }
 
-    /// Whether a link has yet to be sent servers that have failed, refused or kept silent.
+    /// Whether a link has yet to be sent servers that have failed, refused or not
+    /// responded.
     pub fn has_failures(&self, id: LinkId) -> bool {
         let Some(link) = self.links.get(&id) else {
             return false;
@@ -237,94 +242,95 @@
             || foreign.any(|unsent| !unsent.failing.is_empty())
     }
 
-    fn receive_from_member(&mut self, id: LinkId, digest: &TallyUpdate) {
+    fn receive_from_member(&mut self, id: LinkId, update: &TallyUpdate) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
         let mut servers = Vec::new();
-        for (key, tally) in &digest.servers {
-            let told = link.told.servers.entry(*key).or_default();
-            if digest.is_full {
-                // Another hub has reported what a member counted before it linked here.
-                *told = tally.without_gauges();
+        for (key, tally) in &update.servers {
+            let reported = link.reported.servers.entry(*key).or_default();
+            if update.is_full {
+                // Another hub has already reported what this member counted before it
+                // linked here.
+                *reported = tally.without_gauges();
             }
             let total = self.total.servers.entry(*key).or_default();
-            *total = total.plus(&tally.since(told)).without_stale(told);
+            *total = total.plus(&tally.since(reported)).without_stale(reported);
             servers.push(Changed {
                 position: self.index.position(*key),
-                is_failing: tally.has_failed_since(told),
+                is_failing: tally.has_failed_since(reported),
             });
-            *told = *tally;
+            *reported = *tally;
         }
         let mut services = Vec::new();
-        for (key, tally) in &digest.services {
-            let told = link.told.services.entry(*key).or_default();
-            if digest.is_full {
-                *told = *tally;
+        for (key, tally) in &update.services {
+            let reported = link.reported.services.entry(*key).or_default();
+            if update.is_full {
+                *reported = *tally;
             }
             let total = self.total.services.entry(*key).or_default();
-            *total = total.plus(&tally.increase_since(told));
-            *told = *tally;
+            *total = total.plus(&tally.increase_since(reported));
+            *reported = *tally;
             services.push(*key);
         }
         self.mark(Some(id), &servers, &services);
     }
 
-    fn receive_from_hub(&mut self, id: LinkId, digest: &TallyUpdate) {
-        if digest.source == self.source {
+    fn receive_from_hub(&mut self, id: LinkId, update: &TallyUpdate) {
+        if update.source == self.source {
             return;
         }
-        if is_nothing_left(digest) {
-            let from_here = self.foreign.get(&digest.source);
-            if from_here.is_some_and(|(by, _)| *by == id) {
-                self.lose(digest.source);
+        if is_end_of_source(update) {
+            let from_here = self.foreign.get(&update.source);
+            if from_here.is_some_and(|(link, _)| *link == id) {
+                self.drop_source(update.source);
             }
             return;
         }
-        let fresh = || (id, Tallies::default());
-        let entry = self.foreign.entry(digest.source).or_insert_with(fresh);
-        if digest.is_full {
+        let new_entry = || (id, Tallies::default());
+        let entry = self.foreign.entry(update.source).or_insert_with(new_entry);
+        if update.is_full {
             entry.1 = Tallies::default();
         }
         entry.0 = id;
-        let mut changed = Vec::with_capacity(digest.servers.len());
-        for (key, tally) in &digest.servers {
+        let mut changed = Vec::with_capacity(update.servers.len());
+        for (key, tally) in &update.servers {
             let before = entry.1.servers.insert(*key, *tally).unwrap_or_default();
             changed.push(Changed {
                 position: self.index.position(*key),
-                is_failing: !digest.is_full && tally.has_failed_since(&before),
+                is_failing: !update.is_full && tally.has_failed_since(&before),
             });
         }
-        entry.1.services.extend(digest.services.iter().copied());
+        entry.1.services.extend(update.services.iter().copied());
         let members = self.links.iter_mut();
         for (_, link) in members.filter(|(_, link)| link.kind == LinkKind::Member) {
-            let unsent = link.unsent_foreign.entry(digest.source).or_default();
-            unsent.whole |= digest.is_full;
+            let unsent = link.unsent_foreign.entry(update.source).or_default();
+            unsent.is_full |= update.is_full;
             unsent.mark(&changed);
             unsent
                 .services
-                .extend(digest.services.iter().map(|(key, _)| *key));
+                .extend(update.services.iter().map(|(key, _)| *key));
         }
     }
 
-    /// Forgets a source, and has the members forget it.
-    fn lose(&mut self, source: SourceId) {
+    /// Removes a source, and tells the members to forget it.
+    fn drop_source(&mut self, source: SourceId) {
         self.foreign.remove(&source);
         self.lost.push(source);
         let others = self.links.iter_mut().filter(|(id, _)| **id != OWN_LINK);
         for (_, link) in others.filter(|(_, link)| link.kind == LinkKind::Member) {
             link.unsent_foreign.remove(&source);
-            link.gone.push(source);
+            link.lost_sources.push(source);
         }
         if let Some(own) = self.links.get_mut(&OWN_LINK) {
             own.unsent_foreign.remove(&source);
         }
     }
 
-    /// Marks parts of the total as changed for all links but one.
-    fn mark(&mut self, but: Option<LinkId>, servers: &[Changed], services: &[u64]) {
+    /// Marks servers and services of the total as changed for all links except one.
+    fn mark(&mut self, except: Option<LinkId>, servers: &[Changed], services: &[u64]) {
         for (id, link) in &mut self.links {
-            if Some(*id) != but {
+            if Some(*id) != except {
                 link.unsent.mark(servers);
                 link.unsent.services.extend(services);
             }
@@ -334,28 +340,28 @@
 
 impl Tallies {
     /// The tallies of an update, without what its link has reported of them.
-    fn without(&self, told: &Self, taken: &Taken) -> TallyUpdate {
+    fn without(&self, reported: &Self, selection: &Selection) -> TallyUpdate {
         let of_server = |key: &ServerKey| {
-            let own = told.servers.get(key).copied().unwrap_or_default();
+            let own = reported.servers.get(key).copied().unwrap_or_default();
             let total = self.servers.get(key).copied().unwrap_or_default();
             (*key, total.minus(&own))
         };
         let of_service = |key: &u64| {
-            let own = told.services.get(key).copied().unwrap_or_default();
+            let own = reported.services.get(key).copied().unwrap_or_default();
             let total = self.services.get(key).copied().unwrap_or_default();
             (*key, total.since(&own))
         };
         TallyUpdate {
             source: 0,
-            is_full: taken.whole,
-            servers: taken.servers.iter().map(of_server).collect(),
-            services: taken.services.iter().map(of_service).collect(),
+            is_full: selection.is_full,
+            servers: selection.servers.iter().map(of_server).collect(),
+            services: selection.services.iter().map(of_service).collect(),
         }
     }
 }
 
-/// The digest that ends a source: all of its tallies, and there are none.
-fn nothing_left(source: SourceId) -> TallyUpdate {
+/// Returns the tally update that ends a source: a full update without any tallies.
+fn end_of_source(source: SourceId) -> TallyUpdate {
     TallyUpdate {
         source,
         is_full: true,
@@ -363,14 +369,14 @@
     }
 }
 
-fn is_nothing_left(digest: &TallyUpdate) -> bool {
-    digest.is_full && digest.servers.is_empty() && digest.services.is_empty()
+fn is_end_of_source(update: &TallyUpdate) -> bool {
+    update.is_full && update.servers.is_empty() && update.services.is_empty()
 }
 
 impl Unsent {
     fn is_empty(&self) -> bool {
         let has_servers = !self.servers.is_empty() || !self.failing.is_empty();
-        !self.whole && !has_servers && self.services.is_empty()
+        !self.is_full && !has_servers && self.services.is_empty()
     }
 
     fn mark(&mut self, servers: &[Changed]) {
@@ -384,18 +390,19 @@
         }
     }
 
-    /// Takes what an update has room for, and takes it off the room for servers.
+    /// Takes the changes that fit into an update, and subtracts their servers from
+    /// `servers_left`.
     fn take_within(
         &mut self,
-        room: &mut usize,
+        servers_left: &mut usize,
         tallies: &Tallies,
         index: &mut KeyIndex,
-    ) -> Taken {
-        if self.whole && *room == 0 {
-            // A whole digest without tallies would end its source.
-            return Taken::default();
+    ) -> Selection {
+        if self.is_full && *servers_left == 0 {
+            // A full update without tallies would end its source.
+            return Selection::default();
         }
-        if self.whole {
+        if self.is_full {
             // Everything is sent, whatever has changed.
             for key in tallies.servers.keys() {
                 let position = index.position(*key);
@@ -406,26 +413,27 @@
             self.services = tallies.services.keys().copied().collect();
         }
         let mut positions = self.failing.take();
-        *room = room.saturating_sub(positions.len());
-        let others = self.servers.take_from(&mut self.next, *room);
-        *room -= others.len();
+        *servers_left = servers_left.saturating_sub(positions.len());
+        let others = self.servers.take_from(&mut self.next, *servers_left);
+        *servers_left -= others.len();
         positions.extend(others);
         let key_at = |position: &usize| index.key(*position);
-        Taken {
-            whole: std::mem::take(&mut self.whole),
+        Selection {
+            is_full: std::mem::take(&mut self.is_full),
             servers: positions.iter().map(key_at).collect(),
             services: std::mem::take(&mut self.services),
         }
     }
 }
 
-impl Taken {
+impl Selection {
     fn is_empty(&self) -> bool {
-        !self.whole && self.servers.is_empty() && self.services.is_empty()
+        !self.is_full && self.servers.is_empty() && self.services.is_empty()
     }
 }
 
-/// Turns digests into updates: current tallies with the increase since the last ones.
+/// Turns tally updates into source updates: current tallies with the increase since the
+/// previous update of the same source.
 #[derive(Debug, Default)]
 pub struct TallyUpdateReader {
     known: HashMap<SourceId, KnownSource>,
@@ -435,46 +443,47 @@
 #[derive(Debug, Default)]
 struct KnownSource {
     tallies: Tallies,
-    /// Whether the source has sent a whole digest, so that an unknown tally began at zero.
-    told_whole: bool,
+    /// Whether the source has sent a full update, so that a tally not known yet began at
+    /// zero.
+    sent_full: bool,
 }
 
 impl TallyUpdateReader {
-    /// Reads a digest; the first of a source is only the baseline of later ones.
+    /// Reads a tally update. The first one of a source is only the baseline of later
+    /// ones.
     ///
-    /// So is the first tally of a server or a service while the source has never sent a whole
-    /// digest: it was forgotten, and goes on where it was. Its lifetime counts would be an
-    /// increase otherwise, and the requests of a service earn a retry budget.
-    pub fn read(&mut self, digest: &TallyUpdate) -> SourceUpdate {
-        let known = self.known.entry(digest.source).or_default();
-        let begins_at_nothing = known.told_whole;
-        known.told_whole |= digest.is_full;
-        let mut servers = Vec::with_capacity(digest.servers.len());
-        for (key, tally) in &digest.servers {
+    /// The same holds for the first tally of a server or a service while the source has
+    /// never sent a full update: the source was forgotten here, and its counters continue
+    /// from where they were. Otherwise its lifetime counts would be taken for an
+    /// increase, and the requests of a service earn retry budget.
+    pub fn read(&mut self, update: &TallyUpdate) -> SourceUpdate {
+        let known = self.known.entry(update.source).or_default();
+        let starts_at_zero = known.sent_full;
+        known.sent_full |= update.is_full;
+        let mut servers = Vec::with_capacity(update.servers.len());
+        for (key, tally) in &update.servers {
             let before = known.tallies.servers.insert(*key, *tally);
-            let updates = match before {
+            let increase = match before {
                 Some(before) => tally.increase_since(&before),
-                None if begins_at_nothing => {
-                    tally.increase_since(&ServerTally::default())
-                }
+                None if starts_at_zero => tally.increase_since(&ServerTally::default()),
                 None => ServerTally::default(),
             };
-            servers.push(((*key, *tally), updates));
+            servers.push(((*key, *tally), increase));
         }
-        let mut services = Vec::with_capacity(digest.services.len());
-        for (key, tally) in &digest.services {
+        let mut services = Vec::with_capacity(update.services.len());
+        for (key, tally) in &update.services {
             let before = known.tallies.services.get(key).copied();
             let mark = before.map_or(*tally, |before| tally.mark_after(&before));
             known.tallies.services.insert(*key, mark);
-            let updates = match before {
+            let increase = match before {
                 Some(before) => tally.increase_since(&before),
-                None if begins_at_nothing => *tally,
+                None if starts_at_zero => *tally,
                 None => ServiceTally::default(),
             };
-            services.push((*key, updates));
+            services.push((*key, increase));
         }
         SourceUpdate {
-            source: digest.source,
+            source: update.source,
             servers,
             services,
         }
--- a/crates/wingspur-coordination/src/snapshot_frames.rs
+++ b/crates/wingspur-coordination/src/snapshot_frames.rs
@@ -1,4 +1,4 @@
-//! Listings of the catalog as links are sent them: encoded once for all links.
+//! Catalog snapshots as links are sent them, encoded once for all links.
 
 use std::sync::{Arc, Weak};
 
@@ -7,48 +7,51 @@
 };
 use wingspur_state::BundleVersion;
 
-/// Encoded listings, for as long as a link is still owed one.
+/// Encoded snapshots, kept as long as a link still has to be sent one.
 ///
-/// A listing grows with the servers, and the links of a hub with the boxes; one copy for each
-/// link would grow with their product.
+/// The size of a snapshot grows with the number of servers, and the number of links of a
+/// hub with the number of boxes; one copy for each link would grow with the product of
+/// both.
 #[derive(Debug, Default)]
 pub struct SnapshotFrameCache {
-    kept: Vec<Kept>,
-    /// How many were encoded so far.
+    cached: Vec<CachedFrame>,
+    /// Number of snapshots encoded so far.
     encoded: usize,
 }
 
-/// A listing that one link is owed.
+/// A snapshot that has yet to be sent on one link.
 #[derive(Debug, Clone)]
 pub struct PendingSnapshot {
-    /// The listing.
+    /// The snapshot.
     pub listing: Arc<CatalogSnapshotUpdate>,
-    /// The version of the bundle that is in force at the other side; one that it has is left
-    /// out.
+    /// Version of the bundle that is active at the other side. The bundle of the snapshot
+    /// is left out unless it is newer.
     pub bundle_version: BundleVersion,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedFrame {
     listing: Weak<CatalogSnapshotUpdate>,
     with_bundle: bool,
     frame: EncodedFrame,
 }
 
 impl SnapshotFrameCache {
-    /// The frame that tells a listing.
+    /// Returns the encoded frame of a snapshot, which is encoded only if no link has
+    /// needed it yet.
     pub fn frame(&mut self, pending: &PendingSnapshot) -> EncodedFrame {
         let with_bundle = pending.with_bundle();
-        let is_same = |kept: &&Kept| {
-            let is_listing = std::ptr::eq(kept.listing.as_ptr(), &*pending.listing);
-            is_listing && kept.with_bundle == with_bundle
+        let is_same = |cached: &&CachedFrame| {
+            let is_same_listing =
+                std::ptr::eq(cached.listing.as_ptr(), &*pending.listing);
+            is_same_listing && cached.with_bundle == with_bundle
         };
-        if let Some(kept) = self.kept.iter().find(is_same) {
-            return kept.frame.clone();
+        if let Some(cached) = self.cached.iter().find(is_same) {
+            return cached.frame.clone();
         }
         let frame = pending.encode();
         self.encoded += 1;
-        self.kept.push(Kept {
+        self.cached.push(CachedFrame {
             listing: Arc::downgrade(&pending.listing),
             with_bundle,
             frame: frame.clone(),
@@ -56,12 +59,13 @@
         frame
     }
 
-    /// Forgets the listings that no link is owed any more.
+    /// Evicts the snapshots that no link has to be sent any more.
     pub fn evict_unused(&mut self) {
-        self.kept.retain(|kept| kept.listing.strong_count() > 0);
+        self.cached
+            .retain(|cached| cached.listing.strong_count() > 0);
     }
 
-    /// How many listings were encoded so far.
+    /// Returns the number of snapshots encoded so far.
     pub fn encoded_count(&self) -> usize {
         self.encoded
     }
