--- a/tests/tests/fleet.rs
+++ b/tests/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole deployments on loopback: real boxes before small stand-ins.
+//! Whole deployments on loopback: real boxes in front of small test servers.
 
 use std::time::Duration;
 
@@ -170,7 +170,7 @@
         assert_eq!(fleet.check_once_only(&report), (0, 0));
         let reads = vec![(RequestKind::new("GET", "/exam/p"), 1.0)];
         let report = load.run(&some_seconds(20.0, reads)).await;
-        assert_eq!(report.answered, 40, "all else goes on");
+        assert_eq!(report.answered, 40, "other requests are still served");
         fleet.store.set_fault(StoreFault::None);
         smol::Timer::after(Duration::from_secs(3)).await;
         let report = load.run(&some_seconds(20.0, mix)).await;
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet in virtual time: boxes of three data centres, hubs that hold parts of allowances and
-//! lend, members that borrow, requests, faults, and messages on the way. The decisions are
-//! the real ones; a seed decides the rest.
+//! Simulates a fleet in virtual time: boxes of three data centres, hubs that allocate
+//! quotas and lease them, members as lease clients, requests, faults, and messages in
+//! transit. The decisions are those of the real code; everything else follows from a
+//! seed.
 #![allow(dead_code, reason = "each suite uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -28,38 +29,38 @@
 };
 const STEP_MS: u64 = 10;
 const DATA_CENTRES: usize = 3;
-/// What a message takes; the longest where a play says nothing else.
-const LEAST_WAY_MS: u64 = 1;
-const MOST_WAY_MS: u64 = 8;
-const SIGN_OF_LIFE_MS: u64 = 150;
-/// How often links are looked at.
-const LINKS_EVERY_MS: u64 = 50;
-/// How often boxes go on with what waits, note their part while nothing does, and drop pools
-/// that are full.
-const GO_ON_EVERY_MS: u64 = 20;
-const NOTED_EVERY_MS: u64 = 200;
-const TIDY_EVERY_MS: u64 = 1_000;
-/// Who waits longer is refused.
-const PATIENCE_MS: u64 = 1_800;
-/// A run that starts has its links after this, and callers before it.
-const LINKED_AFTER_MS: u64 = 400;
+/// Transit time of a message; the maximum unless the scenario delays messages.
+const MIN_TRANSIT_MS: u64 = 1;
+const MAX_TRANSIT_MS: u64 = 8;
+const HEARTBEAT_MS: u64 = 150;
+/// How often links are checked.
+const LINK_CHECK_INTERVAL_MS: u64 = 50;
+/// How often boxes poll pending lease requests, update their shares if none are pending,
+/// and evict idle quotas.
+const POLL_INTERVAL_MS: u64 = 20;
+const SHARE_UPDATE_INTERVAL_MS: u64 = 200;
+const EVICT_INTERVAL_MS: u64 = 1_000;
+/// A request that waits longer for quota is refused.
+const QUOTA_TIMEOUT_MS: u64 = 1_800;
+/// Time after its start at which an instance has its links and serves callers.
+const LINK_SETUP_MS: u64 = 400;
 pub const END_MS: u64 = 40_000;
-/// Callers come once the fleet has settled.
+/// Callers send requests from this time on, when the fleet has settled.
 pub const OPEN_MS: u64 = 6_000;
 
-/// What happens in a play.
+/// Load and faults of a simulation.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub name: &'static str,
-    /// What is asked for, as a multiple of the usual.
+    /// Request rate as a multiple of the usual one.
     pub asked: fn(ms: u64) -> f64,
     /// Whether a box runs.
     pub runs: fn(place: usize, ms: u64) -> bool,
-    /// Whether two boxes hear each other.
+    /// Whether two boxes can communicate.
     pub hears: fn(one: usize, other: usize, ms: u64) -> bool,
-    /// Until when a box stands still; 0 where it does not.
+    /// Time until which a box is suspended; 0 if it is not.
     pub frozen_until: fn(place: usize, ms: u64) -> u64,
-    /// When what is sent between boxes can arrive.
+    /// Earliest arrival of a message that would otherwise arrive at `ms`.
     pub passes: fn(ms: u64) -> u64,
 }
 
@@ -144,8 +145,8 @@
     }
 }
 
-/// Boxes are stopped and started one after the other, a fifth are killed, and then six in ten
-/// at once; each is back after three tenths of a second.
+/// Boxes are restarted one after the other, a fifth are killed, and then six in ten at
+/// once; each is back after 0.3 s.
 fn most_lost_after_a_roll(place: usize, ms: u64) -> bool {
     let rolled_ms = 10_000 + 600 * (place as u64 / 2);
     let is_rolled = place < 16 && within(ms, rolled_ms, rolled_ms + 300);
@@ -158,7 +159,7 @@
     0.7
 }
 
-/// Losses of boxes while an account asks for less than its limit.
+/// Losses of boxes while an account requests less than its limit.
 pub const LOSSES: Scenario = Scenario {
     name: "most lost after a roll",
     asked: seven_tenths,
@@ -166,7 +167,7 @@
     ..CALM
 };
 
-/// The faults, each alone.
+/// Returns the scenarios with one fault each.
 pub fn faults() -> Vec<Scenario> {
     vec![
         CALM,
@@ -208,7 +209,7 @@
     ]
 }
 
-/// Two faults at once; of two of the same sort the second.
+/// Combines two faults; if both are of the same kind, the second one applies.
 pub fn both(one: &Scenario, other: &Scenario) -> Scenario {
     let is_of = |scenario: &Scenario, names: &[&str]| names.contains(&scenario.name);
     let kills = [
@@ -217,62 +218,62 @@
         "boxes killed one by one",
     ];
     let cuts = ["one data centre alone", "boxes cut off"];
-    let of = |names: &[&str]| match is_of(other, names) {
+    let pick = |names: &[&str]| match is_of(other, names) {
         true => *other,
         false => *one,
     };
     Scenario {
         name: other.name,
         asked: one.asked,
-        runs: of(&kills).runs,
-        hears: of(&cuts).hears,
-        frozen_until: of(&["boxes frozen"]).frozen_until,
-        passes: of(&["links stand still"]).passes,
+        runs: pick(&kills).runs,
+        hears: pick(&cuts).hears,
+        frozen_until: pick(&["boxes frozen"]).frozen_until,
+        passes: pick(&["links stand still"]).passes,
     }
 }
 
-/// A message between two runs of boxes.
+/// A message between two instances of boxes.
 struct Message {
     due_ms: u64,
-    from: Run,
-    to: Run,
-    what: What,
+    from: Instance,
+    to: Instance,
+    payload: Payload,
 }
 
-type Run = (usize, u64);
+type Instance = (usize, u64);
 
 #[derive(Clone)]
-enum What {
+enum Payload {
     Note {
-        told: FleetStatus,
-        census: MembershipUpdate,
-        left: Vec<DelegatedShare>,
+        status: FleetStatus,
+        membership: MembershipUpdate,
+        delegated: Vec<DelegatedShare>,
         sent: Instant,
         echo: Option<Instant>,
     },
-    Lending(LeaseMessages),
-    /// The server's limit, with how long ago it said so.
+    Lease(LeaseMessages),
+    /// The limit of the server, and how long ago the server reported it.
     Limit(Option<f64>, Duration),
-    /// A hub has ended a link in order: it uses the other side's part no more.
+    /// A hub has closed a link in order, and no longer uses the share of the other side.
     Ended,
 }
 
-/// What is shared out in a play.
+/// The quota that is shared in a simulation.
 enum Subject {
-    /// What a client account may ask for.
+    /// The quota of a client account.
     Account(Arc<ClientAccount>),
-    /// What a server takes.
+    /// The limit of a server.
     Server(LimitedServer),
 }
 
-/// One of a service's servers, which names limits.
+/// A server of a service, which reports limits.
 #[derive(Clone, Copy)]
 pub struct LimitedServer {
-    /// What it names, by the time.
+    /// Limit that it reports at a time, in requests per second; `None` for no limit.
     pub names: fn(ms: u64) -> Option<f64>,
-    /// The service's servers.
+    /// Number of servers of the service.
     pub servers: usize,
-    /// What is asked of the service in a second.
+    /// Request rate of the service.
     pub requests_per_s: f64,
     /// Whether there is no other server that could take a request.
     pub is_only: bool,
@@ -282,37 +283,37 @@
 #[derive(Clone, Copy)]
 pub struct Arrival {
     pub ms: u64,
-    /// Since when its box has known a limit; none where it knows of none.
+    /// Since when its box has known that there is a limit; `None` if it knows of none.
     pub told_ms: Option<u64>,
 }
 
-/// An answer of the server on its way.
-struct ServerAnswer {
+/// A response of the server in transit.
+struct ServerResponse {
     due_ms: u64,
-    to: Run,
+    to: Instance,
     per_s: Option<f64>,
 }
 
 struct SimBox {
-    life: u64,
+    instance: u64,
     since_ms: u64,
     view: FleetView,
-    desk: QuotaLeaseManager,
-    /// Requests that wait, by when they came, with where they are told the outcome.
+    lease_manager: QuotaLeaseManager,
+    /// Requests that wait for quota: when they arrived, and the pending outcome.
     waiting: VecDeque<(u64, PendingGrant)>,
     limits: ServerLimits,
-    /// Since when it has known that there is a limit.
-    told_ms: Option<u64>,
-    links: BTreeMap<Run, SimLink>,
+    /// Since when the box has known that there is a limit.
+    limit_known_since_ms: Option<u64>,
+    links: BTreeMap<Instance, SimLink>,
 }
 
 struct SimLink {
-    with: PeerRole,
-    /// When the last message that was heard was sent, by the sender's clock.
+    role: PeerRole,
+    /// Send time of the newest received message, by the clock of the sender.
     echo: Option<Instant>,
-    /// When what was heard last was true at the earliest, by the own clock.
+    /// A moment at or after which the newest received state was true, by the own clock.
     vouched: Option<Instant>,
-    /// What is still to be told of the server's limit.
+    /// Change of the limit of the server that has yet to be sent.
     limit: Option<ServerLimitChange>,
 }
 
@@ -325,21 +326,22 @@
     now_ms: u64,
     boxes: BTreeMap<usize, SimBox>,
     messages: Vec<Message>,
-    lives: u64,
-    answers: Vec<ServerAnswer>,
+    instances: u64,
+    responses: Vec<ServerResponse>,
     pub granted_ms: Vec<u64>,
     pub arrivals: Vec<Arrival>,
     pub asked: u64,
     pub refused: u64,
-    /// When a box last knew of a limit while the server named none, and for how long at most.
+    /// Longest time for which a box still applied a limit after the server had stopped
+    /// reporting one, in milliseconds.
     pub longest_unheard_ms: u64,
-    named_none_since_ms: Option<u64>,
-    /// The most that the parts of a server's allowance added up to, over all boxes.
+    unlimited_since_ms: Option<u64>,
+    /// Largest sum of the shares of the limit of the server over all boxes.
     pub most_parts: f64,
 }
 
 impl Play {
-    /// A play of an account with a limit.
+    /// Creates a simulation of an account with a limit.
     pub fn of_account(
         scenario: Scenario,
         boxes_planned: usize,
@@ -357,7 +359,7 @@
         Self::new(scenario, boxes_planned, subject, seed)
     }
 
-    /// A play of a server that names limits.
+    /// Creates a simulation of a server that reports limits.
     pub fn of_server(
         scenario: Scenario,
         boxes_planned: usize,
@@ -382,37 +384,37 @@
             now_ms: 0,
             boxes: BTreeMap::new(),
             messages: Vec::new(),
-            lives: 0,
-            answers: Vec::new(),
+            instances: 0,
+            responses: Vec::new(),
             granted_ms: Vec::new(),
             arrivals: Vec::new(),
             asked: 0,
             refused: 0,
             longest_unheard_ms: 0,
-            named_none_since_ms: None,
+            unlimited_since_ms: None,
             most_parts: 0.0,
         }
     }
 
     pub fn run(mut self) -> Self {
         while self.now_ms < END_MS {
-            self.follow_boxes();
+            self.update_boxes();
             self.deliver();
-            if self.now_ms.is_multiple_of(SIGN_OF_LIFE_MS) {
-                self.tell();
+            if self.now_ms.is_multiple_of(HEARTBEAT_MS) {
+                self.send_notes();
             }
-            if self.now_ms.is_multiple_of(LIMITS_EVERY_MS) {
-                self.tell_limits();
+            if self.now_ms.is_multiple_of(LIMIT_SEND_INTERVAL_MS) {
+                self.send_limits();
             }
-            self.take_server_answers();
-            self.let_callers_come();
-            if self.now_ms.is_multiple_of(GO_ON_EVERY_MS) {
-                self.go_on();
+            self.receive_server_responses();
+            self.send_requests();
+            if self.now_ms.is_multiple_of(POLL_INTERVAL_MS) {
+                self.poll_lease_managers();
             }
-            self.tell_callers();
-            self.note_unheard();
-            if self.now_ms.is_multiple_of(LINKS_EVERY_MS) {
-                self.add_up_parts();
+            self.finish_waiting();
+            self.record_outdated_limits();
+            if self.now_ms.is_multiple_of(LINK_CHECK_INTERVAL_MS) {
+                self.sum_shares();
             }
             self.now_ms += STEP_MS;
         }
@@ -432,34 +434,35 @@
         places.filter(|place| !self.is_frozen(*place)).collect()
     }
 
-    fn follow_boxes(&mut self) {
+    fn update_boxes(&mut self) {
         let now = self.now();
         for place in 0..self.boxes_planned {
             let runs = (self.scenario.runs)(place, self.now_ms);
             if !runs {
                 self.boxes.remove(&place);
             } else if !self.boxes.contains_key(&place) {
-                self.lives += 1;
-                let fresh = SimBox {
-                    life: self.lives,
+                self.instances += 1;
+                let started = SimBox {
+                    instance: self.instances,
                     since_ms: self.now_ms,
                     view: FleetView::new(key_of(place), now)
                         .in_data_centre(centre(place)),
-                    desk: QuotaLeaseManager::new(now),
+                    lease_manager: QuotaLeaseManager::new(now),
                     waiting: VecDeque::new(),
                     limits: ServerLimits::default(),
-                    told_ms: None,
+                    limit_known_since_ms: None,
                     links: BTreeMap::new(),
                 };
-                self.boxes.insert(place, fresh);
+                self.boxes.insert(place, started);
             }
         }
-        if self.now_ms.is_multiple_of(LINKS_EVERY_MS) {
-            self.follow_links();
+        if self.now_ms.is_multiple_of(LINK_CHECK_INTERVAL_MS) {
+            self.update_links();
         }
     }
 
-    /// The hub that a box of a data centre goes by: the first that runs and that it hears.
+    /// Returns the hub that a box uses: the first box of its data centre that runs and
+    /// that it can reach.
     fn hub_for(&self, place: usize) -> Option<usize> {
         let here = self.boxes.keys().copied();
         let mut here = here.filter(|other| other % DATA_CENTRES == place % DATA_CENTRES);
@@ -471,17 +474,17 @@
 
     fn is_linkable(&self, place: usize) -> bool {
         let run = &self.boxes[&place];
-        self.now_ms >= run.since_ms + LINKED_AFTER_MS
+        self.now_ms >= run.since_ms + LINK_SETUP_MS
     }
 
     fn is_hub(&self, place: usize) -> bool {
         self.hub_for(place) == Some(place)
     }
 
-    fn follow_links(&mut self) {
-        let mut wanted: Vec<(Run, Run, PeerRole, PeerRole)> = Vec::new();
+    fn update_links(&mut self) {
+        let mut wanted: Vec<(Instance, Instance, PeerRole, PeerRole)> = Vec::new();
         let places: Vec<usize> = self.boxes.keys().copied().collect();
-        let run = |place: usize| (place, self.boxes[&place].life);
+        let instance_of = |place: usize| (place, self.boxes[&place].instance);
         let hubs: Vec<usize> = places
             .iter()
             .copied()
@@ -494,7 +497,7 @@
         {
             if let Some(hub) = self.hub_for(place).filter(|hub| *hub != place) {
                 let ends = (PeerRole::OwnHub, PeerRole::Member);
-                wanted.push((run(place), run(hub), ends.0, ends.1));
+                wanted.push((instance_of(place), instance_of(hub), ends.0, ends.1));
             }
         }
         for (index, one) in hubs.iter().copied().enumerate() {
@@ -502,19 +505,24 @@
                 let apart = one % DATA_CENTRES != other % DATA_CENTRES;
                 let heard = (self.scenario.hears)(one, other, self.now_ms);
                 if apart && heard && self.is_linkable(one) && self.is_linkable(other) {
-                    wanted.push((run(one), run(other), PeerRole::Hub, PeerRole::Hub));
+                    wanted.push((
+                        instance_of(one),
+                        instance_of(other),
+                        PeerRole::Hub,
+                        PeerRole::Hub,
+                    ));
                 }
             }
         }
         let now = self.now();
-        for (one, other, with, back) in &wanted {
-            for (from, to, with) in [(one, other, with), (other, one, back)] {
+        for (one, other, role, back) in &wanted {
+            for (from, to, role) in [(one, other, role), (other, one, back)] {
                 let end = self.boxes.get_mut(&from.0).expect("it runs");
                 if !end.links.contains_key(to) {
                     end.links.insert(
                         *to,
                         SimLink {
-                            with: *with,
+                            role: *role,
                             echo: None,
                             vouched: None,
                             limit: end.limits.current_limits().pop(),
@@ -524,33 +532,36 @@
                         data_centre: centre(to.0),
                         key: key_of(to.0),
                     };
-                    end.view.add_link(to.1, peer, *with, now);
+                    end.view.add_link(to.1, peer, *role, now);
                 }
             }
         }
         let pairs = wanted
             .iter()
             .flat_map(|(one, other, ..)| [(*one, *other), (*other, *one)]);
-        let pairs: BTreeSet<(Run, Run)> = pairs.collect();
+        let pairs: BTreeSet<(Instance, Instance)> = pairs.collect();
         let mut left_hubs = Vec::new();
         for (place, end) in &mut self.boxes {
-            let own = (*place, end.life);
+            let own = (*place, end.instance);
             let links = end.links.keys().copied();
-            let gone: Vec<Run> =
+            let removed: Vec<Instance> =
                 links.filter(|to| !pairs.contains(&(own, *to))).collect();
-            for to in gone {
+            for to in removed {
                 let link = end.links.remove(&to).expect("it was there");
                 end.view.drop_link(to.1, now);
-                if link.with == PeerRole::OwnHub {
+                if link.role == PeerRole::OwnHub {
                     left_hubs.push((own, to));
                 }
             }
         }
         for (member, hub) in left_hubs {
-            let runs = self.boxes.get(&hub.0).is_some_and(|run| run.life == hub.1);
+            let runs = self
+                .boxes
+                .get(&hub.0)
+                .is_some_and(|run| run.instance == hub.1);
             let hears = (self.scenario.hears)(member.0, hub.0, self.now_ms);
             if runs && hears && !self.is_frozen(hub.0) {
-                self.send(hub, member, What::Ended);
+                self.send(hub, member, Payload::Ended);
             }
         }
     }
@@ -559,7 +570,7 @@
         let others = (0..DATA_CENTRES).filter(|other| *other != place % DATA_CENTRES);
         AnnouncementView {
             announced_boxes: 1,
-            // Announcements of a fleet that has run for a while tell its size.
+            // Announcements of a fleet that has run for a while report its size.
             reported_fleet_size: if self.now_ms > OPEN_MS {
                 self.boxes_planned
             } else {
@@ -572,39 +583,39 @@
         }
     }
 
-    fn send(&mut self, from: Run, to: Run, what: What) {
-        let way = self.random.random_range(LEAST_WAY_MS..=MOST_WAY_MS);
-        let due_ms = (self.scenario.passes)(self.now_ms + way);
+    fn send(&mut self, from: Instance, to: Instance, payload: Payload) {
+        let transit_ms = self.random.random_range(MIN_TRANSIT_MS..=MAX_TRANSIT_MS);
+        let due_ms = (self.scenario.passes)(self.now_ms + transit_ms);
         self.messages.push(Message {
             due_ms,
             from,
             to,
-            what,
+            payload,
         });
     }
 
-    fn tell(&mut self) {
+    fn send_notes(&mut self) {
         let now = self.now();
         for place in self.awake() {
             let known = self.announced(place);
             let run = self.boxes.get_mut(&place).expect("it runs");
-            let told = run.view.outgoing_notes(&known, now);
-            let from = (place, run.life);
+            let outgoing = run.view.outgoing_notes(&known, now);
+            let from = (place, run.instance);
             let links: Vec<_> = run
                 .links
                 .iter()
                 .map(|(to, link)| (*to, link.echo))
                 .collect();
             let notes = links.into_iter().map(|(to, echo)| {
-                let told = run.view.note_for_link(to.1, &told, now);
-                let census = run.view.census_for(to.1);
-                let left = run.view.delegate_shares(to.1, &known, now);
+                let status = run.view.note_for_link(to.1, &outgoing, now);
+                let membership = run.view.census_for(to.1);
+                let delegated = run.view.delegate_shares(to.1, &known, now);
                 (
                     to,
-                    What::Note {
-                        told,
-                        census,
-                        left,
+                    Payload::Note {
+                        status,
+                        membership,
+                        delegated,
                         sent: now,
                         echo,
                     },
@@ -617,48 +628,50 @@
         }
     }
 
-    /// What a box is among the others.
-    fn standing(&mut self, place: usize) -> QuotaTopology {
+    /// Returns the place of a box among the allocators and lease clients, with its
+    /// shares.
+    fn topology(&mut self, place: usize) -> QuotaTopology {
         let (now, known) = (self.now(), self.announced(place));
         let run = self.boxes.get_mut(&place).expect("it runs");
-        let links = |with: PeerRole| {
-            let links = run.links.iter().filter(move |(_, link)| link.with == with);
+        let links = |role: PeerRole| {
+            let links = run.links.iter().filter(move |(_, link)| link.role == role);
             links.map(|(to, _)| to.1)
         };
         let own_hub = links(PeerRole::OwnHub).next();
-        let lenders =
+        let allocator_links =
             own_hub.map_or_else(|| links(PeerRole::Hub).collect(), |hub| vec![hub]);
         let names = (0..DATA_CENTRES).map(centre).filter(|_| own_hub.is_none());
         let names: Vec<_> = names.collect();
-        let places = names.into_iter().map(|name| DataCentreQuota {
+        let quotas = names.into_iter().map(|name| DataCentreQuota {
             share: run.view.share_for(&name, &known, now),
             allocator: run.view.allocator_for(&name, now),
             data_centre: name,
         });
         QuotaTopology {
             own_hub,
-            allocators: lenders,
-            data_centres: places.collect(),
+            allocators: allocator_links,
+            data_centres: quotas.collect(),
             share: run.view.share(&known, now),
         }
     }
 
-    /// Boxes note their parts, go on with what waits, and drop full pools now and then.
-    fn go_on(&mut self) {
+    /// Boxes update their shares, poll pending lease requests, and evict idle quotas at
+    /// intervals.
+    fn poll_lease_managers(&mut self) {
         let now = self.now();
         for place in self.awake() {
-            let standing = self.standing(place);
-            let subject = self.subject.allowance();
+            let topology = self.topology(place);
+            let subject = self.subject.account_quota();
             let run = self.boxes.get_mut(&place).expect("it runs");
-            let is_due = self.now_ms.is_multiple_of(NOTED_EVERY_MS);
-            if !run.desk.has_pending() && !is_due {
+            let is_due = self.now_ms.is_multiple_of(SHARE_UPDATE_INTERVAL_MS);
+            if !run.lease_manager.has_pending() && !is_due {
                 continue;
             }
-            run.desk.update_shares(&standing, now);
-            let find = |_| allowance_of(&subject, &run.limits);
-            let messages = run.desk.poll(&standing, &find, now);
-            if self.now_ms.is_multiple_of(TIDY_EVERY_MS) {
-                run.desk.evict_idle(&find, now);
+            run.lease_manager.update_shares(&topology, now);
+            let find = |_| quota_of(&subject, &run.limits);
+            let messages = run.lease_manager.poll(&topology, &find, now);
+            if self.now_ms.is_multiple_of(EVICT_INTERVAL_MS) {
+                run.lease_manager.evict_idle(&find, now);
             }
             self.send_all(place, messages);
         }
@@ -666,16 +679,16 @@
 
     fn send_all(&mut self, place: usize, messages: QuotaMessages) {
         let run = &self.boxes[&place];
-        let from = (place, run.life);
+        let from = (place, run.instance);
         let to = |link| run.links.keys().copied().find(|to| to.1 == link);
         let messages = messages.into_iter();
         let messages = messages.filter_map(|message| {
             let to = to(message.link)?;
-            Some((to, What::Lending(message.lending)))
+            Some((to, Payload::Lease(message.lending)))
         });
         let messages: Vec<_> = messages.collect();
-        for (to, what) in messages {
-            self.send(from, to, what);
+        for (to, payload) in messages {
+            self.send(from, to, payload);
         }
     }
 
@@ -690,67 +703,76 @@
                 self.messages.push(Message { due_ms, ..message });
                 continue;
             }
-            let is_end = matches!(message.what, What::Ended);
-            let same = self.boxes.get(&place).is_some_and(|run| {
+            let is_end = matches!(message.payload, Payload::Ended);
+            let is_addressee = self.boxes.get(&place).is_some_and(|run| {
                 let is_linked = run.links.contains_key(&message.from);
-                run.life == message.to.1 && (is_linked || is_end)
+                run.instance == message.to.1 && (is_linked || is_end)
             });
-            if same {
+            if is_addressee {
                 self.take(message);
             }
         }
     }
 
-    fn take(&mut self, Message { from, to, what, .. }: Message) {
+    fn take(
+        &mut self,
+        Message {
+            from, to, payload, ..
+        }: Message,
+    ) {
         let now = self.now();
         let known = self.announced(to.0);
-        let standing = self.standing(to.0);
-        let subject = self.subject.allowance();
+        let topology = self.topology(to.0);
+        let subject = self.subject.account_quota();
         let run = self.boxes.get_mut(&to.0).expect("it runs");
-        if matches!(what, What::Ended) {
+        if matches!(payload, Payload::Ended) {
             return run.view.release_share(from.1, now);
         }
         let link = run.links.get_mut(&from).expect("it is linked");
-        match what {
-            What::Ended => {}
-            What::Note {
-                told,
-                census,
-                left,
+        match payload {
+            Payload::Ended => {}
+            Payload::Note {
+                status,
+                membership,
+                delegated,
                 sent,
                 echo,
             } => {
                 link.echo = Some(sent);
                 link.vouched = echo.or(link.vouched);
-                run.view.receive_census(from.1, &census, &known, now);
-                run.view.receive(from.1, told, &known, echo, now);
-                run.view.receive_delegated_shares(from.1, &left, echo);
+                run.view.receive_census(from.1, &membership, &known, now);
+                run.view.receive(from.1, status, &known, echo, now);
+                run.view.receive_delegated_shares(from.1, &delegated, echo);
             }
-            What::Lending(lending) => {
-                run.desk.update_shares(&standing, now);
-                let find = |_| allowance_of(&subject, &run.limits);
-                let desk = &mut run.desk;
-                let mut messages = QuotaMessages::new();
-                for ask in &lending.requests {
-                    messages
-                        .extend(desk.handle_request(from.1, ask, &standing, &find, now));
+            Payload::Lease(messages) => {
+                run.lease_manager.update_shares(&topology, now);
+                let find = |_| quota_of(&subject, &run.limits);
+                let lease_manager = &mut run.lease_manager;
+                let mut outgoing = QuotaMessages::new();
+                for request in &messages.requests {
+                    outgoing.extend(
+                        lease_manager
+                            .handle_request(from.1, request, &topology, &find, now),
+                    );
                 }
-                for answer in &lending.replies {
-                    messages.extend(desk.handle_answer(answer, &standing, &find, now));
+                for reply in &messages.replies {
+                    outgoing.extend(
+                        lease_manager.handle_answer(reply, &topology, &find, now),
+                    );
                 }
-                self.send_all(to.0, messages);
+                self.send_all(to.0, outgoing);
             }
-            What::Limit(per_s, age) => {
+            Payload::Limit(per_s, age) => {
                 let vouched = link.vouched.unwrap_or(now);
-                let told = (vouched - age, now - age);
-                if let Some(change) = run.limits.receive_updates(SERVER, per_s, told) {
-                    self.spread(to.0, &change, Some(from));
+                let as_of = (vouched - age, now - age);
+                if let Some(change) = run.limits.receive_updates(SERVER, per_s, as_of) {
+                    self.queue_limit_change(to.0, &change, Some(from));
                 }
             }
         }
     }
 
-    fn let_callers_come(&mut self) {
+    fn send_requests(&mut self) {
         if self.now_ms < OPEN_MS {
             return;
         }
@@ -762,24 +784,24 @@
         let mut due = rate * STEP_MS as f64 / 1000.0;
         while self.random.random_bool(due.clamp(0.0, 1.0)) {
             due -= 1.0;
-            // A few boxes see most of the callers.
+            // A few boxes receive most of the requests.
             let spread = self.boxes_planned as f64;
             let place = (self.random.random::<f64>().powi(3) * spread) as usize;
             let place = (place * 7 + 3) % self.boxes_planned;
             let is_open = self
                 .boxes
                 .get(&place)
-                .is_some_and(|run| self.now_ms >= run.since_ms + LINKED_AFTER_MS);
+                .is_some_and(|run| self.now_ms >= run.since_ms + LINK_SETUP_MS);
             if is_open && !self.is_frozen(place) {
                 self.asked += 1;
-                self.want(place, rate);
+                self.request(place, rate);
             }
         }
     }
 
-    fn want(&mut self, place: usize, requests_per_s: f64) {
+    fn request(&mut self, place: usize, requests_per_s: f64) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let (of, reserve) = (self.subject.lendable(), 0.0);
+        let (resource, reserve) = (self.subject.leased_resource(), 0.0);
         if let Subject::Server(server) = &self.subject {
             let run = &self.boxes[&place];
             let share = match run.limits.limit(SERVER) {
@@ -793,19 +815,21 @@
                 return;
             }
             if run.limits.limit(SERVER).is_none() {
-                return self.arrive(place);
+                return self.reach_server(place);
             }
         }
-        let standing = self.standing(place);
-        let subject = self.subject.allowance();
+        let topology = self.topology(place);
+        let subject = self.subject.account_quota();
         let run = self.boxes.get_mut(&place).expect("it runs");
-        run.desk.update_shares(&standing, now);
-        let find = |_| allowance_of(&subject, &run.limits);
-        let (outcome, messages) = run.desk.acquire(of, reserve, &standing, &find, now);
+        run.lease_manager.update_shares(&topology, now);
+        let find = |_| quota_of(&subject, &run.limits);
+        let (outcome, messages) = run
+            .lease_manager
+            .acquire(resource, reserve, &topology, &find, now);
         match outcome {
             Ok(AcquireOutcome::Acquired) => self.grant(place),
             Ok(_) => self.refused += 1,
-            Err(told) => run.waiting.push_back((now_ms, told)),
+            Err(pending) => run.waiting.push_back((now_ms, pending)),
         }
         self.send_all(place, messages);
     }
@@ -813,83 +837,88 @@
     fn grant(&mut self, place: usize) {
         self.granted_ms.push(self.now_ms);
         if matches!(self.subject, Subject::Server(_)) {
-            self.arrive(place);
+            self.reach_server(place);
         }
     }
 
-    /// A request reaches the server, which answers after a while.
-    fn arrive(&mut self, place: usize) {
+    /// Lets a request reach the server, which responds after `SERVICE_TIME_MS`.
+    fn reach_server(&mut self, place: usize) {
         let run = &self.boxes[&place];
         self.arrivals.push(Arrival {
             ms: self.now_ms,
-            told_ms: run.told_ms,
+            told_ms: run.limit_known_since_ms,
         });
-        let due_ms = self.now_ms + WORK_MS;
+        let due_ms = self.now_ms + SERVICE_TIME_MS;
         let Subject::Server(server) = &self.subject else {
             return;
         };
-        self.answers.push(ServerAnswer {
+        self.responses.push(ServerResponse {
             due_ms,
-            to: (place, run.life),
+            to: (place, run.instance),
             per_s: (server.names)(due_ms),
         });
     }
 
-    fn take_server_answers(&mut self) {
+    fn receive_server_responses(&mut self) {
         let (now, now_ms) = (self.now(), self.now_ms);
-        let due = |answer: &mut ServerAnswer| answer.due_ms <= now_ms;
-        let due: Vec<_> = self.answers.extract_if(.., due).collect();
-        for answer in due {
-            let place = answer.to.0;
+        let due = |response: &mut ServerResponse| response.due_ms <= now_ms;
+        let due: Vec<_> = self.responses.extract_if(.., due).collect();
+        for response in due {
+            let place = response.to.0;
             if self.is_frozen(place) {
                 let due_ms = (self.scenario.frozen_until)(place, now_ms);
-                self.answers.push(ServerAnswer { due_ms, ..answer });
+                self.responses.push(ServerResponse { due_ms, ..response });
                 continue;
             }
             let run = self.boxes.get_mut(&place);
-            let Some(run) = run.filter(|run| run.life == answer.to.1) else {
+            let Some(run) = run.filter(|run| run.instance == response.to.1) else {
                 continue;
             };
-            run.told_ms = match answer.per_s {
-                Some(_) => run.told_ms.or(Some(now_ms)),
+            run.limit_known_since_ms = match response.per_s {
+                Some(_) => run.limit_known_since_ms.or(Some(now_ms)),
                 None => None,
             };
-            if let Some(change) = run.limits.receive_answer(SERVER, answer.per_s, now) {
-                self.spread(place, &change, None);
+            if let Some(change) = run.limits.receive_answer(SERVER, response.per_s, now) {
+                self.queue_limit_change(place, &change, None);
             }
         }
     }
 
-    /// Queues a changed limit for the links that do not hear it otherwise.
-    fn spread(&mut self, place: usize, change: &ServerLimitChange, from: Option<Run>) {
+    /// Queues a changed limit for the links that do not receive it otherwise.
+    fn queue_limit_change(
+        &mut self,
+        place: usize,
+        change: &ServerLimitChange,
+        from: Option<Instance>,
+    ) {
         let run = self.boxes.get_mut(&place).expect("it runs");
-        let teller = from.and_then(|from| run.links.get(&from));
-        let is_own = teller.is_none_or(|link| link.with == PeerRole::Member);
+        let sender = from.and_then(|from| run.links.get(&from));
+        let is_own = sender.is_none_or(|link| link.role == PeerRole::Member);
         for (to, link) in &mut run.links {
-            let hears = is_own || link.with == PeerRole::Member;
-            if hears && Some(*to) != from {
+            let is_recipient = is_own || link.role == PeerRole::Member;
+            if is_recipient && Some(*to) != from {
                 link.limit = Some(*change);
             }
         }
     }
 
-    fn tell_limits(&mut self) {
+    fn send_limits(&mut self) {
         let now = self.now();
         for place in self.awake() {
             let run = self.boxes.get_mut(&place).expect("it runs");
-            let from = (place, run.life);
+            let from = (place, run.instance);
             let links = run.links.iter_mut();
-            let told = links.filter_map(|(to, link)| Some((*to, link.limit.take()?)));
-            let told: Vec<_> = told.collect();
-            for (to, change) in told {
+            let due = links.filter_map(|(to, link)| Some((*to, link.limit.take()?)));
+            let due: Vec<_> = due.collect();
+            for (to, change) in due {
                 let age = now.saturating_duration_since(change.at);
-                self.send(from, to, What::Limit(change.per_s, age));
+                self.send(from, to, Payload::Limit(change.per_s, age));
             }
         }
     }
 
-    /// Adds up the parts of the server's allowance that boxes would use now.
-    fn add_up_parts(&mut self) {
+    /// Records the sum of the shares of the limit of the server that boxes would use now.
+    fn sum_shares(&mut self) {
         if !matches!(self.subject, Subject::Server(_)) {
             return;
         }
@@ -903,32 +932,33 @@
         self.most_parts = self.most_parts.max(sum);
     }
 
-    /// Notes for how long boxes go by a limit that the server does not name any more.
-    fn note_unheard(&mut self) {
+    /// Records how long boxes apply a limit that the server no longer reports.
+    fn record_outdated_limits(&mut self) {
         let Subject::Server(server) = &self.subject else {
             return;
         };
         if (server.names)(self.now_ms).is_some() {
-            self.named_none_since_ms = None;
+            self.unlimited_since_ms = None;
             return;
         }
-        let since_ms = *self.named_none_since_ms.get_or_insert(self.now_ms);
+        let since_ms = *self.unlimited_since_ms.get_or_insert(self.now_ms);
         let knows = |run: &SimBox| run.limits.limit(SERVER).is_some();
         if self.boxes.values().any(knows) {
-            let unheard_ms = self.now_ms - since_ms;
-            self.longest_unheard_ms = self.longest_unheard_ms.max(unheard_ms);
+            let outdated_ms = self.now_ms - since_ms;
+            self.longest_unheard_ms = self.longest_unheard_ms.max(outdated_ms);
         }
     }
 
-    /// Callers go on that are told what came of their requests, or that wait no longer.
-    fn tell_callers(&mut self) {
+    /// Takes the outcomes of waiting requests, and refuses those that have waited too
+    /// long.
+    fn finish_waiting(&mut self) {
         let now_ms = self.now_ms;
         for place in self.awake() {
             let run = self.boxes.get_mut(&place).expect("it runs");
             let mut granted = 0;
-            run.waiting.retain(|(came_ms, told)| {
-                let outcome = told.try_recv().ok();
-                let is_late = came_ms + PATIENCE_MS <= now_ms;
+            run.waiting.retain(|(came_ms, pending)| {
+                let outcome = pending.try_recv().ok();
+                let is_late = came_ms + QUOTA_TIMEOUT_MS <= now_ms;
                 match outcome {
                     Some(AcquireOutcome::Acquired) => granted += 1,
                     Some(_) => self.refused += 1,
@@ -943,7 +973,8 @@
         }
     }
 
-    /// The most that was let through in any window, and what is allowed.
+    /// Returns the largest number of requests granted in any window, and the number
+    /// allowed.
     pub fn fullest(&self) -> (usize, f64) {
         let window_ms = (QUOTA.window_s * 1000.0) as u64;
         let mut most = 0;
@@ -963,15 +994,16 @@
 }
 
 impl Subject {
-    fn lendable(&self) -> LeasedResource {
+    fn leased_resource(&self) -> LeasedResource {
         match self {
             Self::Account(account) => LeasedResource::Account(account.allowance()),
             Self::Server(_) => LeasedResource::Server(SERVER),
         }
     }
 
-    /// An account's allowance; none for a server's, which each box knows by what it has heard.
-    fn allowance(&self) -> Option<Quota> {
+    /// Returns the quota of an account; `None` for a server, whose limit each box knows
+    /// from what it has received.
+    fn account_quota(&self) -> Option<Quota> {
         let Self::Account(account) = self else {
             return None;
         };
@@ -982,7 +1014,7 @@
     }
 }
 
-fn allowance_of(account: &Option<Quota>, limits: &ServerLimits) -> Option<Quota> {
+fn quota_of(account: &Option<Quota>, limits: &ServerLimits) -> Option<Quota> {
     account.clone().or_else(|| {
         Some(Quota {
             terms: QuotaTerms::of_server(limits.limit(SERVER)?),
@@ -991,7 +1023,8 @@
     })
 }
 
-/// Plays many at once, as the machine has processors; what came of each, in order.
+/// Runs many simulations in parallel, one thread for each processor; returns their
+/// results in order.
 pub fn play_all<T: Sync, R: Send>(plans: &[T], play: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let each = plans.len().div_ceil(threads).max(1);
@@ -1007,15 +1040,15 @@
     })
 }
 
-/// The server, and where it stands.
+/// Key of the server, and the place that determines its data centre.
 const SERVER: ServerKey = 7;
 const SERVER_PLACE: usize = 2;
-/// How long it takes for a request.
-const WORK_MS: u64 = 300;
-/// How often boxes tell what has changed.
-const LIMITS_EVERY_MS: u64 = 50;
+/// Time that the server takes for a request.
+const SERVICE_TIME_MS: u64 = 300;
+/// How often boxes send changed limits.
+const LIMIT_SEND_INTERVAL_MS: u64 = 50;
 
-/// A box that starts again keeps its key.
+/// Returns the key of a box, which stays the same over restarts.
 fn key_of(place: usize) -> u64 {
     place as u64 + 1
 }
--- a/tests/tests/full_links.rs
+++ b/tests/tests/full_links.rs
@@ -1,10 +1,6 @@
-//! What a box still says on a link whose other side has not answered for a while.
-//!
-//! A box holds its frames back once eight of them are unanswered, and an answer is a frame
-//! too. When a link stood still in both directions for as long as both sides took to send
-//! eight frames, 0.4 s between boxes of one data centre, each side had the other's frames
-//! afterwards and did not say so: both waited for an answer until the silence of a second
-//! ended the link, and the member passed its hub over for two seconds.
+//! Guards against two boxes that wait for each other. A box sends no frames while eight
+//! are unacknowledged; after a link had stalled both ways for 0.4 s neither side
+//! acknowledged, the link timed out after 1 s, and the member left out its hub for 2 s.
 
 mod edge;
 
@@ -23,15 +19,15 @@
     HttpListener, LinkReceiver, LinkSender, ListenerOptions, Workers, accept_link,
 };
 
-/// Serves a link as a hub to which nothing gets through at first: it says eight times that
-/// it has heard nothing, and then no more, since that is as many as may be unanswered. Tells
-/// how long it takes until the other side says to have had all of them; none if it does not.
+/// Serves a link as a hub that receives nothing at first: it sends eight frames without
+/// an acknowledgement and then stops, since no more may be unacknowledged. Returns the
+/// time until the other side has acknowledged all of them; `None` if it does not.
 async fn serve(
     record: BoxRecord,
     sender: LinkSender,
     mut receiver: LinkReceiver,
 ) -> Option<Duration> {
-    receiver.next::<Hello>(PATIENCE).await.ok()?;
+    receiver.next::<Hello>(RECEIVE_TIMEOUT).await.ok()?;
     let hello = Hello {
         protocol: LINK_PROTOCOL_VERSION,
         fleet: "test".into(),
@@ -41,23 +37,23 @@
         bundle_version: 0,
     };
     sender.send(&hello).ok()?;
-    for count in 1..=MOST_UNANSWERED {
-        let stamps = LinkTimestamps {
+    for count in 1..=MAX_UNANSWERED {
+        let link_timestamps = LinkTimestamps {
             sent_ms: count,
             heard_ms: None,
         };
         let frame = Frame {
-            timestamps: stamps,
+            timestamps: link_timestamps,
             ..Frame::default()
         };
         sender.send(&frame).ok()?;
-        smol::Timer::after(GAP).await;
+        smol::Timer::after(FRAME_INTERVAL).await;
     }
-    let waits = Instant::now();
+    let started = Instant::now();
     loop {
-        let frame = receiver.next::<Frame>(PATIENCE).await.ok()?;
-        if frame.timestamps.heard_ms == Some(MOST_UNANSWERED) {
-            return Some(waits.elapsed());
+        let frame = receiver.next::<Frame>(RECEIVE_TIMEOUT).await.ok()?;
+        if frame.timestamps.heard_ms == Some(MAX_UNANSWERED) {
+            return Some(started.elapsed());
         }
     }
 }
@@ -84,7 +80,7 @@
             on.detach(async move {
                 let ended = serve(own, sender, receiver);
                 let expired = async {
-                    smol::Timer::after(PATIENCE).await;
+                    smol::Timer::after(RECEIVE_TIMEOUT).await;
                     None
                 };
                 let ended = ended.or(expired).await;
@@ -101,19 +97,19 @@
     let value = serde_json::to_value(&record).expect("records serialise");
     store.put("wingspur/boxes/hub", &value);
     let running = start_box("box-1", &store, &workers);
-    wait_until("the link is over", || outcome.lock().unwrap().is_some());
+    wait_until("the link has ended", || outcome.lock().unwrap().is_some());
     let outcome = outcome.lock().unwrap().flatten();
     smol::block_on(running.close());
     workers.close();
     assert!(
         outcome.is_some(),
-        "the box never said to have had the last frame"
+        "the box never acknowledged the last frame"
     );
 }
 
-/// As many as a box sends without an answer.
-const MOST_UNANSWERED: u32 = 8;
-/// A sign of life without news comes each 0.2 s; slower, so that the box has sent its own
-/// eight by then.
-const GAP: Duration = Duration::from_millis(240);
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Number of frames that a box sends without an acknowledgement.
+const MAX_UNANSWERED: u32 = 8;
+/// Longer than the heartbeat interval of 0.2 s, so that the box has sent its own eight
+/// frames by then.
+const FRAME_INTERVAL: Duration = Duration::from_millis(240);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/tests/tests/hub_memory.rs
+++ b/tests/tests/hub_memory.rs
@@ -1,4 +1,4 @@
-//! What a hub keeps of changes that its members have not been sent yet.
+//! Memory that a hub uses for changes that its members have not been sent yet.
 
 use std::alloc::System;
 
@@ -18,8 +18,8 @@
     stats.bytes_allocated - stats.bytes_deallocated
 }
 
-/// A digest of all servers, each with one more good answer.
-fn digest(source: u64, good: u32) -> TallyUpdate {
+/// Returns a tally update of all servers, each with one more successful response.
+fn update(source: u64, good: u32) -> TallyUpdate {
     let tally = ServerTally {
         good,
         ..ServerTally::default()
@@ -31,30 +31,34 @@
     }
 }
 
-/// The bytes that a member costs its hub while it has yet to be sent changes of all servers.
-fn bytes_a_member(members: u64) -> usize {
+/// Returns the memory that a member takes in its hub while it has yet to be sent changes
+/// of all servers.
+fn bytes_per_member(members: u64) -> usize {
     let mut hub = Rollup::new(1_000);
     (1..=OTHER_HUBS).for_each(|link| hub.add_link(link, LinkKind::Hub));
     for good in 1..=2 {
-        hub.receive(OWN_LINK, &digest(1_000, good));
-        (1..=OTHER_HUBS).for_each(|link| hub.receive(link, &digest(link, good)));
+        hub.receive(OWN_LINK, &update(1_000, good));
+        (1..=OTHER_HUBS).for_each(|link| hub.receive(link, &update(link, good)));
     }
     let before = held_bytes();
     for member in 100..100 + members {
         hub.add_link(member, LinkKind::Member);
         hub.compose(member);
     }
-    hub.receive(OWN_LINK, &digest(1_000, 3));
-    (1..=OTHER_HUBS).for_each(|link| hub.receive(link, &digest(link, 3)));
+    hub.receive(OWN_LINK, &update(1_000, 3));
+    (1..=OTHER_HUBS).for_each(|link| hub.receive(link, &update(link, 3)));
     held_bytes().saturating_sub(before) / members as usize
 }
 
-/// Sets of keys took 0.9 MB a member.
+/// Guards against sets of keys for unsent changes, which took 0.9 MB per member.
 #[test]
 fn changes_that_a_member_was_not_sent_take_bits() {
-    let most = (OTHER_HUBS as usize + 1) * 2 * SERVERS as usize / 8 * 2;
+    let max_bytes = (OTHER_HUBS as usize + 1) * 2 * SERVERS as usize / 8 * 2;
     for members in [100, 200] {
-        let bytes = bytes_a_member(members);
-        assert!(bytes <= most, "{bytes} bytes a member of {members}");
+        let bytes = bytes_per_member(members);
+        assert!(
+            bytes <= max_bytes,
+            "{bytes} bytes per member with {members} members"
+        );
     }
 }
--- a/tests/tests/hubs.rs
+++ b/tests/tests/hubs.rs
@@ -1,12 +1,6 @@
-//! Which box is taken for a hub, and until when: a box that stops, and one that only heard so.
-//!
-//! A hub that is told to stop says so in each of its frames. Its members leave it at once, but
-//! go on reading what is still under way on the link that they have given up. A frame that
-//! came in on such a link made its reader take itself for the one that stops: it told its own
-//! members so for the rest of its life, they left it, and caught it from it. In one day of
-//! planned stops 101 boxes of a fleet of 106 said that they were stopping and were not, 23,670
-//! of the 36,549 frames with that word were false, and boxes with a link of ten megabits were
-//! hubs of whole data centres when a large configuration came.
+//! Guards against boxes that announce a stop that is not their own. A box that still read
+//! a link it had given up took the farewell of its former hub for its own and sent it to
+//! its members, so the error spread: to 101 of 106 boxes on a day of planned stops.
 
 mod edge;
 
@@ -27,23 +21,24 @@
     accept_link,
 };
 
-/// A hub that says what the test wants, and keeps what it is told.
+/// A hub that behaves as the test requires, and keeps the frames that it receives.
 #[derive(Clone)]
-struct StandInHub {
+struct ScriptedHub {
     record: BoxRecord,
-    told: Arc<Mutex<Told>>,
+    received: Arc<Mutex<Received>>,
 }
 
-/// What a hub was told.
+/// What a hub has received.
 #[derive(Debug, Default)]
-struct Told {
+struct Received {
     frames: Vec<Frame>,
-    /// Links that their openers have given up, and on which the farewell has gone out since.
-    given_up: usize,
+    /// Number of links that their openers have given up, and on which the farewell has
+    /// been sent since.
+    abandoned_links: usize,
 }
 
-impl StandInHub {
-    /// Starts a hub that is stronger than others by its capacity.
+impl ScriptedHub {
+    /// Starts a hub whose capacity decides whether it is preferred to others.
     fn start(id: &str, capacity: u32, spawner: &Spawner) -> (Self, HttpListener) {
         let port = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address: SocketAddr = port.local_addr().expect("it is bound");
@@ -55,15 +50,15 @@
             capacity,
             fleet_boxes: 3,
         };
-        let told = Arc::new(Mutex::new(Told::default()));
-        let hub = Self { record, told };
+        let received = Arc::new(Mutex::new(Received::default()));
+        let hub = Self { record, received };
         let serving = hub.clone();
-        let on = spawner.clone();
+        let links = spawner.clone();
         let handler = move |request, _| {
-            let (hub, on) = (serving.clone(), on.clone());
+            let (hub, links) = (serving.clone(), links.clone());
             async move {
                 let (sender, receiver, response) = accept_link(request);
-                on.detach(hub.serve(sender, receiver));
+                links.detach(hub.serve(sender, receiver));
                 response
             }
         };
@@ -73,9 +68,10 @@
         (hub, listener.expect("it is bound"))
     }
 
-    /// Greets, gives a sign of life now and then, and says farewell once it is given up.
+    /// Sends the hello, responds to each frame, and sends the farewell once the opener
+    /// has given up the link.
     async fn serve(self, sender: LinkSender, mut receiver: LinkReceiver) {
-        let Ok(_) = receiver.next::<Hello>(PATIENCE).await else {
+        let Ok(_) = receiver.next::<Hello>(RECEIVE_TIMEOUT).await else {
             return;
         };
         let hello = Hello {
@@ -87,7 +83,7 @@
             bundle_version: 0,
         };
         sender.send(&hello).expect("the link has just come up");
-        while let Ok(frame) = receiver.next::<Frame>(PATIENCE).await {
+        while let Ok(frame) = receiver.next::<Frame>(RECEIVE_TIMEOUT).await {
             let answer = Frame {
                 timestamps: LinkTimestamps {
                     sent_ms: 0,
@@ -95,7 +91,7 @@
                 },
                 ..Frame::default()
             };
-            self.told.lock().unwrap().frames.push(frame);
+            self.received.lock().unwrap().frames.push(frame);
             if sender.send(&answer).is_err() {
                 return;
             }
@@ -105,16 +101,16 @@
             ..Frame::default()
         };
         if sender.send(&farewell).is_ok() {
-            self.told.lock().unwrap().given_up += 1;
+            self.received.lock().unwrap().abandoned_links += 1;
         }
     }
 
     fn frames(&self) -> usize {
-        self.told.lock().unwrap().frames.len()
+        self.received.lock().unwrap().frames.len()
     }
 
-    fn was_given_up(&self) -> bool {
-        self.told.lock().unwrap().given_up > 0
+    fn was_abandoned(&self) -> bool {
+        self.received.lock().unwrap().abandoned_links > 0
     }
 
     fn announce(&self, store: &PlatformStore) {
@@ -127,22 +123,24 @@
 fn a_box_that_hears_a_farewell_on_a_link_that_it_gave_up_does_not_take_it_for_its_own() {
     let store = PlatformStore::start(500);
     let workers = Workers::start(2);
-    let (former, _former_port) = StandInHub::start("box-a", 1000, &workers.spawner());
-    let (next, _next_port) = StandInHub::start("box-b", 2000, &workers.spawner());
+    let (former, _former_port) = ScriptedHub::start("box-a", 1000, &workers.spawner());
+    let (next, _next_port) = ScriptedHub::start("box-b", 2000, &workers.spawner());
     store.put("op/config", &configuration(1, &[Route::new("read")]));
     former.announce(&store);
     let running = start_box("box-1", &store, &workers);
-    wait_until("the box has its hub", || former.frames() > 0);
+    wait_until("the box is linked to its hub", || former.frames() > 0);
     next.announce(&store);
-    wait_until("it leaves it for a stronger one", || former.was_given_up());
+    wait_until("the box leaves it for a stronger hub", || {
+        former.was_abandoned()
+    });
     let (before, enough) = (next.frames(), 4);
-    wait_until("the new one is told more", || {
+    wait_until("the new hub receives more frames", || {
         next.frames() >= before + enough
     });
-    let told = next.told.lock().unwrap();
-    let false_words = told.frames.iter().filter(|frame| frame.leaving).count();
-    assert_eq!(false_words, 0, "of {} frames", told.frames.len());
-    drop(told);
+    let received = next.received.lock().unwrap();
+    let false_farewells = received.frames.iter().filter(|frame| frame.leaving).count();
+    assert_eq!(false_farewells, 0, "of {} frames", received.frames.len());
+    drop(received);
     smol::block_on(running.close());
     workers.close();
 }
@@ -155,12 +153,12 @@
     let start = |n: usize| -> EdgeBox {
         let mut settings = settings(&format!("box-{n}"), store.address);
         settings.drain.balancer_lag_ms = LAG.as_millis() as u64;
-        // The weakest draw their moment from the longest span.
+        // The weakest boxes draw the time of their announcement from the longest span.
         (settings.cpu_share, settings.link_mbps) = (0.1, 10.0);
         start_box_with(settings, &store, &workers)
     };
     let boxes: Vec<EdgeBox> = (0..6).map(start).collect();
-    wait_until("one is announced", || !store.keys(BOX_KEYS).is_empty());
+    wait_until("a box is announced", || !store.keys(BOX_KEYS).is_empty());
     let close = |running: EdgeBox| thread::spawn(move || smol::block_on(running.close()));
     let closing: Vec<_> = boxes.into_iter().map(close).collect();
     thread::sleep(LAG - Duration::from_millis(100));
@@ -171,10 +169,10 @@
     workers.close();
 }
 
-/// Where boxes are announced.
+/// Prefix of the keys under which boxes are announced.
 const BOX_KEYS: &str = "wingspur/boxes/";
-/// How long a box that stops serves on: longer than the 1.5 s from which boxes that start draw
-/// the moment of their announcement.
+/// How long a stopping box continues to serve: longer than the 1.5 s from which starting
+/// boxes draw the time of their announcement.
 const LAG: Duration = Duration::from_secs(2);
-/// A box gives a sign of life each 0.2 s.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Long compared with the heartbeat interval of 0.2 s.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/tests/tests/link_memory.rs
+++ b/tests/tests/link_memory.rs
@@ -1,4 +1,4 @@
-//! What both sides of a link keep of a long frame once it was sent.
+//! Memory that both sides of a link use after a long frame was sent.
 
 use std::alloc::System;
 use std::sync::{Arc, Mutex};
@@ -16,16 +16,17 @@
 
 const LINKS: usize = 16;
 const FRAME_BYTES: usize = 4 << 20;
-/// What a link may keep on both sides: buffers of its connection and its receiver.
-const MOST_KEPT_BYTES: usize = 256 << 10;
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum memory of a link on both sides: buffers of its connection and its receiver.
+const MAX_KEPT_BYTES: usize = 256 << 10;
+const LINK_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn held_bytes() -> usize {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated - stats.bytes_deallocated
 }
 
-/// A hub kept a copy of the listing in the connection of each member.
+/// Guards against a hub that keeps a copy of the snapshot in the connection of each
+/// member.
 #[test]
 fn links_keep_no_copy_of_a_long_frame() {
     let workers = Workers::start(2);
@@ -45,13 +46,13 @@
     let listener = HttpListener::start(port, &workers.spawner(), options, handler)
         .expect("it is bound");
     let connector = Connector::new(workers.spawner(), None);
-    let patience = LinkTimeouts {
-        connect: PATIENCE,
-        answer: PATIENCE,
+    let timeouts = LinkTimeouts {
+        connect: LINK_TIMEOUT,
+        answer: LINK_TIMEOUT,
     };
     let (_senders, mut receivers): (Vec<_>, Vec<_>) = (0..LINKS)
         .map(|_| {
-            let opening = open_link(&connector, listener.address(), "/", patience);
+            let opening = open_link(&connector, listener.address(), "/", timeouts);
             smol::block_on(opening).expect("it is served")
         })
         .unzip();
@@ -61,11 +62,11 @@
         sender.send(&frame).expect("the other side reads");
     }
     for receiver in &mut receivers {
-        let received: String = smol::block_on(receiver.next(PATIENCE)).expect("sent");
+        let received: String = smol::block_on(receiver.next(LINK_TIMEOUT)).expect("sent");
         assert_eq!(received, frame);
     }
     drop(frame);
     let kept = held_bytes().saturating_sub(before) / LINKS;
-    assert!(kept <= MOST_KEPT_BYTES, "{kept} bytes a link");
+    assert!(kept <= MAX_KEPT_BYTES, "{kept} bytes per link");
     workers.close();
 }
--- a/tests/tests/listings.rs
+++ b/tests/tests/listings.rs
@@ -1,4 +1,4 @@
-//! What hubs of many boxes send each of them of the catalog.
+//! What a hub sends of the catalog to many members.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -51,7 +51,7 @@
     Arc::new(serde_json::from_str(&text).unwrap())
 }
 
-fn owed(listing: &Arc<CatalogSnapshotUpdate>, bundle_version: u64) -> PendingSnapshot {
+fn pending(listing: &Arc<CatalogSnapshotUpdate>, bundle_version: u64) -> PendingSnapshot {
     PendingSnapshot {
         listing: listing.clone(),
         bundle_version,
@@ -63,7 +63,7 @@
     let listing = listing(Some(bundle(3)));
     let mut frames = SnapshotFrameCache::default();
     let sent: Vec<_> = (0..BOXES)
-        .map(|n| frames.frame(&owed(&listing, n as u64 % 2 * 3)))
+        .map(|n| frames.frame(&pending(&listing, n as u64 % 2 * 3)))
         .collect();
     assert_eq!(frames.encoded_count(), 2, "with the bundle and without it");
     let copies: std::collections::BTreeSet<_> =
@@ -72,7 +72,7 @@
     drop(listing);
     frames.evict_unused();
     let again = self::listing(None);
-    frames.frame(&owed(&again, 0));
+    frames.frame(&pending(&again, 0));
     assert_eq!(frames.encoded_count(), 3);
 }
 
@@ -81,16 +81,20 @@
     let listing = listing(Some(bundle(3)));
     let mut frames = SnapshotFrameCache::default();
     for (known, expected) in [(2, Some(3)), (3, None), (4, None)] {
-        let frame = frames.frame(&owed(&listing, known));
+        let frame = frames.frame(&pending(&listing, known));
         let mut bytes = frame.bytes().to_vec();
         let frame: Frame = decode_next_frame(&mut bytes).unwrap().unwrap();
         assert_eq!(frame.content, FrameContent::Snapshot);
-        let [CatalogUpdate::Snapshot(told)] = &frame.catalog[..] else {
-            panic!("one listing");
+        let [CatalogUpdate::Snapshot(received)] = &frame.catalog[..] else {
+            panic!("one snapshot");
         };
-        let peer_version = told.snapshot.bundle.as_ref().map(|bundle| bundle.version);
+        let peer_version = received
+            .snapshot
+            .bundle
+            .as_ref()
+            .map(|bundle| bundle.version);
         assert_eq!(peer_version, expected);
-        assert_eq!(told.snapshot.servers.len(), SERVERS);
+        assert_eq!(received.snapshot.servers.len(), SERVERS);
     }
 }
 
@@ -98,13 +102,13 @@
 fn listings_go_out_one_after_the_other() {
     let start = Instant::now();
     let listing = listing(None);
-    for (capacity, least_ms, most_ms) in [(1, 88, 100), (10, 9, 10)] {
+    for (capacity, min_ms, max_ms) in [(1, 88, 100), (10, 9, 10)] {
         let mut pacer = UpdatePacer::new(capacity, start);
         assert_eq!(pacer.snapshot_delay(start), Duration::ZERO);
         pacer.record_snapshot(&listing, start);
         let gap_ms = pacer.snapshot_delay(start).as_millis();
-        assert!((least_ms..most_ms).contains(&gap_ms), "{gap_ms} ms");
-        // News of servers does not wait for listings.
+        assert!((min_ms..max_ms).contains(&gap_ms), "{gap_ms} ms");
+        // Tally updates do not wait for snapshots.
         assert_eq!(pacer.update_delay(start), Duration::ZERO);
     }
 }
@@ -123,9 +127,9 @@
     queue.push(&CatalogUpdate::Snapshot(listing(Some(bundle(3)))), true);
     queue.push(&change, true);
     queue.drop_known_listing(at(6), 3);
-    assert!(queue.has_listing(), "an older history");
+    assert!(queue.has_listing(), "the peer knows an older history");
     queue.drop_known_listing(at(7), 2);
-    assert!(queue.has_listing(), "an older bundle");
+    assert!(queue.has_listing(), "the peer has an older bundle");
     queue.drop_known_listing(at(7), 3);
     assert!(!queue.has_listing());
     assert_eq!(queue.take(Instant::now()), [change]);
@@ -133,15 +137,15 @@
 
 #[test]
 fn queued_listing_of_returned_servers_is_never_dropped() {
-    let mut told = (*listing(None)).clone();
-    told.returned.push("i-1".into());
+    let mut update = (*listing(None)).clone();
+    update.returned.push("i-1".into());
     let mut queue = CatalogQueue::new();
-    queue.push(&CatalogUpdate::Snapshot(Arc::new(told)), true);
+    queue.push(&CatalogUpdate::Snapshot(Arc::new(update)), true);
     queue.drop_known_listing(at(9), 9);
     assert!(queue.has_listing());
 }
 
-/// Records as servers announce themselves, with addresses of both kinds.
+/// Returns records as servers announce them, with IPv4 and IPv6 addresses.
 fn announced_records() -> Vec<ServerRecord> {
     let record = |n: usize| ServerRecord {
         id: format!("i-{n:010x}"),
@@ -158,7 +162,8 @@
     (0..SERVERS).map(record).collect()
 }
 
-/// Each record had the names of its service and data centre: 70 bytes.
+/// Guards against records that repeat the names of their service and data centre, which
+/// took 70 bytes each.
 #[test]
 fn server_records_take_forty_bytes_each_between_boxes() {
     let servers = announced_records();
@@ -174,7 +179,7 @@
     };
     let (listed, changed) = (encode_frame(&listing).len(), encode_frame(&changes).len());
     assert!(listed <= 40 * SERVERS, "{listed} bytes");
-    // Each change says what it is.
+    // Each change also contains its kind.
     assert!(changed <= 44 * SERVERS, "{changed} bytes");
 }
 
@@ -191,13 +196,14 @@
     let mut bytes = encode_frame(&listing);
     let read = decode_next_frame(&mut bytes).map_err(|error| error.to_string());
     assert_eq!(read, Ok(Some(listing)));
-    let mut told: Vec<_> = servers.into_iter().map(CatalogChange::Server).collect();
-    told.insert(3, CatalogChange::ServerGone("i-3".into()));
-    told.push(CatalogChange::Evacuated("hala-jug".into()));
+    let mut catalog_changes: Vec<_> =
+        servers.into_iter().map(CatalogChange::Server).collect();
+    catalog_changes.insert(3, CatalogChange::ServerGone("i-3".into()));
+    catalog_changes.push(CatalogChange::Evacuated("hala-jug".into()));
     let changes = CatalogChanges {
         after: at(7),
         position: at(8),
-        changes: told,
+        changes: catalog_changes,
     };
     let mut bytes = encode_frame(&changes);
     let read = decode_next_frame(&mut bytes).map_err(|error| error.to_string());
@@ -232,7 +238,7 @@
         let mut bytes = encode_frame(&listing);
         decode_next_frame::<CatalogSnapshot>(&mut bytes)
     };
-    let known = read(0).unwrap().expect("it is whole");
+    let known = read(0).unwrap().expect("the frame is complete");
     assert_eq!(known.servers[0].data_centre, "svc");
     let error = read(1).unwrap_err().to_string();
     assert!(error.contains("points at name 1 of 1"), "{error}");
--- a/tests/tests/news_age.rs
+++ b/tests/tests/news_age.rs
@@ -1,13 +1,6 @@
-//! How old the news of a hub is, when it has waited on its way.
-//!
-//! A box of a tenth of a core and ten megabits became the hub of 36 others when the two
-//! strong boxes of its data centre were stopped in turn. A configuration of 1,420 routes
-//! was accepted at 16.08 s; the hub had it at 16.33 s and sent it to each of them whole.
-//! The frames waited for seconds in the hub's connections, and each said how fresh the
-//! hub's reading had been when it was written, not when it came. So all members took
-//! themselves for up to date: at 18.55 s, 2.5 s later, the first of them said
-//! `store: reading it. revision=986`, and until then they sent requests by the former
-//! configuration and to a server that had left 2.9 s before.
+//! Guards against stale catalog updates being taken for fresh. The frames of a weak hub
+//! waited for seconds in its connections, and members counted their age from arrival, so
+//! they used the former configuration and a server that had left 2.9 s before.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,19 +11,20 @@
 };
 use wingspur_state::{BoxId, Bundle, BundlePatch, HostRoute, RouteClass, RouteTarget};
 
-/// A hub's frames on their way to a member: how long one takes that is sent now.
-type Way = fn(Duration) -> Duration;
+/// Transit time of a frame of the hub that is sent at a given time.
+type Transit = fn(Duration) -> Duration;
 
-/// A member reads the store itself within this of the newest moment that its news is of.
-const BOUND: Duration = Duration::from_millis(1800);
+/// A member reads the store itself once its newest update is older than this.
+const MAX_STALENESS: Duration = Duration::from_millis(1800);
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// Plays a hub that reads all the time and tells a member ten times a second; returns the
-/// longest time for which the member's news was older than the bound while it did not read.
-fn longest_blindness(way: Way) -> Duration {
+/// Simulates a hub that reads all the time and sends to a member ten times per second.
+/// Returns the longest time for which the newest update of the member was older than the
+/// limit while it did not read the store itself.
+fn longest_staleness(transit: Transit) -> Duration {
     let start = Instant::now();
     let mut member = CatalogFreshnessTracker::new(BoxId::from("member"), start);
     let fresh = CatalogFreshness {
@@ -40,33 +34,33 @@
         ..CatalogFreshness::default()
     };
     let (mut hub_clock, mut own_clock) = (LinkClock::new(start), LinkClock::new(start));
-    let mut on_the_way: Vec<(Duration, Duration, LinkTimestamps)> = Vec::new();
-    let (mut newest, mut blind, mut longest) = (Duration::ZERO, Duration::ZERO, ms(0));
+    let mut in_transit: Vec<(Duration, Duration, LinkTimestamps)> = Vec::new();
+    let (mut newest, mut stale, mut longest) = (Duration::ZERO, Duration::ZERO, ms(0));
     for tick in 0..1000 {
         let now = ms(10) * tick;
         if tick % 10 == 0 {
             // The member's own frames reach the hub at once.
             hub_clock.receive(&own_clock.send(start + now));
             // Frames of one connection do not overtake each other.
-            let before = on_the_way.last().map_or(ms(0), |(_, arrives, _)| *arrives);
-            let arrives = (now + way(now)).max(before);
-            on_the_way.push((now, arrives, hub_clock.send(start + now)));
+            let before = in_transit.last().map_or(ms(0), |(_, arrives, _)| *arrives);
+            let arrives = (now + transit(now)).max(before);
+            in_transit.push((now, arrives, hub_clock.send(start + now)));
         }
-        let arrived = on_the_way.iter().filter(|(_, arrives, _)| *arrives == now);
-        for (written, _, stamps) in arrived {
+        let arrived = in_transit.iter().filter(|(_, arrives, _)| *arrives == now);
+        for (written, _, timestamps) in arrived {
             newest = newest.max(*written);
-            own_clock.receive(stamps);
-            if let Some(vouched) = own_clock.peer_state_as_of() {
-                member.receive(1, &fresh, vouched);
+            own_clock.receive(timestamps);
+            if let Some(as_of) = own_clock.peer_state_as_of() {
+                member.receive(1, &fresh, as_of);
             }
         }
         let reads = member.should_watch_store(false, 3, start + now);
-        blind = if now > newest + BOUND && !reads {
-            blind + ms(10)
+        stale = if now > newest + MAX_STALENESS && !reads {
+            stale + ms(10)
         } else {
             ms(0)
         };
-        longest = longest.max(blind);
+        longest = longest.max(stale);
     }
     longest
 }
@@ -76,14 +70,14 @@
     let prompt = |_| ms(0);
     let slower_and_slower = |now: Duration| now.mul_f64(0.4);
     let three_seconds = |now| if now < ms(2000) { ms(0) } else { ms(3000) };
-    let ways: [(&str, Way); 3] = [
+    let transits: [(&str, Transit); 3] = [
         ("prompt", prompt),
         ("slower and slower", slower_and_slower),
         ("three seconds late", three_seconds),
     ];
-    for (name, way) in ways {
-        let blind = longest_blindness(way);
-        assert_eq!(blind, ms(0), "{name}: old news was taken for fresh");
+    for (name, transit) in transits {
+        let stale = longest_staleness(transit);
+        assert_eq!(stale, ms(0), "{name}: a stale catalog was taken for fresh");
     }
 }
 
@@ -91,7 +85,11 @@
 fn news_is_no_older_than_the_newest_frame_that_the_other_side_had() {
     let start = Instant::now();
     let (mut ours, mut theirs) = (LinkClock::new(start), LinkClock::new(start));
-    assert_eq!(ours.peer_state_as_of(), None, "nothing was answered yet");
+    assert_eq!(
+        ours.peer_state_as_of(),
+        None,
+        "no frame was acknowledged yet"
+    );
     let first = ours.send(start + ms(100));
     theirs.receive(&first);
     let answer = theirs.send(start + ms(150));
@@ -105,7 +103,7 @@
     assert_eq!(
         ours.peer_state_as_of(),
         Some(start + ms(100)),
-        "neither has arrived"
+        "neither frame has arrived"
     );
     assert_eq!(ours.oldest_unanswered_age(start + ms(4_000)), ms(3_600));
 }
@@ -113,19 +111,19 @@
 #[test]
 fn the_age_of_the_newest_news_shows_whoever_read_it() {
     let start = Instant::now();
-    let mut feed = CatalogFreshnessTracker::new(BoxId::from("own"), start);
-    let told = CatalogFreshness {
+    let mut tracker = CatalogFreshnessTracker::new(BoxId::from("own"), start);
+    let reported = CatalogFreshness {
         reader: Some(BoxId::from("hub")),
         age_ms: 300,
         is_read_failing: false,
         ..CatalogFreshness::default()
     };
-    feed.receive(1, &told, start + ms(1_000));
-    assert_eq!(feed.staleness(start + ms(1_500)), ms(800));
-    assert!(!feed.is_lagging(start + ms(1_900)));
-    assert!(feed.is_lagging(start + ms(2_000)));
-    feed.note_answer(start + ms(2_000));
-    assert_eq!(feed.staleness(start + ms(2_050)), ms(50));
+    tracker.receive(1, &reported, start + ms(1_000));
+    assert_eq!(tracker.staleness(start + ms(1_500)), ms(800));
+    assert!(!tracker.is_lagging(start + ms(1_900)));
+    assert!(tracker.is_lagging(start + ms(2_000)));
+    tracker.note_answer(start + ms(2_000));
+    assert_eq!(tracker.staleness(start + ms(2_050)), ms(50));
 }
 
 fn route(number: usize, timeout_ms: u64) -> HostRoute {
@@ -170,14 +168,19 @@
     routes.remove(100);
     routes.insert(3, route(2000, 3000));
     let after = bundle(23, routes);
-    let patch = BundlePatch::between(&before, &after).expect("no prefix stands twice");
+    let patch = BundlePatch::between(&before, &after).expect("no prefix occurs twice");
     assert_eq!((patch.before, patch.version()), (20, 23));
-    let patched = patch.apply(&before).expect("it is the bundle before");
+    let patched = patch
+        .apply(&before)
+        .expect("the patch starts from this bundle");
     assert_eq!(sorted(patched), sorted(after.clone()));
     assert_eq!(patch.apply(&after), None);
-    let whole = encode_frame(&after).len();
-    let told = encode_frame(&patch).len();
-    assert!(told * 100 < whole, "{told} of {whole} bytes");
+    let full_bytes = encode_frame(&after).len();
+    let patch_bytes = encode_frame(&patch).len();
+    assert!(
+        patch_bytes * 100 < full_bytes,
+        "{patch_bytes} of {full_bytes} bytes"
+    );
 }
 
 #[test]
--- a/tests/tests/news_pacer.rs
+++ b/tests/tests/news_pacer.rs
@@ -1,4 +1,4 @@
-//! How much news a box sends to its members, by what its link bears.
+//! How many updates a box sends to its members, by the bandwidth of its link.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use wingspur_protocol::TallyUpdate;
 use wingspur_state::ServerTally;
 
-/// News of so many servers.
+/// Returns tally updates of `servers` servers.
 fn digests(servers: u64) -> Vec<TallyUpdate> {
     let tally = ServerTally::default();
     let servers = (0..servers).map(|server| (server, tally)).collect();
@@ -16,7 +16,8 @@
     }]
 }
 
-/// Frames of news in ten seconds to as many members as want them.
+/// Returns the number of frames with updates that are sent in ten seconds while some
+/// member always needs one.
 fn frames(capacity: u32, servers: u64) -> u32 {
     let start = Instant::now();
     let mut pacer = UpdatePacer::new(capacity, start);
@@ -32,16 +33,15 @@
     frames
 }
 
-/// A box of the least kind, with a link of ten megabits, became the hub of 36 members before
-/// 332 servers once both strong ones had been stopped. It sent 320 frames a second of up to
-/// ten kilobytes, more than twice what its link carries: its answers came a second late, and
-/// its members refused 530 requests of accounts that nobody could tell them of.
+/// Guards against a weak hub whose updates fill its link. With 36 members, 332 servers
+/// and 10 Mbit/s, one sent 320 frames/s of up to 10 kB, over twice what its link carries.
+/// Its replies were 1 s late, and members refused 530 requests of unknown accounts.
 #[test]
 fn a_weak_hub_leaves_most_of_its_link_to_answers() {
     let bytes_per_s = f64::from(frames(1, 332)) * 332.0 * 26.0 / 10.0;
     assert!(bytes_per_s < 0.42 * 1_250_000.0, "{bytes_per_s}");
     assert!(bytes_per_s > 0.35 * 1_250_000.0, "{bytes_per_s}");
-    // A strong one is not held up.
+    // A strong hub is not delayed.
     assert!(frames(5, 332) / 10 >= 240);
 }
 
@@ -55,8 +55,9 @@
     }
 }
 
-/// One look at the links a tick: were each frame to wait for the one before, a hub of 14 links
-/// would tell each of them every 140 ms instead of every 50.
+/// Guards against members waiting for each other: links are checked once per tick, so if
+/// each frame waited for the one before, a hub of 14 links would send on each every 140
+/// ms instead of every 50 ms.
 #[test]
 fn a_hub_tells_all_its_members_in_one_tick() {
     let now = Instant::now();
--- a/tests/tests/positions.rs
+++ b/tests/tests/positions.rs
@@ -1,4 +1,5 @@
-//! Points in the store's history stay whole beyond its adapter.
+//! Positions in the history of the store are not split into era and revision outside of
+//! its adapter.
 
 use std::path::{Path, PathBuf};
 
@@ -13,7 +14,8 @@
     }
 }
 
-/// Crates on the path of the platform's store, without the one that makes positions.
+/// Crates that handle positions of the platform's store, without the crate that creates
+/// them.
 const CRATES: [&str; 3] = [
     "crates/wingspur-coordination/src",
     "crates/wingspur-edge/src",
