--- a/crates/wingspur-edge/src/announce.rs
+++ b/crates/wingspur-edge/src/announce.rs
@@ -1,4 +1,4 @@
-//! Keeps this box announced in the store while it may become a hub.
+//! Keeps this box announced in the store while it may become a hub of its data centre.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,27 +11,33 @@
 use crate::edge_state::EdgeState;
 use crate::store_calls::call_store;
 
-/// Announces this box when it should be, and renews its lease, until it stops.
+/// Announces this box in the store whenever it should be announced, and renews the lease
+/// of the announcement, until the box stops.
 pub async fn run_announcement(shared: Arc<EdgeState>, stop: StopSignal) {
-    let mut told_boxes = 0;
+    let mut announced_size = 0;
     let mut failures = 0u32;
     while !stop.is_triggered() && !shared.stopping.has_begun() {
-        let done = match (next_step(&shared), announcement(&shared)) {
-            (AnnouncementStep::AnnounceWithin(span), _) => {
-                announce_within(&shared, span, &mut told_boxes).await
+        let result = match (next_step(&shared), current_announcement(&shared)) {
+            (AnnouncementStep::AnnounceWithin(max_delay), _) => {
+                announce_within(&shared, max_delay, &mut announced_size).await
             }
-            (AnnouncementStep::Keep, Some(held)) => {
-                renew(&shared, held, &mut told_boxes).await
+            (AnnouncementStep::Keep, Some(current)) => {
+                renew(&shared, current, &mut announced_size).await
             }
-            (AnnouncementStep::Lapse, Some(held)) => {
-                let lease = held.lease.id;
-                tracing::info!(lease, "lease: not needed any more, it will lapse.");
+            (AnnouncementStep::Lapse, Some(current)) => {
+                let lease = current.lease.id;
+                tracing::info!(
+                    lease,
+                    "lease: announcement no longer needed; the lease will expire."
+                );
                 *shared.announcement.lock() = None;
-                Ok(IDLE)
+                Ok(IDLE_CHECK_INTERVAL)
+            }
+            (AnnouncementStep::Keep | AnnouncementStep::Lapse, None) => {
+                Ok(IDLE_CHECK_INTERVAL)
             }
-            (AnnouncementStep::Keep | AnnouncementStep::Lapse, None) => Ok(IDLE),
         };
-        let wait = match done {
+        let wait = match result {
             Ok(wait) => {
                 failures = 0;
                 wait
@@ -39,9 +45,9 @@
             Err(error) => {
                 failures += 1;
                 tracing::info!(%error, failures, "lease: not renewed.");
-                let holds = announcement(&shared).is_some();
-                if holds {
-                    RENEWAL
+                let is_announced = current_announcement(&shared).is_some();
+                if is_announced {
+                    LEASE_RENEWAL_INTERVAL
                 } else {
                     retry_backoff(failures)
                 }
@@ -51,33 +57,41 @@
     }
 }
 
-/// Ends the announcement, so that the others look for another hub in time.
+/// Removes this box's announcement from the store, so that other boxes look for another
+/// hub in time. Gives up after `timeout`; the announcement then ends with its lease.
 ///
-/// Removes the announcement itself: the lease's id may be another box's since a restore of the
-/// store that this box has not heard of.
-pub async fn withdraw_announcement(shared: &Arc<EdgeState>, limit: Duration) {
-    let Some(held) = shared.announcement.lock().take() else {
+/// The announcement itself is removed, rather than its lease: after a restore of the
+/// store that this box does not know of, the lease's id may belong to another box.
+pub async fn withdraw_announcement(shared: &Arc<EdgeState>, timeout: Duration) {
+    let Some(current) = shared.announcement.lock().take() else {
         return;
     };
     let own_id = shared.settings().box_id.clone();
-    let call = (shared.catalog.withdraw)(own_id, held.position);
+    let call = (shared.catalog.withdraw)(own_id, current.position);
     let withdrawing = async { call_store(shared, "withdraw", call).await.map(Some) };
-    let expired = async {
-        wingspur_clock::sleep(limit).await;
+    let timed_out = async {
+        wingspur_clock::sleep(timeout).await;
         Ok(None)
     };
-    match withdrawing.or(expired).await {
+    match withdrawing.or(timed_out).await {
         Ok(Some(true)) => {}
-        Ok(Some(false)) => tracing::info!("lease: written anew since, it will lapse."),
-        Ok(None) => tracing::info!("lease: no answer in time, it will lapse."),
-        Err(error) => tracing::info!(%error, "lease: not ended, it will lapse."),
+        Ok(Some(false)) => tracing::info!(
+            "lease: announcement was rewritten in the store; it will expire."
+        ),
+        Ok(None) => tracing::info!(
+            "lease: no response of the store in time; the lease will expire."
+        ),
+        Err(error) => {
+            tracing::info!(%error, "lease: announcement not removed; it will expire.")
+        }
     }
 }
 
-/// What this box should do about its announcement now; nothing before it knows any other, and
-/// nothing once it stops: one that is announced then is taken for a hub until its lease ends.
+/// Returns what this box should do about its announcement now. That is `Keep`, no change,
+/// before the box knows the catalog and once it is stopping: other boxes would take a box
+/// that is announced while it stops for a hub until its lease ends.
 fn next_step(shared: &EdgeState) -> AnnouncementStep {
-    let announced = announcement(shared).is_some();
+    let announced = current_announcement(shared).is_some();
     let mut links = shared.links.lock();
     if links.is_starting() || shared.stopping.has_begun() {
         return AnnouncementStep::Keep;
@@ -89,50 +103,60 @@
     })
 }
 
-/// Announces this box at some time within a span, unless it is not needed any more by then.
+/// Announces this box after a random delay of up to `max_delay`, unless that is no longer
+/// needed by then. Returns how long to wait before the next step.
 async fn announce_within(
     shared: &Arc<EdgeState>,
-    span: Duration,
-    told_boxes: &mut u32,
+    max_delay: Duration,
+    announced_size: &mut u32,
 ) -> Result<Duration, CatalogError> {
-    wingspur_clock::sleep(span.mul_f64(rand::random())).await;
+    wingspur_clock::sleep(max_delay.mul_f64(rand::random())).await;
     if !matches!(next_step(shared), AnnouncementStep::AnnounceWithin(_)) {
-        return Ok(IDLE);
+        return Ok(IDLE_CHECK_INTERVAL);
     }
-    announce(shared, None, told_boxes).await?;
+    announce(shared, None, announced_size).await?;
     tracing::info!("lease: announced.");
     if shared.stopping.has_begun() {
-        // The stop began while the store was written: it found no lease to end.
-        withdraw_announcement(shared, WITHDRAWAL_LIMIT).await;
+        // The stop began while the announcement was being written, so the stop found none
+        // to withdraw.
+        withdraw_announcement(shared, WITHDRAWAL_TIMEOUT).await;
     }
-    Ok(RENEWAL)
+    Ok(LEASE_RENEWAL_INTERVAL)
 }
 
-/// Renews the lease, and tells the fleet's size anew where it has changed.
+/// Renews the lease, and first announces the box again if the size of the fleet has
+/// changed enough since its last announcement. Returns how long to wait before the next
+/// step, which is zero where the lease has ended.
 async fn renew(
     shared: &Arc<EdgeState>,
-    held: Announcement,
-    told_boxes: &mut u32,
+    current: Announcement,
+    announced_size: &mut u32,
 ) -> Result<Duration, CatalogError> {
-    let lease = held.lease.id;
+    let lease = current.lease.id;
     let boxes = shared.links.lock().fleet_boxes(wingspur_clock::now()) as u32;
-    if boxes.abs_diff(*told_boxes) > *told_boxes / RETOLD_PART {
-        announce(shared, Some(held), told_boxes).await?;
-        tracing::info!(lease, boxes, "lease: another size of the fleet told.");
+    if boxes.abs_diff(*announced_size) > *announced_size / FLEET_SIZE_TOLERANCE_DIVISOR {
+        announce(shared, Some(current), announced_size).await?;
+        tracing::info!(
+            lease,
+            boxes,
+            "lease: announced a changed size of the fleet."
+        );
     }
-    let call = (shared.catalog.renew)(held.lease);
+    let call = (shared.catalog.renew)(current.lease);
     if !call_store(shared, "renew", call).await? {
-        tracing::warn!(lease, "lease: it has ended.");
+        tracing::warn!(lease, "lease: the lease has ended.");
         *shared.announcement.lock() = None;
         return Ok(Duration::ZERO);
     }
-    Ok(RENEWAL)
+    Ok(LEASE_RENEWAL_INTERVAL)
 }
 
+/// Writes the announcement of this box to the store, under the lease of the current one
+/// or else a new lease, and records the announced size of the fleet.
 async fn announce(
     shared: &Arc<EdgeState>,
-    held: Option<Announcement>,
-    told_boxes: &mut u32,
+    current: Option<Announcement>,
+    announced_size: &mut u32,
 ) -> Result<(), CatalogError> {
     let record = {
         let mut links = shared.links.lock();
@@ -141,25 +165,28 @@
         record.fleet_boxes = boxes;
         record
     };
-    *told_boxes = record.fleet_boxes;
-    let call = (shared.catalog.announce)(record, held.map(|held| held.lease));
+    *announced_size = record.fleet_boxes;
+    let call = (shared.catalog.announce)(record, current.map(|current| current.lease));
     let written = call_store(shared, "announce", call).await?;
     *shared.announcement.lock() = Some(written);
     Ok(())
 }
 
-/// How this box is announced in the store's present era.
-fn announcement(shared: &EdgeState) -> Option<Announcement> {
+/// Returns the announcement of this box in the current era of the store; `None` where it
+/// is not announced in that era.
+fn current_announcement(shared: &EdgeState) -> Option<Announcement> {
     let era = shared.links.lock().watch_state().era();
-    let held = *shared.announcement.lock();
-    held.filter(|held| held.lease.era == era)
+    let current = *shared.announcement.lock();
+    current.filter(|current| current.lease.era == era)
 }
 
-/// Two renewals may be lost before the lease of ten seconds ends.
-const RENEWAL: Duration = Duration::from_secs(3);
-/// How soon a box notices that it should be announced.
-const IDLE: Duration = Duration::from_millis(300);
-/// A size that is off by more than a quarter is told anew.
-const RETOLD_PART: u32 = 4;
-/// A call of the store takes milliseconds; a box that stops is there for seconds.
-const WITHDRAWAL_LIMIT: Duration = Duration::from_secs(1);
+/// The interval of lease renewals. Two renewals may fail before the lease of ten seconds
+/// ends.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
+/// How often a box checks whether it should be announced.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// The announced size of the fleet is updated when it is off by more than a quarter.
+const FLEET_SIZE_TOLERANCE_DIVISOR: u32 = 4;
+/// The longest time to wait for the removal of the announcement. A call to the store
+/// takes milliseconds, and a stopping box keeps running for seconds.
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/wingspur-edge/src/catalog_state.rs
+++ b/crates/wingspur-edge/src/catalog_state.rs
@@ -1,4 +1,4 @@
-//! What this box knows of the catalog, whoever read it.
+//! The catalog as this box knows it, whether it read the store itself or a peer sent it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,7 +16,8 @@
     apply_quarantine, end_quarantine, quarantine_records, replace_quarantines,
 };
 
-/// Takes in news of the catalog that came by a link, and passes on what was news here.
+/// Applies a catalog update from a peer, and sends what is new to this box on to its
+/// other links. `from` is the link that it came by.
 pub fn apply_peer_update(
     shared: &Arc<EdgeState>,
     update: CatalogUpdate,
@@ -24,7 +25,7 @@
     now: Instant,
 ) {
     match update {
-        CatalogUpdate::Snapshot(told) => apply_peer_listing(shared, told, from, now),
+        CatalogUpdate::Snapshot(update) => apply_peer_snapshot(shared, update, from, now),
         CatalogUpdate::Changes {
             changes,
             doubtful_ms,
@@ -32,63 +33,68 @@
     }
 }
 
-fn apply_peer_listing(
+fn apply_peer_snapshot(
     shared: &Arc<EdgeState>,
-    told: Arc<CatalogSnapshotUpdate>,
+    received: Arc<CatalogSnapshotUpdate>,
     from: Option<LinkId>,
     now: Instant,
 ) {
-    let bundle = told.snapshot.bundle.as_ref();
+    let bundle = received.snapshot.bundle.as_ref();
     let bundle_version = bundle.map(|bundle| bundle.version);
-    let returned = told.returned.clone();
-    if told.snapshot.position > shared.links.lock().position() {
-        read_by_another(shared, told.doubtful_ms, now);
-        apply_listing(shared, Arc::unwrap_or_clone(told), "peer", now);
-        spread_listing(shared, from, now);
-    } else if merge_listing(shared, &told, now) {
-        spread_listing(shared, from, now);
+    let returned = received.returned.clone();
+    if received.snapshot.position > shared.links.lock().position() {
+        record_peer_read(shared, received.doubtful_ms, now);
+        apply_snapshot(shared, Arc::unwrap_or_clone(received), "peer", now);
+        broadcast_snapshot(shared, from, now);
+    } else if merge_older_snapshot(shared, &received, now) {
+        broadcast_snapshot(shared, from, now);
     }
-    let knows_more = knows_more(shared, bundle_version, &returned);
-    if let Some(link) = from.filter(|_| knows_more) {
-        let listing = current_snapshot(shared, now);
-        shared.links.lock().send_update(link, listing);
+    let peer_is_behind = peer_is_behind(shared, bundle_version, &returned);
+    if let Some(link) = from.filter(|_| peer_is_behind) {
+        let snapshot = current_snapshot(shared, now);
+        shared.links.lock().send_update(link, snapshot);
         shared.pending_updates.notify();
     }
 }
 
-/// Takes in what counts of a listing whatever its position: what a restored store has lost.
-/// Whether any of it was news.
-fn merge_listing(
+/// Applies those parts of a peer's snapshot that count whatever its position, since a
+/// restored store has lost them: a newer bundle, and servers that had ended before the
+/// restore. Returns whether any of it was new to this box.
+fn merge_older_snapshot(
     shared: &Arc<EdgeState>,
-    told: &CatalogSnapshotUpdate,
+    received: &CatalogSnapshotUpdate,
     now: Instant,
 ) -> bool {
-    let bundle = told.snapshot.bundle.clone();
+    let bundle = received.snapshot.bundle.clone();
     let is_newer = bundle.is_some_and(|bundle| shared.activate_bundle(bundle, "peer"));
     if is_newer {
         shared.update_fleet_shares();
     }
     let is_of_this_era =
-        told.snapshot.position.era() == shared.links.lock().position().era();
-    let gone = match is_of_this_era {
-        true => shared.directory.lock().suppress_stale(&told.returned, now),
+        received.snapshot.position.era() == shared.links.lock().position().era();
+    let suppressed = match is_of_this_era {
+        true => shared
+            .directory
+            .lock()
+            .suppress_stale(&received.returned, now),
         false => Vec::new(),
     };
-    apply_server_changes(shared, &gone, "peer");
-    is_newer || !gone.is_empty()
+    apply_server_changes(shared, &suppressed, "peer");
+    is_newer || !suppressed.is_empty()
 }
 
-/// Whether this box knows of what a restored store has lost, and the teller of a listing does
-/// not.
-fn knows_more(
+/// Returns whether this box knows something that a restored store has lost and that the
+/// peer that sent a snapshot does not know: a newer bundle, or a listed server that had
+/// ended before the restore.
+fn peer_is_behind(
     shared: &EdgeState,
     peer_version: Option<BundleVersion>,
     peer_returned: &[ServerId],
 ) -> bool {
-    let has_newer = peer_version.is_some_and(|told| told < shared.bundle_version());
+    let has_newer = peer_version.is_some_and(|version| version < shared.bundle_version());
     let directory = shared.directory.lock();
-    let mut returned = directory.suppressed();
-    has_newer || returned.any(|record| !peer_returned.contains(&record.id))
+    let mut suppressed = directory.suppressed();
+    has_newer || suppressed.any(|record| !peer_returned.contains(&record.id))
 }
 
 fn apply_peer_changes(
@@ -102,66 +108,73 @@
     if changes.position <= known {
         return;
     }
-    if changes.after > known || lacks_base(shared, &changes) {
-        // Changes in between never came this way.
+    if changes.after > known || lacks_patch_base(shared, &changes) {
+        // This box lacks changes in between, or the bundle that a patch builds on.
         if let Some(link) = from {
             shared.links.lock().request_snapshot(link);
             shared.pending_updates.notify();
         }
         return;
     }
-    read_by_another(shared, doubtful_ms, now);
+    record_peer_read(shared, doubtful_ms, now);
     let urgent = !changes.changes.is_empty();
     let update = CatalogUpdate::Changes {
         changes: changes.clone(),
         doubtful_ms,
     };
-    spread(shared, &update, urgent, from);
+    broadcast(shared, &update, urgent, from);
     apply_changes(shared, changes, "peer", now);
 }
 
-/// Notes for how long what another box has read may be doubted.
-fn read_by_another(shared: &EdgeState, doubtful_ms: u32, now: Instant) {
-    let doubtful = Duration::from_millis(doubtful_ms.into());
-    shared.directory.lock().store_read_by_peer(doubtful, now);
+/// Records that another box has read the store, and for how many milliseconds servers
+/// that vanished from it may only be missing.
+fn record_peer_read(shared: &EdgeState, doubtful_ms: u32, now: Instant) {
+    let removal_grace = Duration::from_millis(doubtful_ms.into());
+    shared
+        .directory
+        .lock()
+        .store_read_by_peer(removal_grace, now);
 }
 
-/// Applies a listing that this box read itself, and spreads it; false where links have told
-/// more while it was on its way.
+/// Applies a snapshot that this box read from the store, and sends it to the other boxes
+/// if it is newer than what was known. Returns false, and drops the snapshot, where peers
+/// have sent something newer in the meantime.
 pub fn apply_store_snapshot(
     shared: &Arc<EdgeState>,
-    listing: CatalogSnapshot,
+    snapshot: CatalogSnapshot,
     now: Instant,
 ) -> bool {
     let known = shared.links.lock().position();
-    let position = listing.position;
+    let position = snapshot.position;
     let is_older = position < known;
     tracing::info!(
         %known,
         %position,
-        bundle_version = listing.bundle.as_ref().map_or(0, |bundle| bundle.version),
-        servers = listing.servers.len(),
+        bundle_version = snapshot.bundle.as_ref().map_or(0, |bundle| bundle.version),
+        servers = snapshot.servers.len(),
         outcome = if is_older { "passed over" } else { "taken" },
         "catalog: listed."
     );
     if is_older {
         return false;
     }
-    let read = CatalogSnapshotUpdate {
-        snapshot: listing,
+    let update = CatalogSnapshotUpdate {
+        snapshot,
         doubtful_ms: 0,
         missing: Vec::new(),
         returned: Vec::new(),
     };
-    apply_listing(shared, read, "store", now);
+    apply_snapshot(shared, update, "store", now);
     if position > known {
-        spread_listing(shared, None, now);
+        broadcast_snapshot(shared, None, now);
     }
     true
 }
 
-/// Applies changes that this box read itself, and spreads them, those that change nothing as
-/// a position only; false where links have told more while they were on their way.
+/// Applies changes that this box read from the store, and sends them to the other boxes;
+/// server entries that are already current are left out, and only the position is sent
+/// for them. Returns false, and drops the changes, where peers have sent something newer
+/// in the meantime.
 pub fn apply_store_changes(
     shared: &Arc<EdgeState>,
     mut changes: CatalogChanges,
@@ -176,7 +189,8 @@
     let mut directory = shared.directory.lock();
     changes.changes.retain(|change| match change {
         CatalogChange::Server(record) if directory.is_current(record) => {
-            // What is left of a cold start is kept, so that a later one is told from it.
+            // The remaining warm-up time is stored, so that the start of a later warm-up
+            // can be recognised by a longer time.
             directory.put(record.clone());
             false
         }
@@ -187,15 +201,16 @@
         let urgent = !changes.changes.is_empty();
         let update = CatalogUpdate::Changes {
             changes: with_patches(shared, &changes),
-            doubtful_ms: doubtful_ms(shared, now),
+            doubtful_ms: removal_grace_ms(shared, now),
         };
-        spread(shared, &update, urgent, None);
+        broadcast(shared, &update, urgent, None);
     }
     apply_changes(shared, changes, "store", now);
     true
 }
 
-/// What a peer lacks that knows all up to a position and has a version in force.
+/// Returns what a peer lacks that knows the catalog up to `position` and has the bundle
+/// `bundle_version` active; `None` where it lacks nothing.
 pub fn catch_up_update(
     shared: &EdgeState,
     position: StorePosition,
@@ -205,18 +220,20 @@
     let is_behind = shared.links.lock().position() > position;
     let update = is_behind.then(|| update_since(shared, position, now));
     let newest = shared.bundle_version();
-    let brought = update
+    let has_newest_bundle = update
         .as_ref()
-        .is_some_and(|update| brings_bundle(update, newest));
-    let knows_gone = shared.directory.lock().suppressed().next().is_some();
-    // No change brings what a restored store has lost.
-    match knows_gone || (newest > bundle_version && !brought) {
+        .is_some_and(|update| contains_bundle(update, newest));
+    let has_suppressed = shared.directory.lock().suppressed().next().is_some();
+    // Changes do not contain what a restored store has lost; only a snapshot does.
+    match has_suppressed || (newest > bundle_version && !has_newest_bundle) {
         true => Some(current_snapshot(shared, now)),
         false => update,
     }
 }
 
-fn brings_bundle(update: &CatalogUpdate, version: BundleVersion) -> bool {
+/// Returns whether a peer that applies the update has the bundle of this version; a
+/// snapshot always contains the newest bundle.
+fn contains_bundle(update: &CatalogUpdate, version: BundleVersion) -> bool {
     match update {
         CatalogUpdate::Snapshot(_) => true,
         CatalogUpdate::Changes { changes, .. } => {
@@ -229,7 +246,8 @@
     }
 }
 
-/// The changes since a position, or all there is.
+/// Returns the changes since a position, or a snapshot where they are not all available
+/// any more.
 fn update_since(
     shared: &EdgeState,
     position: StorePosition,
@@ -239,26 +257,28 @@
     match changes {
         Some(changes) => CatalogUpdate::Changes {
             changes,
-            doubtful_ms: doubtful_ms(shared, now),
+            doubtful_ms: removal_grace_ms(shared, now),
         },
         None => current_snapshot(shared, now),
     }
 }
 
-/// All that this box knows, for a peer that is behind.
+/// Returns a snapshot of the catalog as this box knows it, for a peer that is behind. The
+/// cached snapshot is used while it is current.
 pub fn current_snapshot(shared: &EdgeState, now: Instant) -> CatalogUpdate {
     let version = shared.bundle_version();
-    let known = shared.links.lock().cached_snapshot(version, now);
-    known.unwrap_or_else(|| fresh_listing(shared, now))
+    let cached = shared.links.lock().cached_snapshot(version, now);
+    cached.unwrap_or_else(|| build_snapshot(shared, now))
 }
 
-/// Tells the other boxes all that this one knows.
-fn spread_listing(shared: &EdgeState, from: Option<LinkId>, now: Instant) {
-    let listing = fresh_listing(shared, now);
-    spread(shared, &listing, true, from);
+/// Sends a snapshot of the catalog to all linked boxes except the one at `from`.
+fn broadcast_snapshot(shared: &EdgeState, from: Option<LinkId>, now: Instant) {
+    let snapshot = build_snapshot(shared, now);
+    broadcast(shared, &snapshot, true, from);
 }
 
-fn fresh_listing(shared: &EdgeState, now: Instant) -> CatalogUpdate {
+/// Builds a snapshot of the catalog as this box knows it, and caches it.
+fn build_snapshot(shared: &EdgeState, now: Instant) -> CatalogUpdate {
     let announced = shared.announcement.lock().is_some();
     let (position, boxes) = {
         let mut links = shared.links.lock();
@@ -267,52 +287,52 @@
         let boxes = known.chain(own).collect();
         (links.position(), boxes)
     };
-    let in_force = shared.active_bundle();
+    let active = shared.active_bundle();
     let quarantines = quarantine_records(shared);
     let evacuated = shared.services.evacuated().iter().cloned().collect();
     let directory = shared.directory.lock();
-    let doubtful = directory.removal_grace_left(now);
-    let listing = CatalogSnapshot {
+    let removal_grace = directory.removal_grace_left(now);
+    let snapshot = CatalogSnapshot {
         position,
-        bundle: in_force.map(|in_force| in_force.bundle.clone()),
+        bundle: active.map(|active| active.bundle.clone()),
         servers: directory.listed().cloned().collect(),
         boxes,
         quarantines,
         evacuated,
     };
-    let returned = directory.suppressed().map(|record| record.id.clone());
-    let listing = Arc::new(CatalogSnapshotUpdate {
-        snapshot: listing,
-        doubtful_ms: as_ms(doubtful),
+    let suppressed = directory.suppressed().map(|record| record.id.clone());
+    let update = Arc::new(CatalogSnapshotUpdate {
+        snapshot,
+        doubtful_ms: as_ms(removal_grace),
         missing: directory.missing().cloned().collect(),
-        returned: returned.collect(),
+        returned: suppressed.collect(),
     });
     drop(directory);
-    shared.links.lock().cache_snapshot(listing.clone(), now);
-    CatalogUpdate::Snapshot(listing)
+    shared.links.lock().cache_snapshot(update.clone(), now);
+    CatalogUpdate::Snapshot(update)
 }
 
-fn apply_listing(
+fn apply_snapshot(
     shared: &Arc<EdgeState>,
-    told: CatalogSnapshotUpdate,
+    update: CatalogSnapshotUpdate,
     source: &str,
     now: Instant,
 ) {
-    let listing = told.snapshot;
-    if let Some(bundle) = listing.bundle {
+    let snapshot = update.snapshot;
+    if let Some(bundle) = snapshot.bundle {
         shared.activate_bundle(bundle, source);
     }
     let mut directory = shared.directory.lock();
-    let mut changes = directory.replace_restored(listing.servers, &told.returned, now);
-    let missing = told.missing.into_iter();
+    let mut changes = directory.replace_restored(snapshot.servers, &update.returned, now);
+    let missing = update.missing.into_iter();
     changes.extend(missing.filter_map(|record| directory.put_missing(record, now)));
     drop(directory);
     apply_server_changes(shared, &changes, source);
-    replace_quarantines(shared, listing.position, &listing.quarantines);
-    replace_evacuations(shared, listing.evacuated, source);
+    replace_quarantines(shared, snapshot.position, &snapshot.quarantines);
+    replace_evacuations(shared, snapshot.evacuated, source);
     let mut links = shared.links.lock();
-    links.planner().replace(listing.boxes, now);
-    links.watch_state().advance_to(listing.position);
+    links.planner().replace(snapshot.boxes, now);
+    links.watch_state().advance_to(snapshot.position);
     drop(links);
     shared.update_fleet_shares();
     shared.link_plan_changed.notify();
@@ -324,7 +344,7 @@
     source: &str,
     now: Instant,
 ) {
-    let mut followed = Vec::new();
+    let mut server_changes = Vec::new();
     let mut boxes_changed = false;
     for change in changes.changes {
         match change {
@@ -342,10 +362,10 @@
                 }
             }
             CatalogChange::Server(record) => {
-                followed.extend(shared.directory.lock().put(record));
+                server_changes.extend(shared.directory.lock().put(record));
             }
             CatalogChange::ServerGone(id) => {
-                followed.extend(shared.directory.lock().remove(&id, now));
+                server_changes.extend(shared.directory.lock().remove(&id, now));
             }
             CatalogChange::Box(record) => {
                 shared.links.lock().planner().upsert(record);
@@ -365,7 +385,7 @@
             }
         }
     }
-    apply_server_changes(shared, &followed, source);
+    apply_server_changes(shared, &server_changes, source);
     shared
         .links
         .lock()
@@ -377,8 +397,9 @@
     }
 }
 
-/// Whether changes are of a bundle that this box does not have, and needs.
-fn lacks_base(shared: &EdgeState, changes: &CatalogChanges) -> bool {
+/// Returns whether the changes contain a newer bundle only as a patch of a bundle that
+/// this box does not have.
+fn lacks_patch_base(shared: &EdgeState, changes: &CatalogChanges) -> bool {
     let mut version = shared.bundle_version();
     for change in &changes.changes {
         match change {
@@ -394,28 +415,28 @@
     false
 }
 
-/// The changes as other boxes are told them: a bundle by what it changes of the one before.
+/// Returns the changes in the form that is sent to other boxes: a bundle as a patch of
+/// the one before it, where there is a patch.
 fn with_patches(shared: &EdgeState, changes: &CatalogChanges) -> CatalogChanges {
-    let mut before = shared
-        .active_bundle()
-        .map(|in_force| in_force.bundle.clone());
-    let mut told = changes.clone();
-    for change in &mut told.changes {
+    let mut previous = shared.active_bundle().map(|active| active.bundle.clone());
+    let mut patched = changes.clone();
+    for change in &mut patched.changes {
         let CatalogChange::Bundle(bundle) = change else {
             continue;
         };
         let next = bundle.clone();
-        let older = before.as_ref().filter(|old| old.version < next.version);
+        let older = previous.as_ref().filter(|old| old.version < next.version);
         if let Some(patch) = older.and_then(|old| BundlePatch::between(old, &next)) {
             *change = CatalogChange::BundlePatch(Arc::new(patch));
         }
-        before = Some(next);
+        previous = Some(next);
     }
-    told
+    patched
 }
 
-/// Tells the other boxes news of the catalog, soon where it changes anything.
-fn spread(
+/// Sends a catalog update to all linked boxes except the one at `from`. An urgent update
+/// is sent soon, any other with the next regular frame.
+fn broadcast(
     shared: &EdgeState,
     update: &CatalogUpdate,
     urgent: bool,
@@ -427,7 +448,8 @@
     }
 }
 
-fn doubtful_ms(shared: &EdgeState, now: Instant) -> u32 {
+/// Returns for how long servers that vanish from the store may only be missing.
+fn removal_grace_ms(shared: &EdgeState, now: Instant) -> u32 {
     as_ms(shared.directory.lock().removal_grace_left(now))
 }
 
--- a/crates/wingspur-edge/src/catalog_watch.rs
+++ b/crates/wingspur-edge/src/catalog_watch.rs
@@ -1,4 +1,5 @@
-//! Reads the catalog where this box should: a listing first, then changes.
+//! Reads the catalog from the store while this box should: a snapshot first, then a watch
+//! for changes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,68 +14,70 @@
 use crate::edge_state::EdgeState;
 use crate::store_calls::call_store;
 
-/// Reads the catalog whenever this box should, until it stops.
+/// Reads the catalog from the store whenever this box should, until the box stops.
 pub async fn run_catalog_watch(shared: Arc<EdgeState>, stop: StopSignal) {
-    let mut reading = Reading::default();
+    let mut watch = WatchLoop::default();
     let started = wingspur_clock::now();
-    wait_for_hub(&shared, started).await;
+    wait_for_hub_at_start(&shared, started).await;
     while !stop.is_triggered() {
-        if !should_read(&shared) {
-            if reading.active {
-                tracing::info!("store: another box reads it.");
+        if !should_watch_store(&shared) {
+            if watch.active {
+                tracing::info!("store: another box reads the catalog.");
                 shared.links.lock().watch_state().stop_reading();
             }
-            reading = Reading::default();
-            wingspur_clock::sleep(IDLE_CHECK).await;
+            watch = WatchLoop::default();
+            wingspur_clock::sleep(IDLE_POLL_INTERVAL).await;
             continue;
         }
-        if !reading.active {
+        if !watch.active {
             let position = shared.links.lock().position();
             tracing::info!(%position, "store: reading it.");
-            reading.active = true;
+            watch.active = true;
         }
-        match step(&shared, &mut reading, started).await {
-            Ok(()) => reading.note_success(&shared),
+        match run_watch_step(&shared, &mut watch, started).await {
+            Ok(()) => watch.record_success(&shared),
             Err(error @ (CatalogError::HistoryLost | CatalogError::OlderEra { .. })) => {
-                let gaps = reading.gaps;
+                let gaps = watch.gaps;
                 tracing::info!(gaps, %error, "store: listing anew.");
-                reading.lists = Some(Listing::Fresh);
+                watch.due_listing = Some(ListingKind::Fresh);
                 if gaps > 0 {
-                    // Listing did not help: a store that does so all the time is not flooded.
+                    // The last listing did not help. The pause keeps a store that always
+                    // responds this way from being flooded with listings.
                     wingspur_clock::sleep(retry_backoff(gaps)).await;
                 }
-                reading.gaps += 1;
+                watch.gaps += 1;
             }
             Err(error) => {
-                reading.note_failure(&shared, &error);
-                wait_to_retry(&shared, reading.failures).await;
+                watch.record_failure(&shared, &error);
+                wait_to_retry(&shared, watch.failures).await;
             }
         }
         expire_missing_servers(&shared, wingspur_clock::now());
     }
 }
 
-/// Gives a hub the time to tell this box all there is, before it lists that itself.
+/// Gives a hub time to send a snapshot to this starting box before the box lists the
+/// catalog itself.
 ///
-/// Boxes that start together are bound by the store's link; the last to list would
-/// know a bundle late.
-async fn wait_for_hub(shared: &Arc<EdgeState>, started: Instant) {
-    let boxes = find_boxes(shared).await;
+/// The link of the store limits how fast boxes that start together can list; the last one
+/// to list would get the bundle late.
+async fn wait_for_hub_at_start(shared: &Arc<EdgeState>, started: Instant) {
+    let boxes = fetch_announced_boxes(shared).await;
     let (own_id, before) = {
         let mut links = shared.links.lock();
         (links.own().id.clone(), links.planner().rank())
     };
     let was_announced = boxes.iter().any(|record| record.id == own_id);
-    let hold = match lists_catalog_at_start(was_announced, before) {
+    let hub_wait = match lists_catalog_at_start(was_announced, before) {
         true => Duration::ZERO,
-        false => jittered(HUB_HOLD),
+        false => jittered(MAX_HUB_WAIT),
     };
-    let (boxes, hold_ms) = (boxes.len(), hold.as_millis() as u64);
-    let until = wingspur_clock::now() + hold;
+    let (boxes, hold_ms) = (boxes.len(), hub_wait.as_millis() as u64);
+    let until = wingspur_clock::now() + hub_wait;
     while wingspur_clock::now() < until && shared.links.lock().is_starting() {
-        wingspur_clock::sleep(HOLD_CHECK).await;
+        wingspur_clock::sleep(HUB_WAIT_POLL_INTERVAL).await;
     }
-    wait_for_listing(shared, started).await;
+    wait_for_hub_snapshot(shared, started).await;
     let position = shared.links.lock().position();
     let outcome = match position.is_start() {
         true => "this box lists",
@@ -83,81 +86,89 @@
     tracing::info!(boxes, before, hold_ms, %position, "catalog: {outcome}.");
 }
 
-/// Waits until this box has linked with a hub that has come up while it lists, and that it
-/// may wait for.
+/// Waits until this box is linked with a hub that has come up while the box lists the
+/// catalog, and that may be waited for instead.
 ///
-/// Boxes that all start at once find nobody announced, and each would list all there is: with
-/// hundreds of boxes and thousands of servers that takes the store longer than the strongest
-/// boxes need to list and tell the others.
+/// Boxes that all start at once find no box announced, and each would list the whole
+/// catalog. With hundreds of boxes and thousands of servers that takes the store longer
+/// than the strongest boxes need to list the catalog and send it to the others.
 async fn wait_for_new_hub(shared: &Arc<EdgeState>, started: Instant) {
     loop {
-        wingspur_clock::sleep(jittered(HUB_LOOK)).await;
+        wingspur_clock::sleep(jittered(HUB_POLL_INTERVAL)).await;
         if waits_for_hub(shared, started) {
             tracing::info!("catalog: left to a hub.");
             return;
         }
         if shared.links.lock().own_hub().is_none() {
-            find_boxes(shared).await;
+            fetch_announced_boxes(shared).await;
         }
     }
 }
 
-/// Waits for the listing of this box's hub, for as long as it may be waited for.
-async fn wait_for_listing(shared: &EdgeState, started: Instant) {
+/// Waits for the snapshot of this box's hub, for as long as it may be waited for.
+async fn wait_for_hub_snapshot(shared: &EdgeState, started: Instant) {
     while waits_for_hub(shared, started) {
-        wingspur_clock::sleep(HOLD_CHECK).await;
+        wingspur_clock::sleep(HUB_WAIT_POLL_INTERVAL).await;
     }
 }
 
-/// Whether this box knows nothing yet, and its hub should send it a listing.
+/// Returns whether this box knows nothing of the catalog yet and may still wait for a
+/// snapshot from its hub.
 fn waits_for_hub(shared: &EdgeState, started: Instant) -> bool {
     let links = shared.links.lock();
     let since_start = wingspur_clock::since(started);
     links.is_starting() && waits_for_hub_snapshot(links.hub_has_catalog(), since_start)
 }
 
-/// Learns from the store which boxes are announced, unless more is known here already.
-async fn find_boxes(shared: &Arc<EdgeState>) -> Vec<BoxRecord> {
+/// Reads from the store which boxes are announced, and returns them. They replace the
+/// boxes that this box knows unless its catalog is newer. The result is empty where the
+/// store does not answer.
+async fn fetch_announced_boxes(shared: &Arc<EdgeState>) -> Vec<BoxRecord> {
     match call_store(shared, "list_boxes", (shared.catalog.list_boxes)()).await {
-        Ok(listing) => {
+        Ok(snapshot) => {
             let mut links = shared.links.lock();
-            if listing.position >= links.position() {
+            if snapshot.position >= links.position() {
                 links
                     .planner()
-                    .replace(listing.boxes.clone(), wingspur_clock::now());
+                    .replace(snapshot.boxes.clone(), wingspur_clock::now());
                 shared.link_plan_changed.notify();
             }
-            listing.boxes
+            snapshot.boxes
         }
         Err(error) => {
-            tracing::info!(%error, "catalog: the boxes are not known.");
+            tracing::info!(%error, "catalog: could not list the announced boxes.");
             Vec::new()
         }
     }
 }
 
-/// How far this box is in reading the catalog.
+/// The state of the loop that reads the catalog.
 #[derive(Debug, Default)]
-struct Reading {
+struct WatchLoop {
+    /// Whether this box reads the store now.
     active: bool,
+    /// Calls to the store that failed in a row.
     failures: u32,
-    /// Listings made anew in a row, without a watch that told anything in between.
+    /// Failed calls in a row that made a new listing necessary, since the store had lost
+    /// its history or answered from an older era. A successful watch resets the count.
     gaps: u32,
-    /// The listing that is due; none while changes are followed.
-    lists: Option<Listing>,
+    /// The kind of listing that is due; `None` while the loop watches for changes.
+    due_listing: Option<ListingKind>,
 }
 
-/// Which listing is due.
+/// The kind of a listing of the whole catalog.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Listing {
-    /// One that may be some seconds old: the first watch makes up for it.
+enum ListingKind {
+    /// A listing that may be some seconds old; the first watch returns the changes since.
     Cheap,
-    /// The present one: the store has no history to make up for an old one.
+    /// The current state; needed where the store lacks the history that the watch would
+    /// have to return.
     Fresh,
 }
 
-impl Reading {
-    fn note_success(&mut self, shared: &EdgeState) {
+impl WatchLoop {
+    /// Records a call that succeeded.
+    fn record_success(&mut self, shared: &EdgeState) {
         if self.failures > 0 {
             tracing::info!(failures = self.failures, "store: it answers again.");
         }
@@ -168,7 +179,8 @@
             .store_recovered(wingspur_clock::now());
     }
 
-    fn note_failure(&mut self, shared: &EdgeState, error: &CatalogError) {
+    /// Records a call that failed.
+    fn record_failure(&mut self, shared: &EdgeState, error: &CatalogError) {
         if self.failures == 0 {
             tracing::warn!(%error, "store: lost.");
         }
@@ -178,74 +190,76 @@
     }
 }
 
-/// Lists, or waits for changes.
-async fn step(
+/// Lists the catalog if a listing is due, and otherwise waits for changes once.
+async fn run_watch_step(
     shared: &Arc<EdgeState>,
-    reading: &mut Reading,
+    watch: &mut WatchLoop,
     started: Instant,
 ) -> Result<(), CatalogError> {
     let position = shared.links.lock().position();
-    let due = match reading.lists {
-        None if position.is_start() => Some(Listing::Cheap),
-        None if is_of_older_era(shared) => Some(Listing::Fresh),
+    let due = match watch.due_listing {
+        None if position.is_start() => Some(ListingKind::Cheap),
+        None if is_of_older_era(shared) => Some(ListingKind::Fresh),
         due => due,
     };
     if let Some(due) = due {
-        let call = (shared.catalog.list)(due == Listing::Fresh);
-        let listing = async { call_store(shared, "list", call).await.map(Some) };
-        let hub = async {
+        let call = (shared.catalog.list)(due == ListingKind::Fresh);
+        let listed = async { call_store(shared, "list", call).await.map(Some) };
+        let new_hub = async {
             match position.is_start() {
                 true => wait_for_new_hub(shared, started).await,
                 false => futures_lite::future::pending().await,
             }
             Ok(None)
         };
-        let Some(listing) = listing.or(hub).await? else {
-            wait_for_listing(shared, started).await;
+        let Some(snapshot) = listed.or(new_hub).await? else {
+            wait_for_hub_snapshot(shared, started).await;
             return Ok(());
         };
-        reading.lists = None;
-        if apply_store_snapshot(shared, listing, wingspur_clock::now()) {
-            note_listing(shared, due);
+        watch.due_listing = None;
+        if apply_store_snapshot(shared, snapshot, wingspur_clock::now()) {
+            record_listing_response(shared, due);
         }
         if position.is_start() {
-            // Boxes that start together announce themselves together: one watch later hears
-            // of all, and by then another box may read for this one.
-            wingspur_clock::sleep(jittered(FIRST_WATCH_AFTER)).await;
+            // Boxes that start together also announce themselves together. A single watch
+            // that begins after this pause returns all their announcements, and by then
+            // another box may read the store on behalf of this one.
+            wingspur_clock::sleep(jittered(FIRST_WATCH_DELAY)).await;
             if shared.links.lock().is_unlinked() {
-                find_boxes(shared).await;
-                wingspur_clock::sleep(LINK_TIME).await;
+                fetch_announced_boxes(shared).await;
+                wingspur_clock::sleep(LINK_SETUP_TIME).await;
             }
         }
         return Ok(());
     }
-    let call = (shared.catalog.watch)(position, WATCH_WAIT);
+    let call = (shared.catalog.watch)(position, WATCH_TIMEOUT);
     let watching = call_store(shared, "watch", call);
-    let unneeded = async {
-        // A watch from a position of an era that is over tells nothing.
-        while should_read(shared) && !is_of_older_era(shared) {
-            shared.store_restored.wait(NEED_CHECK).await;
+    let not_needed = async {
+        // A watch from a position of an earlier era returns no changes.
+        while should_watch_store(shared) && !is_of_older_era(shared) {
+            shared.store_restored.wait(WATCH_NEED_POLL_INTERVAL).await;
         }
         Ok(None)
     };
     let watched = async { watching.await.map(Some) };
-    if let Some(changes) = watched.or(unneeded).await? {
-        reading.gaps = 0;
-        let brought_any = changes.position > changes.after;
+    if let Some(changes) = watched.or(not_needed).await? {
+        watch.gaps = 0;
+        let has_changes = changes.position > changes.after;
         if apply_store_changes(shared, changes, wingspur_clock::now()) {
-            note_answer(shared);
+            record_watch_response(shared);
         }
-        if brought_any {
-            // What follows at once is read by the same next call.
-            wingspur_clock::sleep(WATCH_GATHER).await;
+        if has_changes {
+            // Changes that follow shortly are all returned by the next call.
+            wingspur_clock::sleep(WATCH_BATCH_DELAY).await;
         }
     }
     Ok(())
 }
 
-/// Notes that all that the store had told by now is in. Only the answer of a watch or a
-/// fresh listing says so: another call may be answered while the watch is deaf.
-fn note_answer(shared: &EdgeState) {
+/// Records that this box knows everything that the store holds at this moment. Only the
+/// response to a watch or a fresh listing shows this: other calls may be answered while
+/// the watch receives nothing.
+fn record_watch_response(shared: &EdgeState) {
     shared
         .links
         .lock()
@@ -253,12 +267,13 @@
         .note_answer(wingspur_clock::now());
 }
 
-/// Notes a listing's answer, a cheap one by what it may lack.
-fn note_listing(shared: &EdgeState, listing: Listing) {
+/// Records the response to a listing. A cheap one counts as [`CHEAP_LISTING_MAX_AGE`]
+/// old, since it may lack the changes of that time.
+fn record_listing_response(shared: &EdgeState, listing: ListingKind) {
     let now = wingspur_clock::now();
     let as_of = match listing {
-        Listing::Fresh => Some(now),
-        Listing::Cheap => now.checked_sub(CHEAP_IS_OLD),
+        ListingKind::Fresh => Some(now),
+        ListingKind::Cheap => now.checked_sub(CHEAP_LISTING_MAX_AGE),
     };
     shared
         .links
@@ -267,12 +282,14 @@
         .note_answer(as_of.unwrap_or(now));
 }
 
-/// Whether the store has been restored since what is known here was read.
+/// Returns whether the store has been restored since the catalog that this box knows was
+/// read.
 fn is_of_older_era(shared: &EdgeState) -> bool {
     shared.links.lock().watch_state().is_of_older_era()
 }
 
-fn should_read(shared: &EdgeState) -> bool {
+/// Returns whether this box should read the catalog from the store itself.
+fn should_watch_store(shared: &EdgeState) -> bool {
     let now = wingspur_clock::now();
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(now);
@@ -280,68 +297,86 @@
     links.watch_state().should_watch_store(is_hub, rank, now)
 }
 
-/// Waits before the store is read again.
+/// Waits before the next try to read the store; a restore of the store ends the wait.
 ///
-/// While another box tries all the time, now and then is enough here: the store may turn
-/// away some boxes only. A hub tries all the time itself, also one that has just taken over:
-/// two that waited for each other would both be late.
+/// While another box keeps trying, a rare try is enough here, in case the store rejects
+/// only some of the boxes. A hub always keeps trying itself, even one that has just taken
+/// over: two hubs that waited for each other would both be late.
 async fn wait_to_retry(shared: &EdgeState, failures: u32) {
     let began = wingspur_clock::now();
-    let (own, helper) = (retry_backoff(failures), jittered(HELPER_PAUSE));
+    let (own_delay, deferred_delay) =
+        (retry_backoff(failures), jittered(DEFERRED_RETRY_INTERVAL));
     loop {
         let waited = wingspur_clock::since(began);
-        let whole = if may_leave_it(shared) { helper } else { own };
-        let Some(left) = whole.checked_sub(waited).filter(|left| !left.is_zero()) else {
+        let delay = if may_defer_read(shared) {
+            deferred_delay
+        } else {
+            own_delay
+        };
+        let Some(left) = delay.checked_sub(waited).filter(|left| !left.is_zero()) else {
             return;
         };
-        if shared.store_restored.wait(left.min(IDLE_CHECK)).await {
+        if shared
+            .store_restored
+            .wait(left.min(IDLE_POLL_INTERVAL))
+            .await
+        {
             return;
         }
     }
 }
 
-fn may_leave_it(shared: &EdgeState) -> bool {
+/// Returns whether another box keeps trying to read the store, so that this one may try
+/// rarely.
+fn may_defer_read(shared: &EdgeState) -> bool {
     let mut links = shared.links.lock();
     let is_hub = links.is_hub(wingspur_clock::now());
     links.watch_state().may_defer_read(is_hub)
 }
 
-/// A pause that doubles up to a second.
+/// Returns the pause before the next try after this many failures in a row. It doubles
+/// with each failure up to one second and is shortened by a random part of up to a half.
 pub fn retry_backoff(failures: u32) -> Duration {
-    let whole = FIRST_PAUSE * 2u32.pow(failures.min(4));
-    jittered(whole.min(MOST_PAUSE))
+    let backoff = MIN_RETRY_BACKOFF * 2u32.pow(failures.min(4));
+    jittered(backoff.min(MAX_RETRY_BACKOFF))
 }
 
-/// Draws between a half and the whole of a time.
-fn jittered(whole: Duration) -> Duration {
-    whole.mul_f64(0.5 + rand::random::<f64>() / 2.0)
+/// Returns a random duration between half of `longest` and `longest`.
+fn jittered(longest: Duration) -> Duration {
+    longest.mul_f64(0.5 + rand::random::<f64>() / 2.0)
 }
 
-/// How long a watch waits for a change. One that was cut off inside the store stays silent
-/// and ends only here; and its end is what tells how old a hub's reading is. Half of the time
-/// after which a member reads for itself, so that one late answer does not make it.
-const WATCH_WAIT: Duration = Duration::from_millis(650);
-/// Pause after a watch that told of a change. Without it each of some hundred writes in a
-/// second, as when servers or boxes join, costs each hub a call: 1,060 calls of five hubs
-/// in the first three seconds of 443 boxes.
-const WATCH_GATHER: Duration = Duration::from_millis(60);
-/// Changes are in force within two seconds also at a box that has just started.
-const FIRST_WATCH_AFTER: Duration = Duration::from_millis(800);
-/// A box that has just learned of a hub links with it in this time, rather than watch.
-const LINK_TIME: Duration = Duration::from_millis(200);
-/// So long at most a box that starts waits for a hub's listing: half a second later than
-/// the hub it has listed itself, within the three seconds after a start in which a box need
-/// not follow changes yet.
-const HUB_HOLD: Duration = Duration::from_millis(1000);
-const HOLD_CHECK: Duration = Duration::from_millis(20);
-/// How often a box that lists looks for a hub: listings of few servers take less.
-const HUB_LOOK: Duration = Duration::from_millis(500);
-/// A cheap listing may be some seconds old.
-const CHEAP_IS_OLD: Duration = Duration::from_secs(4);
-const IDLE_CHECK: Duration = Duration::from_millis(100);
-const NEED_CHECK: Duration = Duration::from_millis(500);
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const MOST_PAUSE: Duration = Duration::from_secs(1);
-/// Forty boxes that look every few seconds find within a tenth of one that the store serves
-/// some of them.
-const HELPER_PAUSE: Duration = Duration::from_secs(4);
+/// How long a watch waits for a change. A watch that was cut off inside the store
+/// receives nothing and ends only by this timeout, and the end of a watch is what
+/// confirms how fresh a hub's catalog is. This is half of the time after which a member
+/// reads the store itself, so that a single late response does not make it do so.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(650);
+/// The pause after a watch that returned a change. Without it, each of some hundred
+/// writes per second, as when servers or boxes join, costs each hub a call: 1,060 calls
+/// of five hubs in the first three seconds of a fleet of 443 boxes.
+const WATCH_BATCH_DELAY: Duration = Duration::from_millis(60);
+/// The longest pause between the first listing of a box that has just started and its
+/// first watch. It is short enough for changes to be active within two seconds on such a
+/// box too.
+const FIRST_WATCH_DELAY: Duration = Duration::from_millis(800);
+/// The time that a box which has just found a hub has to link with it, instead of
+/// watching the store itself.
+const LINK_SETUP_TIME: Duration = Duration::from_millis(200);
+/// The longest time that a starting box waits for a snapshot from a hub that is not known
+/// to have the catalog. It then lists the catalog itself, half a second later than the
+/// hub, and within the three seconds after a start in which a box need not follow changes
+/// yet.
+const MAX_HUB_WAIT: Duration = Duration::from_millis(1000);
+const HUB_WAIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a box that is listing the catalog looks for a hub. Listings of few servers
+/// take less time than this.
+const HUB_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How old a cheap listing may be.
+const CHEAP_LISTING_MAX_AGE: Duration = Duration::from_secs(4);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const WATCH_NEED_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(1);
+/// The interval of tries while another box keeps trying. Forty boxes that each try every
+/// few seconds find out within a tenth of a second that the store serves some of them.
+const DEFERRED_RETRY_INTERVAL: Duration = Duration::from_secs(4);
--- a/crates/wingspur-edge/src/directory_changes.rs
+++ b/crates/wingspur-edge/src/directory_changes.rs
@@ -1,4 +1,4 @@
-//! What follows where the list of servers changes.
+//! Applies changes of the server list to everything that depends on it.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,8 @@
 use crate::server_hints::record_announcements;
 use crate::suspect_requests::record_server_crashes;
 
-/// Lets the services follow what became of servers.
+/// Applies changes of servers to the services, the announced states and the detection of
+/// server crashes, and logs them. `source` tells in the log where the changes come from.
 pub fn apply_server_changes(
     shared: &Arc<EdgeState>,
     changes: &[RegistryChange],
@@ -17,8 +18,8 @@
 ) {
     record_server_crashes(shared, changes);
     record_announcements(shared, changes);
-    if changes.len() > MOST_SINGLE_LINES {
-        // A box that starts would write one for each server that there is.
+    if changes.len() > MAX_CHANGES_LOGGED_SINGLY {
+        // A starting box would log one line for every server.
         let servers = changes.len();
         tracing::info!(servers, source, "server: many have changed.");
         return shared
@@ -40,7 +41,10 @@
         .apply_directory_changes(changes, &shared.announced_states);
 }
 
-/// Drops servers that have not come back after an outage of the store.
+/// Removes servers whose entries have not been written again in time after an outage of
+/// the store. Uses entries that were held back after a restore of the store once they
+/// must have been written since. Does nothing while no reading of the store has reached
+/// this box.
 pub fn expire_missing_servers(shared: &Arc<EdgeState>, now: Instant) {
     let age = shared.links.lock().watch_state().confirmed_age(now);
     let Some(as_of) = age.and_then(|age| now.checked_sub(age)) else {
@@ -50,5 +54,6 @@
     apply_server_changes(shared, &changes, "settled");
 }
 
-/// So many servers that change at once have a log line each; a rack has fewer.
-const MOST_SINGLE_LINES: usize = 40;
+/// The largest number of simultaneous server changes that are logged with one line each.
+/// A rack has fewer servers.
+const MAX_CHANGES_LOGGED_SINGLY: usize = 40;
--- a/crates/wingspur-edge/src/evacuation.rs
+++ b/crates/wingspur-edge/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres whose backend servers the operator has taken out of use.
+//! Evacuated data centres: the operator has taken their backend servers out of use.
 
 use std::collections::BTreeSet;
 
@@ -6,28 +6,35 @@
 
 use crate::edge_state::EdgeState;
 
-/// Stops sending to the servers of a data centre.
+/// Stops sending requests to the servers of a data centre.
 pub fn begin_evacuation(shared: &EdgeState, data_centre: DataCentreId, source: &str) {
-    change(shared, source, |evacuated| {
+    update_evacuated(shared, source, |evacuated| {
         evacuated.insert(data_centre);
     });
 }
 
-/// Uses the servers of a data centre again.
+/// Resumes sending requests to the servers of a data centre.
 pub fn end_evacuation(shared: &EdgeState, data_centre: &str, source: &str) {
-    change(shared, source, |evacuated| {
+    update_evacuated(shared, source, |evacuated| {
         evacuated.remove(data_centre);
     });
 }
 
-/// Stops sending to the servers of these data centres, and uses all others.
-pub fn replace_evacuations(shared: &EdgeState, listed: Vec<DataCentreId>, source: &str) {
-    change(shared, source, |evacuated| {
-        *evacuated = listed.into_iter().collect();
+/// Stops sending requests to the servers of exactly these data centres, and resumes
+/// sending to all others.
+pub fn replace_evacuations(
+    shared: &EdgeState,
+    data_centres: Vec<DataCentreId>,
+    source: &str,
+) {
+    update_evacuated(shared, source, |evacuated| {
+        *evacuated = data_centres.into_iter().collect();
     });
 }
 
-fn change(
+/// Changes the set of evacuated data centres, and logs what was added and removed.
+/// `source` tells in the log where the change comes from.
+fn update_evacuated(
     shared: &EdgeState,
     source: &str,
     change: impl FnOnce(&mut BTreeSet<DataCentreId>),
--- a/crates/wingspur-edge/src/store_calls.rs
+++ b/crates/wingspur-edge/src/store_calls.rs
@@ -1,4 +1,6 @@
-//! Calls of the store, and the era that their answers and other boxes name.
+//! Calls to the store, and the tracking of the store's era, which its responses and other
+//! boxes name. The era is the generation of the store's numbering; a restore begins a new
+//! one.
 
 use std::sync::Arc;
 
@@ -8,9 +10,10 @@
 
 use crate::edge_state::EdgeState;
 
-/// Awaits a call of the store, and takes in the era that its answer names.
+/// Awaits a call to the store, and records the era that its response names.
 ///
-/// An answer of an era that is over is an error, however late it comes.
+/// `kind` names the call in metrics and logs. A response of an earlier era than the
+/// current one is an error, however late it comes.
 pub async fn call_store<T>(
     shared: &Arc<EdgeState>,
     kind: &'static str,
@@ -18,18 +21,19 @@
 ) -> Result<T, CatalogError> {
     shared.metrics.count_store_call(kind);
     let began = wingspur_clock::now();
-    let answer = call.await;
-    if answer.outcome.is_ok() {
+    let response = call.await;
+    if response.outcome.is_ok() {
         shared
             .metrics
             .observe_store_latency(kind, wingspur_clock::since(began));
     }
-    check_era(shared, kind, &answer.era)?;
-    answer.outcome
+    check_era(shared, kind, &response.era)?;
+    response.outcome
 }
 
-/// Takes in what an answer of the store says of its era; an error where the answer cannot be
-/// of the store's present history.
+/// Records the era that a response of the store names. Returns an error where the
+/// response cannot belong to the current history of the store, since its era is an
+/// earlier one, is unreadable, or is missing although the store has named one before.
 fn check_era(
     shared: &Arc<EdgeState>,
     kind: &'static str,
@@ -55,7 +59,7 @@
         ReportedEra::Unreadable(_) => "unreadable",
     };
     if outcome == "missing" && known == 0 {
-        // A store that has never named an era has the one.
+        // A store that has never named an era has only a single one.
         return Ok(());
     }
     shared.metrics.count_era(outcome);
@@ -63,10 +67,12 @@
     Err(CatalogError::NoEra { known })
 }
 
-/// Takes in an era of the store that an answer or another box has named.
+/// Records an era of the store that a response or another box has named, and returns how
+/// it compares with the newest known one.
 ///
-/// Every era comes by here. When the store has been restored, what was held in the era
-/// before by a lease or a revision is given up, and a listing is due.
+/// Every era that this box learns of passes through here. When the store has been
+/// restored, everything that depends on a lease or a revision of the earlier era is given
+/// up, and the catalog has to be listed again.
 pub fn handle_store_era(
     shared: &Arc<EdgeState>,
     era: StoreEra,
