--- a/crates/wingspur-edge/src/headers.rs
+++ b/crates/wingspur-edge/src/headers.rs
@@ -1,11 +1,13 @@
-//! What may not go from one connection to the next, and what is no clear request.
+//! Removal of hop-by-hop headers, and the check that the framing of a request is
+//! unambiguous.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, TRANSFER_ENCODING,
 };
 use wingspur_protocol::ResultCode;
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers, which concern a single connection only: the fixed ones
+/// and those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -22,7 +24,9 @@
     }
 }
 
-/// Refuses what two readers could frame differently.
+/// Checks that two implementations cannot disagree on where the request ends. Fails with
+/// [`ResultCode::BadFraming`] for more than one `Content-Length`, and for one together
+/// with `Transfer-Encoding`.
 pub fn check_framing(headers: &HeaderMap) -> Result<(), ResultCode> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let chunked = headers.contains_key(TRANSFER_ENCODING);
--- a/crates/wingspur-edge/src/metrics.rs
+++ b/crates/wingspur-edge/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and gauges, with one counter for each refusal and each retry reason.
+//! Counters, gauges and histograms of a box, with one counter for each result code that
+//! the box responds with itself and each retry reason.
 
 use std::time::Duration;
 
@@ -19,69 +20,77 @@
     registry: Registry,
     /// Requests by service and class.
     pub requests: IntCounterVec,
-    /// Answers passed on, by service and status class.
+    /// Responses sent to callers, by service and status class.
     pub answers: IntCounterVec,
-    /// Answers that broke off midway, by service.
+    /// Responses that were interrupted before their end, by service.
     pub cuts: IntCounterVec,
-    /// Answers of wingspur's own, by result code.
+    /// Error responses that the box generated itself, by result code.
     refusals: IntCounterVec,
-    /// Requests sent again, by reason.
+    /// Resent requests, by reason.
     retries: IntCounterVec,
     /// Peer messages refused, by reason.
     pub peer_refusals: IntCounterVec,
-    /// What judges of this box did, by service and event.
+    /// Servers that the outlier detection of this box suspected, put on probation or
+    /// returned to service, by service and event.
     pub judge_events: IntCounterVec,
     /// Calls to the store, by kind.
     pub store_calls: IntCounterVec,
     /// Bundles refused, by reason.
     pub bundle_refusals: IntCounterVec,
-    /// Outcomes of once-only operations that no owner took, by outcome.
+    /// Outcomes of once-only operations that no owner of their log recorded, by outcome.
     pub unrecorded_outcomes: IntCounterVec,
-    /// Exchanges with peers and the store that this box began, by part and kind:
-    /// calls, bytes of bodies sent and received.
+    /// Totals of the HTTP calls that this box made, by part (`peers` or `store`) and
+    /// kind: the number of calls, and the bytes of bodies sent and received.
     pub exchanges: IntGaugeVec,
-    /// The bundle in force.
+    /// The version of the active bundle.
     pub bundle_version: IntGauge,
-    /// Data centres that are evacuated.
+    /// The number of evacuated data centres.
     pub evacuated_data_centres: IntGauge,
-    /// How old the newest news of the store is, in milliseconds.
+    /// The staleness of what this box knows of the store, in milliseconds.
     pub news_age_ms: IntGauge,
-    /// Requests that were not sent again, by reason.
-    stops: IntCounterVec,
-    /// Answers of backend servers, by service and how they ended.
+    /// Requests that were not resent, by reason.
+    retry_stops: IntCounterVec,
+    /// Requests sent to backend servers, by service and how they ended.
     attempts: IntCounterVec,
-    /// How long callers waited, by service.
+    /// How long callers waited for the response, in seconds, by service.
     request_seconds: HistogramVec,
-    /// How long backend servers took for good answers, by service.
+    /// The latency of successful responses of backend servers, in seconds, by service.
     server_seconds: HistogramVec,
-    /// How long calls of the store took, by kind.
+    /// The latency of successful calls to the store, in seconds, by kind.
     store_seconds: HistogramVec,
-    /// Requests whose callers left before the answer.
+    /// Requests whose callers disconnected before the response.
     pub client_disconnects: IntCounter,
-    /// Log lines that were dropped because nobody read the earlier ones.
+    /// Log lines that were dropped because earlier ones had not been read from the log
+    /// output.
     pub dropped_log_lines: IntGauge,
-    /// Second attempts begun beside a slow first one.
+    /// Hedges: second attempts started while a slow first one was still in flight.
     pub hedges: IntCounter,
-    /// Slow first ones that none was begun beside, by the reason.
+    /// Slow first attempts that were not hedged, by reason.
     unhedged: IntCounterVec,
-    /// What was seen of requests under which servers ended, by this box.
+    /// Events of suspected requests that this box observed: servers that ended while such
+    /// a request was in flight there, and such requests that were answered completely.
     suspect_events: IntCounterVec,
-    /// Requests under which servers ended, as far as this box knows.
+    /// The number of requests during which servers ended, as far as this box knows.
     pub suspects: IntGauge,
-    /// Answers to whether a request in quarantine may be sent.
+    /// Decisions on whether a request in quarantine may be sent, by outcome.
     permits: IntCounterVec,
-    /// What servers said of their limits, as far as it was news here.
+    /// Limits that servers announced, as far as they changed what this box knew, and
+    /// those that could not be read, by event.
     server_limits: IntCounterVec,
-    /// What else servers said of themselves.
+    /// Other hints that servers gave of themselves in responses, and those that could not
+    /// be read, by kind.
     server_hints: IntCounterVec,
-    /// Eras of the store that were not the expected one, by what was wrong.
+    /// Store responses and updates whose era was not the expected one: older, missing,
+    /// unreadable, or of a restored store.
     store_eras: IntCounterVec,
+    /// Frames sent to other boxes.
     frames: IntCounter,
+    /// Bytes of those frames.
     frame_bytes: IntCounter,
 }
 
 impl Metrics {
-    /// Fresh metrics in a registry of their own.
+    /// Creates metrics in a registry of their own.
     pub fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
@@ -123,25 +132,29 @@
         );
         let dropped_log_lines =
             gauge("wingspur_dropped_log_lines", "Log lines that nobody read.");
-        let plain = |name: &str, help: &str| {
+        let unlabelled_counter = |name: &str, help: &str| {
             let counter = IntCounter::new(name, help).expect("the names are constants");
             registry
                 .register(Box::new(counter.clone()))
                 .expect("each name is used once");
             counter
         };
-        let callers_gone = plain(
+        let disconnects = unlabelled_counter(
             "wingspur_callers_gone_total",
             "Requests whose callers left before the answer.",
         );
-        let hedges = plain("wingspur_hedges_total", "Second attempts.");
-        let frames = plain("wingspur_frames_total", "Frames sent to other boxes.");
-        let frame_bytes = plain("wingspur_frame_bytes_total", "Bytes of those frames.");
+        let hedges = unlabelled_counter("wingspur_hedges_total", "Second attempts.");
+        let frames =
+            unlabelled_counter("wingspur_frames_total", "Frames sent to other boxes.");
+        let frame_bytes =
+            unlabelled_counter("wingspur_frame_bytes_total", "Bytes of those frames.");
         let opts = Opts::new("wingspur_exchanges", "Exchanges begun, by part and kind.");
         let exchanges = IntGaugeVec::new(opts, &["part", "kind"]);
         let exchanges = exchanges.expect("the name is a constant");
-        let boxed = Box::new(exchanges.clone());
-        registry.register(boxed).expect("each name is used once");
+        let collector = Box::new(exchanges.clone());
+        registry
+            .register(collector)
+            .expect("each name is used once");
         let metrics = Self {
             requests: counter(
                 "wingspur_requests_total",
@@ -168,7 +181,7 @@
                 "Requests sent again, by reason.",
                 &["reason"],
             ),
-            stops: counter(
+            retry_stops: counter(
                 "wingspur_not_retried_total",
                 "Requests that were not sent again, by reason.",
                 &["reason"],
@@ -193,7 +206,7 @@
                 "How long calls of the store took, by kind.",
                 "kind",
             ),
-            client_disconnects: callers_gone,
+            client_disconnects: disconnects,
             dropped_log_lines,
             unhedged: counter(
                 "wingspur_unhedged_total",
@@ -260,32 +273,32 @@
             frame_bytes,
             registry,
         };
-        metrics.touch_all();
+        metrics.init_counters();
         metrics
     }
 
-    /// Counts an answer of wingspur's own.
+    /// Counts an error response that the box generated itself.
     pub fn count_refusal(&self, code: ResultCode) {
         self.refusals
             .with_label_values(&[code.number().to_string().as_str(), code.name()])
             .inc();
     }
 
-    /// Counts a slow attempt that no second one was begun beside.
+    /// Counts a slow attempt that was not hedged.
     pub fn count_unhedged(&self, reason: &str) {
         self.unhedged.with_label_values(&[reason]).inc();
     }
 
-    /// Counts what this box saw of a request under which a server ended.
-    pub fn count_suspect(&self, seen: SuspectEvent) {
-        let event = match seen {
+    /// Counts what this box observed of a suspected request.
+    pub fn count_suspect(&self, event: SuspectEvent) {
+        let label = match event {
             SuspectEvent::ServerEnded(_) => "server_ended",
             SuspectEvent::AnsweredWhole => "answered_whole",
         };
-        self.suspect_events.with_label_values(&[event]).inc();
+        self.suspect_events.with_label_values(&[label]).inc();
     }
 
-    /// Counts an answer to whether a request in quarantine may be sent.
+    /// Counts a decision on whether a request in quarantine may be sent.
     pub fn count_permit(&self, permission: SendPermission) {
         let outcome = match permission {
             SendPermission::Free => "free",
@@ -295,17 +308,17 @@
         self.permits.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts what a server said of its limit.
+    /// Counts an event of the limit that a server announces for itself.
     pub fn count_limit(&self, event: &str) {
         self.server_limits.with_label_values(&[event]).inc();
     }
 
-    /// Counts what else a server said of itself.
-    pub fn count_server_hint(&self, word: &str) {
-        self.server_hints.with_label_values(&[word]).inc();
+    /// Counts another hint that a server gave of itself.
+    pub fn count_server_hint(&self, hint: &str) {
+        self.server_hints.with_label_values(&[hint]).inc();
     }
 
-    /// Counts a peer's message that was refused.
+    /// Counts a message of a peer that was refused.
     pub fn count_peer_refusal(&self, reason: &str) {
         self.peer_refusals.with_label_values(&[reason]).inc();
     }
@@ -315,24 +328,25 @@
         self.store_calls.with_label_values(&[kind]).inc();
     }
 
-    /// Counts a frame sent to another box.
+    /// Counts a frame of this size, in bytes, sent to another box.
     pub fn count_frame(&self, bytes: usize) {
         self.frames.inc();
         self.frame_bytes.inc_by(bytes as u64);
     }
 
-    /// Counts a request sent again.
+    /// Counts a resent request.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.as_str()]).inc();
     }
 
-    /// Counts a request that was not sent again.
+    /// Counts a request that was not resent.
     pub fn count_retry_stop(&self, reason: StopReason) {
-        self.stops.with_label_values(&[reason.as_str()]).inc();
+        self.retry_stops.with_label_values(&[reason.as_str()]).inc();
     }
 
-    /// Counts an answer to a caller of a service, and how long the caller waited.
-    pub fn count_answer(&self, service: &str, status: StatusCode, took: Duration) {
+    /// Counts a response to a caller of a service, and records how long the caller
+    /// waited.
+    pub fn count_answer(&self, service: &str, status: StatusCode, latency: Duration) {
         let class = match status.as_u16() / 100 {
             2 => "2xx",
             3 => "3xx",
@@ -341,46 +355,47 @@
         };
         self.answers.with_label_values(&[service, class]).inc();
         let seconds = self.request_seconds.with_label_values(&[service]);
-        seconds.observe(took.as_secs_f64());
+        seconds.observe(latency.as_secs_f64());
     }
 
-    /// Counts the end of an attempt at a backend server.
+    /// Counts a request to a backend server that has ended.
     pub fn count_attempt(&self, service: &str, end: &str) {
         self.attempts.with_label_values(&[service, end]).inc();
     }
 
-    /// Notes how long a backend server took for a good answer.
-    pub fn observe_server_latency(&self, service: &str, took: Duration) {
+    /// Records the latency of a successful response of a backend server.
+    pub fn observe_server_latency(&self, service: &str, latency: Duration) {
         let seconds = self.server_seconds.with_label_values(&[service]);
-        seconds.observe(took.as_secs_f64());
+        seconds.observe(latency.as_secs_f64());
     }
 
-    /// Counts an era of the store that was not the expected one.
+    /// Counts a store era that was not the expected one.
     pub fn count_era(&self, kind: &str) {
         self.store_eras.with_label_values(&[kind]).inc();
     }
 
-    /// Notes how long a call of the store took; a watch waits for news and is not timed.
-    pub fn observe_store_latency(&self, kind: &str, took: Duration) {
+    /// Records the latency of a call to the store. A watch is left out, since it waits
+    /// for changes.
+    pub fn observe_store_latency(&self, kind: &str, latency: Duration) {
         if kind == "watch" {
             return;
         }
         let seconds = self.store_seconds.with_label_values(&[kind]);
-        seconds.observe(took.as_secs_f64());
+        seconds.observe(latency.as_secs_f64());
     }
 
-    /// The number of answers of wingspur's own with a code.
+    /// Returns the number of error responses with this result code.
     pub fn refused(&self, code: ResultCode) -> u64 {
         let labels = [code.number().to_string(), code.name().to_owned()];
         self.refusals.with_label_values(&labels).get()
     }
 
-    /// The number of requests sent again for a reason.
+    /// Returns the number of requests that were resent for this reason.
     pub fn retried(&self, reason: RetryReason) -> u64 {
         self.retries.with_label_values(&[reason.as_str()]).get()
     }
 
-    /// Takes in the totals of exchanges of one part of the box.
+    /// Sets the totals of the HTTP calls that one part of the box made.
     pub fn set_exchanges(&self, part: &str, totals: HttpClientTotals) {
         let rows = [
             ("calls", totals.calls),
@@ -394,7 +409,7 @@
         }
     }
 
-    /// All metrics in the text form.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut out = Vec::new();
         let families = self.registry.gather();
@@ -403,8 +418,9 @@
         out
     }
 
-    /// Shows every refusal and retry reason from the start, at nought.
-    fn touch_all(&self) {
+    /// Creates the counters of all result codes, retry reasons and stop reasons, so that
+    /// they are shown with the value 0 from the start.
+    fn init_counters(&self) {
         for code in ResultCode::ALL {
             let labels = [code.number().to_string(), code.name().to_owned()];
             self.refusals.with_label_values(&labels);
@@ -419,7 +435,7 @@
             self.retries.with_label_values(&[reason.as_str()]);
         }
         for reason in StopReason::ALL {
-            self.stops.with_label_values(&[reason.as_str()]);
+            self.retry_stops.with_label_values(&[reason.as_str()]);
         }
     }
 }
@@ -430,7 +446,8 @@
     }
 }
 
-/// From what the hop alone takes to the longest that a request is held, in seconds.
+/// The bucket bounds of the latency histograms, in seconds: from the latency that the box
+/// itself adds up to the longest time that a request is held.
 const LATENCY_BOUNDS_S: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
--- a/crates/wingspur-edge/src/operator.rs
+++ b/crates/wingspur-edge/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator port, read-only: `/ready`, `/status` and `/metrics`.
+//! The read-only operator port: `/ready`, `/status` and `/metrics`.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 
 use crate::edge_state::EdgeState;
 
-/// What the operator port shows; each page is made when it is asked for.
+/// The content of the operator port. A page is generated only when it is requested.
 pub struct OperatorEndpoint<Metrics, Status> {
-    /// Whether the box takes callers.
+    /// Whether the box accepts requests of callers.
     pub is_ready: bool,
-    /// Makes the counters, as text.
+    /// Generates the metrics in the Prometheus text format.
     pub metrics: Metrics,
-    /// Makes what the box says of itself.
+    /// Generates the status of the box.
     pub status: Status,
 }
 
@@ -24,23 +24,24 @@
     Metrics: FnOnce() -> Vec<u8>,
     Status: FnOnce() -> BoxStatus,
 {
-    /// Answers a request on the operator port.
+    /// Answers a request on the operator port: 405 for any method but GET, and 404 for an
+    /// unknown path.
     pub fn answer(self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         if request.method() != Method::GET {
             let hint = "This port only reads.\n";
-            return answer_text(StatusCode::METHOD_NOT_ALLOWED, hint);
+            return text_response(StatusCode::METHOD_NOT_ALLOWED, hint);
         }
         match request.uri().path() {
-            "/ready" if self.is_ready => answer_text(StatusCode::OK, "ready\n"),
-            "/ready" => answer_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/metrics" => answer_bytes(StatusCode::OK, (self.metrics)()),
+            "/ready" if self.is_ready => text_response(StatusCode::OK, "ready\n"),
+            "/ready" => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/metrics" => bytes_response(StatusCode::OK, (self.metrics)()),
             "/status" => {
                 let status = serde_json::to_vec(&(self.status)());
-                answer_bytes(StatusCode::OK, status.expect("a status serialises"))
+                bytes_response(StatusCode::OK, status.expect("a status serialises"))
             }
             _ => {
                 let hint = "Try /ready, /status or /metrics.\n";
-                answer_text(StatusCode::NOT_FOUND, hint)
+                text_response(StatusCode::NOT_FOUND, hint)
             }
         }
     }
@@ -51,15 +52,15 @@
     shared: Arc<EdgeState>,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let pages = OperatorEndpoint {
+    let endpoint = OperatorEndpoint {
         is_ready: shared.is_ready(),
         metrics: || shared.metrics.render(),
         status: || status(&shared),
     };
-    pages.answer(&request)
+    endpoint.answer(&request)
 }
 
-/// What the box says of itself.
+/// Returns the status of the box for `/status`.
 pub fn status(shared: &EdgeState) -> BoxStatus {
     let now = wingspur_clock::now();
     let mut out = Vec::new();
@@ -68,26 +69,26 @@
         out.extend(suspects.iter().map(|id| format!("{}/{id}", service.name)));
     }
     out.sort();
-    let in_force = shared
+    let active_for = shared
         .active_bundle()
         .map(|bundle| wingspur_clock::since(bundle.since));
     BoxStatus {
         id: shared.settings().box_id.clone(),
         data_centre: shared.settings().data_centre.clone(),
         bundle_version: shared.bundle_version(),
-        in_force_ms: in_force.map_or(0, |time| time.as_millis() as u64),
+        in_force_ms: active_for.map_or(0, |time| time.as_millis() as u64),
         ready: shared.is_ready(),
         out,
     }
 }
 
-/// A short text for whoever reads the operator port.
-fn answer_text(status: StatusCode, body: &'static str) -> Response<Full<Bytes>> {
-    answer_bytes(status, body.as_bytes().to_vec())
+/// Builds a response with a text body.
+fn text_response(status: StatusCode, body: &'static str) -> Response<Full<Bytes>> {
+    bytes_response(status, body.as_bytes().to_vec())
 }
 
-/// The same with any bytes.
-fn answer_bytes(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
+/// Builds a response with a body of any bytes.
+fn bytes_response(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
     response
--- a/crates/wingspur-edge/src/request_log.rs
+++ b/crates/wingspur-edge/src/request_log.rs
@@ -1,4 +1,5 @@
-//! What the log tells of one request: its route, its servers, and one outcome.
+//! The log lines of a request: the servers that it is sent to, and its outcome. Each
+//! request has exactly one line with its outcome.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,102 +17,115 @@
 use crate::metrics::Metrics;
 use crate::request_error::RequestError;
 
-/// One request, from its head to its outcome.
+/// Collects what is logged of one request, from its head to its outcome.
 ///
-/// A request that is dropped without one was left by its caller, or its task panicked.
+/// A `RequestLog` that is dropped before an outcome was logged is logged as aborted by
+/// the client or as ended by a panic of its task, and counted as a disconnect of the
+/// client.
 pub struct RequestLog {
     metrics: Metrics,
-    ticket: Arc<InFlightGuard>,
+    in_flight: Arc<InFlightGuard>,
     id: String,
     began: Instant,
-    routed: Option<Routed>,
+    routed: Option<RequestRoute>,
     account: Option<Arc<ClientAccount>>,
     fingerprint: Option<RequestFingerprint>,
-    told: bool,
+    is_logged: bool,
 }
 
-/// Where a request goes.
-struct Routed {
+/// The route of a request, with what is logged of it.
+struct RequestRoute {
     route: Arc<ActiveRoute>,
     service: String,
     version: BundleVersion,
 }
 
 impl RequestLog {
-    /// A request whose head has come.
+    /// Starts the log of a request whose head arrived at `began`, and registers the
+    /// request as in flight.
     pub fn begin(id: Option<&HeaderValue>, shared: &EdgeState, began: Instant) -> Self {
         let id = id_text(id).to_owned();
         Self {
             metrics: shared.metrics.clone(),
-            ticket: shared.in_flight.register(&id, began),
+            in_flight: shared.in_flight.register(&id, began),
             id,
             began,
             routed: None,
             account: None,
             fingerprint: None,
-            told: false,
+            is_logged: false,
         }
     }
 
-    /// Notes the route, and the version of the bundle that it stands in.
+    /// Records the route and the service of the request, and the version of the bundle
+    /// that defines them.
     pub fn routed(
         &mut self,
         route: &Arc<ActiveRoute>,
         service: &str,
         version: BundleVersion,
     ) {
-        self.ticket.routed(&route.route.name);
-        self.routed = Some(Routed {
+        self.in_flight.routed(&route.route.name);
+        self.routed = Some(RequestRoute {
             route: route.clone(),
             service: service.to_owned(),
             version,
         });
     }
 
-    /// Notes whom the request is counted for.
-    pub fn admitted(&mut self, admitted: &Principal) {
-        self.account = admitted.account.clone();
+    /// Records the client account that the request is charged to, if there is one.
+    pub fn admitted(&mut self, principal: &Principal) {
+        self.account = principal.account.clone();
     }
 
-    /// Notes what tells the request from any other.
+    /// Records the fingerprint of the request.
     pub fn set_fingerprint(&mut self, fingerprint: RequestFingerprint) {
         self.fingerprint = Some(fingerprint);
     }
 
-    /// The request's id as text.
+    /// Returns the id of the request as text; empty where the caller gave none that is
+    /// printable.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The request's place among those that are not over.
+    /// Returns the guard that keeps the request registered as in flight.
     pub fn ticket(&self) -> &Arc<InFlightGuard> {
-        &self.ticket
+        &self.in_flight
     }
 
-    /// Tells that a server's answer is passed on; a long one may still break off.
+    /// Logs that the response of a server is passed on. A long one may still be
+    /// interrupted later.
     pub fn log_forwarded<B>(mut self, response: &Response<B>) {
-        self.end("passed on", response.status(), None);
+        self.log_outcome("passed on", response.status(), None);
     }
 
-    /// Tells that the box answers itself, or passes on the last server's failure.
-    pub fn log_error<B>(mut self, given_up: &RequestError, response: &Response<B>) {
-        let own = response.headers().contains_key(RESULT_HEADER);
-        let outcome = if own { "refused" } else { "failure passed on" };
-        self.end(outcome, response.status(), Some(given_up));
+    /// Logs that the box responds with an error of its own, or passes on the error
+    /// response of the last server.
+    pub fn log_error<B>(mut self, error: &RequestError, response: &Response<B>) {
+        let is_own_response = response.headers().contains_key(RESULT_HEADER);
+        let outcome = if is_own_response {
+            "refused"
+        } else {
+            "failure passed on"
+        };
+        self.log_outcome(outcome, response.status(), Some(error));
     }
 
-    fn end(
+    /// Logs and counts the outcome of the request; `error` is `None` where the response
+    /// of a server is passed on as a success.
+    fn log_outcome(
         &mut self,
         outcome: &str,
         status: StatusCode,
-        given_up: Option<&RequestError>,
+        error: Option<&RequestError>,
     ) {
-        self.told = true;
+        self.is_logged = true;
         let took = wingspur_clock::since(self.began);
         let (route, service, class, version) = self.labels();
-        let code = given_up.map_or(0, |given_up| given_up.code.number());
-        let result = given_up.map_or("", |given_up| given_up.code.name());
-        let retry_after = given_up.and_then(|given_up| given_up.retry_after);
+        let code = error.map_or(0, |error| error.code.number());
+        let result = error.map_or("", |error| error.code.name());
+        let retry_after = error.and_then(|error| error.retry_after);
         let retry_after_ms = retry_after.unwrap_or_default().as_millis() as u64;
         self.metrics.count_answer(service, status, took);
         tracing::info!(
@@ -131,29 +145,33 @@
         );
     }
 
+    /// Returns the name of the client account; empty where there is none.
     fn account_name(&self) -> &str {
         self.account.as_ref().map_or("", |account| &account.name)
     }
 
-    /// Empty for a request whose body never came.
+    /// Returns the fingerprint as text; empty where it was not computed, since the body
+    /// never arrived.
     fn fingerprint_text(&self) -> String {
         let fingerprint = self.fingerprint.as_ref();
         fingerprint.map_or(String::new(), ToString::to_string)
     }
 
+    /// Returns the route, the service, the class and the bundle version; empty texts and
+    /// 0 for a request without a route.
     fn labels(&self) -> (&str, &str, &'static str, BundleVersion) {
         let Some(routed) = &self.routed else {
             return ("", "", "", 0);
         };
-        let declared = &routed.route.route;
-        let class = declared.class.as_str();
-        (&declared.name, &routed.service, class, routed.version)
+        let route = &routed.route.route;
+        let class = route.class.as_str();
+        (&route.name, &routed.service, class, routed.version)
     }
 }
 
 impl Drop for RequestLog {
     fn drop(&mut self) {
-        if self.told {
+        if self.is_logged {
             return;
         }
         let took_ms = wingspur_clock::since(self.began).as_millis() as u64;
@@ -171,15 +189,16 @@
             class,
             account = self.account_name(),
             version,
-            sent = self.ticket.was_sent(),
-            server = self.ticket.server(),
+            sent = self.in_flight.was_sent(),
+            server = self.in_flight.server(),
             took_ms,
             "request: {reason}."
         );
     }
 }
 
-/// Tells which server a request is sent to, and why.
+/// Logs which server a request is sent to, and the figures that the choice is based on.
+/// `left` is the time left for the request.
 pub fn log_pick(id: Option<&HeaderValue>, pick: &Pick, attempt: usize, left: Duration) {
     tracing::info!(
         id = id_text(id),
@@ -197,7 +216,8 @@
     );
 }
 
-/// Tells why a request ends without a good answer.
+/// Logs why a request ends without a successful response. `in_doubt` tells whether a
+/// server may have run it; `left` is the time that was left for it.
 pub fn log_give_up(
     id: Option<&HeaderValue>,
     code: ResultCode,
@@ -216,12 +236,13 @@
     );
 }
 
-/// A request's id as text; empty where the caller gave none that can be shown.
+/// Returns the id of a request as text; empty where the caller gave none that is
+/// printable.
 pub fn id_text(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or_default()
 }
 
-/// Three digits are enough for a share in a log line.
-pub fn round_for_log(share: f64) -> f64 {
-    (share * 1000.0).round() / 1000.0
+/// Rounds a fraction to three decimal places, which are enough in a log line.
+pub fn round_for_log(fraction: f64) -> f64 {
+    (fraction * 1000.0).round() / 1000.0
 }
--- a/crates/wingspur-edge/src/settings.rs
+++ b/crates/wingspur-edge/src/settings.rs
@@ -1,4 +1,4 @@
-//! A box's settings, checked whole before anything starts.
+//! The settings of a box, all checked before anything starts.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -13,107 +13,112 @@
 
 /// The settings of one box.
 ///
-/// Where bundles, servers and boxes are announced stands either in the product's own
-/// fields, `store_address`, `box_list_address` and `keyring`, or in `catalog`.
+/// The sources of bundles, backend servers and boxes are given either by the fields of
+/// [`OwnSources`] (`store_address`, `box_list_address` and `keyring`) or by `catalog`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Settings {
     /// The box's id.
     pub box_id: BoxId,
-    /// Where the box stands.
+    /// The data centre of the box.
     pub data_centre: DataCentreId,
-    /// The region of each data centre; those that are left out are all near each other.
+    /// The region of each data centre. Data centres that are left out count as near each
+    /// other.
     #[serde(default, skip_serializing_if = "Regions::is_empty")]
     pub regions: Regions,
-    /// The fleet it belongs to.
+    /// The fleet that the box belongs to.
     pub fleet: String,
-    /// Where callers come in, behind the platform's balancer.
+    /// The address that serves callers, behind the platform's load balancer.
     pub caller_address: SocketAddr,
-    /// Where other boxes come in.
+    /// The address that serves other boxes.
     pub peer_address: SocketAddr,
-    /// Where operators read `/ready`, `/status` and `/metrics`.
+    /// The address that serves `/ready`, `/status` and `/metrics` to operators.
     pub operator_address: SocketAddr,
-    /// Where `/metrics` is read besides, if that has a place of its own.
+    /// A further address that serves `/metrics`; `None` where there is no separate one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics_address: Option<SocketAddr>,
-    /// The product's own sources; none where there is a catalog.
+    /// The product's own sources; `None` where their fields are left out, which is
+    /// allowed only with a `catalog`.
     #[serde(flatten)]
     pub own: Option<OwnSources>,
-    /// The catalog; none where the product's own sources are used.
+    /// The catalog; `None` where the product's own sources are used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalog: Option<CatalogSettings>,
-    /// Whether the whole fleet starts with this box for the first time: nobody has spent
-    /// anything of what it shares yet.
+    /// Whether the whole fleet starts for the first time together with this box, so that
+    /// no box has used any of the shared quotas and budgets yet.
     #[serde(default)]
     pub first_start: bool,
-    /// What resends a service may be asked to bear.
+    /// The retry budget: how many resends may be sent to a service.
     #[serde(default)]
     pub retry_budget: RetryBudgetSettings,
-    /// How far requests of a client account may pass its limit.
+    /// How far the requests of a client account may exceed its limit.
     #[serde(default)]
     pub quota: QuotaTolerance,
-    /// The box's share of a processor core, 1 for a whole one; its part in what boxes do
-    /// together follows from this and its link.
+    /// The processor time that the box may use, in cores; 1 is a whole core. Together
+    /// with `link_mbps` it determines the share of common work that the box gets, see
+    /// [`Settings::capacity`].
     #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
-    /// The bandwidth of the box's link, in megabits a second.
+    /// The bandwidth of the box's network link, in megabits per second.
     #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// Threads for the request path.
+    /// The number of threads for the request path.
     #[serde(default = "default_worker_threads")]
     pub worker_threads: usize,
-    /// The longest request body, in bytes.
+    /// The maximum size of a request body, in bytes.
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Request bodies up to this are kept, so that they can be sent again.
+    /// The maximum size, in bytes, of a request body that is kept so that it can be
+    /// resent.
     #[serde(default = "default_kept_body_bytes")]
     pub kept_body_bytes: u64,
-    /// How the box stops.
+    /// How the box drains when it stops.
     #[serde(default)]
     pub drain: DrainSettings,
-    /// How once-only requests are kept.
+    /// How once-only operations are stored.
     #[serde(default)]
     pub once_only: OnceOnlySettings,
     /// How the box logs.
     #[serde(default)]
     pub log: LogSettings,
-    /// Who the box is towards other boxes; may be left out on loopback only.
+    /// The TLS identity of the box towards other boxes; may be left out only where
+    /// `peer_address` is a loopback address or there is a `catalog`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tls: Option<TlsSettings>,
 }
 
-/// Where the product's own bundles and lists of boxes are found.
+/// The addresses of the product's own sources of bundles and boxes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OwnSources {
-    /// The key-value service.
+    /// The address of the key-value service.
     pub store_address: SocketAddr,
-    /// The platform's list of boxes.
+    /// The address of the platform's list of boxes.
     pub box_list_address: SocketAddr,
-    /// Whose bundles the box accepts.
+    /// The keys whose signatures on bundles the box accepts.
     pub keyring: Keyring,
 }
 
-/// Where a catalog of bundles, backend servers and boxes is found.
+/// The source of the catalog of bundles, backend servers and boxes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CatalogSettings {
-    /// The form in which it speaks.
+    /// The protocol of the store; `kv` is the only one.
     pub form: String,
-    /// The store that holds it.
+    /// The address of the store that holds the catalog.
     pub store_address: SocketAddr,
-    /// Peers to ask while the store is away; they may be gone.
+    /// Peers to ask while the store is unavailable. Some of them may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Where the box finds its identity, in PEM files that may be replaced while it runs.
+/// The PEM files with the TLS identity of the box. They may be replaced while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// The authorities that are trusted.
+    /// The trusted certificate authorities.
     pub authorities_path: PathBuf,
-    /// The certificate, naming `box_id` and the peer address.
+    /// The certificate, issued for `box_id` and the peer address.
     pub certificate_path: PathBuf,
-    /// The certificate's key.
+    /// The private key of the certificate.
     pub key_path: PathBuf,
 }
 
@@ -127,15 +132,17 @@
     }
 }
 
-/// How a box stops.
+/// How a box drains when it stops.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSettings {
-    /// How long the balancer may still send callers after `/ready` says no.
+    /// How long the load balancer may still send requests after `/ready` answers 503, in
+    /// milliseconds.
     pub balancer_lag_ms: u64,
-    /// How long requests in flight may take to finish.
+    /// How long requests in flight may then take to finish, in milliseconds.
     pub limit_ms: u64,
-    /// When the platform kills a process that was told to stop; none where it never does.
+    /// How long after the stop signal the platform kills the process, in seconds; `None`
+    /// where it never does.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub kill_after_s: Option<f64>,
 }
@@ -150,15 +157,15 @@
     }
 }
 
-/// How once-only requests are kept; the same on all boxes of a fleet.
+/// How once-only operations are stored; must be the same on all boxes of a fleet.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OnceOnlySettings {
-    /// The logs that operations are spread over.
+    /// The number of logs that the operations are distributed over.
     pub shards: u32,
-    /// Least time between two writes of one log.
+    /// The minimum time between two writes to one log, in milliseconds.
     pub commit_every_ms: u64,
-    /// How long an operation is remembered.
+    /// How long an operation is remembered, in seconds.
     pub retention_s: u64,
 }
 
@@ -176,9 +183,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
-    /// What is logged, in the form `info,wingspur_entry=debug`.
+    /// The log filter, such as `info,wingspur_entry=debug`.
     pub filter: String,
 }
 
@@ -191,33 +198,36 @@
     }
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl Settings {
-    /// How much the box can carry for others: in shares of the least box that is planned
-    /// for, by whichever of processor and link is scarcer.
+    /// Returns the capacity of the box for common work as a multiple of the smallest box
+    /// that is planned for, by whichever of processor and link is scarcer. The result is
+    /// rounded down and is 0 for a box below that size.
     pub fn capacity(&self) -> u32 {
-        let shares = (self.cpu_share / LEAST_CPU_SHARE).min(self.link_mbps / LEAST_MBPS);
-        // A little more, since a share like 0.3 has no exact form.
+        let shares =
+            (self.cpu_share / MIN_BOX_CPU_SHARE).min(self.link_mbps / MIN_BOX_LINK_MBPS);
+        // The addition makes up for rounding: a share like 0.3 has no exact binary form.
         (shares + 0.01) as u32
     }
 
-    /// How long the balancer may still send callers; half of a stop at most, so that what
-    /// comes last can still be answered.
+    /// Returns how long the load balancer may still send requests after a stop began. It
+    /// is at most half of the time that the stop may take, so that the last requests can
+    /// still be answered.
     pub fn balancer_lag(&self) -> Duration {
         let lag = Duration::from_millis(self.drain.balancer_lag_ms);
         self.stop_span().map_or(lag, |span| lag.min(span / 2))
     }
 
-    /// Fields that differ and that only a restart can change.
+    /// Returns the names of the fields that differ and that only a restart can change.
     pub fn changes_needing_restart(&self, other: &Self) -> Vec<&'static str> {
         let store = |settings: &Self| settings.catalog.as_ref().map(|c| c.store_address);
         let pairs = [
@@ -244,35 +254,40 @@
         differs.map(|(name, _)| name).collect()
     }
 
-    /// How long requests in flight may take to finish after that.
+    /// Returns how long requests in flight may take to finish after
+    /// [`balancer_lag`](Self::balancer_lag) is over.
     pub fn drain_limit(&self) -> Duration {
         let limit = Duration::from_millis(self.drain.limit_ms);
         let lag = self.balancer_lag();
         self.stop_span().map_or(limit, |span| limit.min(span - lag))
     }
 
-    /// How much of that is for writing the answers to requests that were not over by then.
+    /// Returns the part of [`drain_limit`](Self::drain_limit) that is reserved at its end
+    /// for writing responses to the requests that have not finished by then.
     pub fn final_response_time(&self) -> Duration {
-        LAST_ANSWERS.min(self.drain_limit() / 2)
+        FINAL_RESPONSE_TIME.min(self.drain_limit() / 2)
     }
 
-    /// How long a stop may take, where the platform sets an end to it.
+    /// Returns how long a stop may take; `None` where the platform sets no limit.
     fn stop_span(&self) -> Option<Duration> {
         let kill_after = Duration::from_secs_f64(self.drain.kill_after_s?);
         Some(kill_after.saturating_sub(KILL_MARGIN))
     }
 }
 
-/// The least box: a tenth of a core, and a link of ten megabits a second.
-const LEAST_CPU_SHARE: f64 = 0.1;
-const LEAST_MBPS: f64 = 10.0;
-/// A box ends this long before it would be killed: timers and the last answers are late.
+/// The smallest box that is planned for has a tenth of a core and a link of ten megabits
+/// per second.
+const MIN_BOX_CPU_SHARE: f64 = 0.1;
+const MIN_BOX_LINK_MBPS: f64 = 10.0;
+/// A box ends this long before it would be killed, since timers and the last responses
+/// can be late.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// Time to write the last answers, a few hundred bytes each: a box that has used up its share
-/// of a core stands still for up to a tenth of a second, here twice.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+/// Time to write the last responses, of a few hundred bytes each. A box that has used up
+/// its share of a core is not scheduled for up to a tenth of a second; this allows for
+/// two such pauses.
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(200);
 
-/// Why settings were refused.
+/// The reasons for refusing settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -280,7 +295,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error of the read.
         error: std::io::Error,
     },
     /// The file is not JSON.
@@ -288,15 +303,16 @@
     NotJson {
         /// The file.
         file: String,
-        /// Where and why.
+        /// The error of the parser, with its position.
         error: serde_json::Error,
     },
-    /// Fields are wrong; a line for each.
+    /// Some fields are wrong; the text has one line for each.
     #[error("{}", .0.trim_end())]
     Findings(String),
 }
 
-/// Reads and checks a settings file.
+/// Reads and checks a settings file. Fails where the file cannot be read or where
+/// [`parse_settings`] fails.
 pub fn load_settings(path: &Path) -> Result<Settings, SettingsError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
@@ -306,7 +322,10 @@
     parse_settings(&path.display().to_string(), &text)
 }
 
-/// Checks settings and reports all findings at once; `file` is for the messages.
+/// Parses settings and checks them. `file` is the file name that is used in messages.
+///
+/// All wrong, unknown and missing fields are reported at once; a missing `tls` is
+/// reported only when everything else is right.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings, SettingsError> {
     let not_json = |error| SettingsError::NotJson {
         file: file.to_owned(),
@@ -316,29 +335,30 @@
     let mut findings = String::new();
     check_object(&mut findings, file, "", &value, FIELDS);
     if value.get("catalog").is_none() {
-        require(&mut findings, file, &value, OWN_FIELDS);
+        check_own_source_fields(&mut findings, file, &value, OWN_SOURCE_FIELDS);
     }
     if !findings.is_empty() {
         return Err(SettingsError::Findings(findings));
     }
     let settings: Settings = serde_json::from_value(value).map_err(not_json)?;
-    let private = settings.catalog.is_some() || settings.peer_address.ip().is_loopback();
-    if settings.tls.is_none() && !private {
+    let tls_is_optional =
+        settings.catalog.is_some() || settings.peer_address.ip().is_loopback();
+    if settings.tls.is_none() && !tls_is_optional {
         let fix = "add it, or use a loopback `peer_address`: plain is for loopback only";
-        finding(&mut findings, file, "tls", "missing", fix);
+        push_finding(&mut findings, file, "tls", "missing", fix);
         return Err(SettingsError::Findings(findings));
     }
     Ok(settings)
 }
 
-/// A field that settings may have.
+/// A field that is allowed in an object of the settings.
 struct Field {
     name: &'static str,
     kind: Kind,
     required: bool,
 }
 
-/// What a field holds.
+/// The type of a field's value.
 enum Kind {
     Text,
     Address,
@@ -346,7 +366,7 @@
     Number(u64, u64),
     /// A number from 0 to 1.
     Fraction,
-    /// A number from 0 up.
+    /// A number that is not negative.
     Amount,
     /// True or false.
     Flag,
@@ -356,7 +376,7 @@
     Object(&'static [Field]),
 }
 
-const fn must(name: &'static str, kind: Kind) -> Field {
+const fn required(name: &'static str, kind: Kind) -> Field {
     Field {
         name,
         kind,
@@ -364,7 +384,7 @@
     }
 }
 
-const fn may(name: &'static str, kind: Kind) -> Field {
+const fn optional(name: &'static str, kind: Kind) -> Field {
     Field {
         name,
         kind,
@@ -373,122 +393,127 @@
 }
 
 const FIELDS: &[Field] = &[
-    must("box_id", Kind::Text),
-    must("data_centre", Kind::Text),
-    may("regions", Kind::Texts),
-    must("fleet", Kind::Text),
-    must("caller_address", Kind::Address),
-    must("peer_address", Kind::Address),
-    must("operator_address", Kind::Address),
-    may("metrics_address", Kind::Address),
-    may("store_address", Kind::Address),
-    may("box_list_address", Kind::Address),
-    may("keyring", Kind::Texts),
-    may(
+    required("box_id", Kind::Text),
+    required("data_centre", Kind::Text),
+    optional("regions", Kind::Texts),
+    required("fleet", Kind::Text),
+    required("caller_address", Kind::Address),
+    required("peer_address", Kind::Address),
+    required("operator_address", Kind::Address),
+    optional("metrics_address", Kind::Address),
+    optional("store_address", Kind::Address),
+    optional("box_list_address", Kind::Address),
+    optional("keyring", Kind::Texts),
+    optional(
         "catalog",
         Kind::Object(&[
-            must("form", Kind::OneOf(&["kv"])),
-            must("store_address", Kind::Address),
-            may("seeds", Kind::Addresses),
+            required("form", Kind::OneOf(&["kv"])),
+            required("store_address", Kind::Address),
+            optional("seeds", Kind::Addresses),
         ]),
     ),
-    may("first_start", Kind::Flag),
-    may(
+    optional("first_start", Kind::Flag),
+    optional(
         "retry_budget",
         Kind::Object(&[
-            must("ratio", Kind::Fraction),
-            must("window_s", Kind::Amount),
-            must("slack", Kind::Amount),
+            required("ratio", Kind::Fraction),
+            required("window_s", Kind::Amount),
+            required("slack", Kind::Amount),
         ]),
     ),
-    may(
+    optional(
         "quota",
         Kind::Object(&[
-            must("window_s", Kind::Amount),
-            must("overrun", Kind::Fraction),
-            must("slack", Kind::Amount),
+            required("window_s", Kind::Amount),
+            required("overrun", Kind::Fraction),
+            required("slack", Kind::Amount),
         ]),
     ),
-    may("cpu_share", Kind::Amount),
-    may("link_mbps", Kind::Amount),
-    may("worker_threads", Kind::Number(1, 256)),
-    may("max_body_bytes", Kind::Number(0, u64::MAX)),
-    may("kept_body_bytes", Kind::Number(0, 16 << 20)),
-    may(
+    optional("cpu_share", Kind::Amount),
+    optional("link_mbps", Kind::Amount),
+    optional("worker_threads", Kind::Number(1, 256)),
+    optional("max_body_bytes", Kind::Number(0, u64::MAX)),
+    optional("kept_body_bytes", Kind::Number(0, 16 << 20)),
+    optional(
         "drain",
         Kind::Object(&[
-            may("balancer_lag_ms", Kind::Number(0, 600_000)),
-            may("limit_ms", Kind::Number(1, 3_600_000)),
-            may("kill_after_s", Kind::Amount),
+            optional("balancer_lag_ms", Kind::Number(0, 600_000)),
+            optional("limit_ms", Kind::Number(1, 3_600_000)),
+            optional("kill_after_s", Kind::Amount),
         ]),
     ),
-    may(
+    optional(
         "once_only",
         Kind::Object(&[
-            may("shards", Kind::Number(1, 4096)),
-            may("commit_every_ms", Kind::Number(1, 10_000)),
-            may("retention_s", Kind::Number(60, 30 * 24 * 3600)),
+            optional("shards", Kind::Number(1, 4096)),
+            optional("commit_every_ms", Kind::Number(1, 10_000)),
+            optional("retention_s", Kind::Number(60, 30 * 24 * 3600)),
         ]),
     ),
-    may(
+    optional(
         "tls",
         Kind::Object(&[
-            must("authorities_path", Kind::Text),
-            must("certificate_path", Kind::Text),
-            must("key_path", Kind::Text),
+            required("authorities_path", Kind::Text),
+            required("certificate_path", Kind::Text),
+            required("key_path", Kind::Text),
         ]),
     ),
-    may(
+    optional(
         "log",
         Kind::Object(&[
-            may("format", Kind::OneOf(&["human", "json"])),
-            may("filter", Kind::Text),
+            optional("format", Kind::OneOf(&["human", "json"])),
+            optional("filter", Kind::Text),
         ]),
     ),
 ];
 
-/// Fields that must stand where there is no catalog.
-const OWN_FIELDS: &[Field] = &[
-    must("store_address", Kind::Address),
-    must("box_list_address", Kind::Address),
-    must("keyring", Kind::Texts),
+/// Fields that are required where there is no `catalog`.
+const OWN_SOURCE_FIELDS: &[Field] = &[
+    required("store_address", Kind::Address),
+    required("box_list_address", Kind::Address),
+    required("keyring", Kind::Texts),
 ];
 
 fn check_object(out: &mut String, file: &str, at: &str, value: &Value, fields: &[Field]) {
     let Value::Object(object) = value else {
         let found = shorten(value);
-        return finding(out, file, at, &found, "write a JSON object here");
+        return push_finding(out, file, at, &found, "write a JSON object here");
     };
     for (name, value) in object {
-        let place = join(at, name);
+        let field_path = join_field_path(at, name);
         match fields.iter().find(|field| field.name == name) {
-            Some(field) => check_value(out, file, &place, value, &field.kind),
+            Some(field) => check_value(out, file, &field_path, value, &field.kind),
             None => {
                 let fix = hint_for_unknown(name, fields);
-                finding(out, file, &place, "an unknown field", &fix);
+                push_finding(out, file, &field_path, "an unknown field", &fix);
             }
         }
     }
     for field in fields {
         if field.required && !object.contains_key(field.name) {
-            let fix = format!("add it: {}", wanted(&field.kind));
-            finding(out, file, &join(at, field.name), "missing", &fix);
+            let fix = format!("add it: {}", expected_value(&field.kind));
+            push_finding(out, file, &join_field_path(at, field.name), "missing", &fix);
         }
     }
 }
 
-fn require(out: &mut String, file: &str, value: &Value, fields: &[Field]) {
+fn check_own_source_fields(
+    out: &mut String,
+    file: &str,
+    value: &Value,
+    fields: &[Field],
+) {
     for field in fields
         .iter()
         .filter(|field| value.get(field.name).is_none())
     {
-        let fix = format!("add it, or `catalog`: {}", wanted(&field.kind));
-        finding(out, file, field.name, "missing", &fix);
+        let fix = format!("add it, or `catalog`: {}", expected_value(&field.kind));
+        push_finding(out, file, field.name, "missing", &fix);
     }
 }
 
 fn check_value(out: &mut String, file: &str, at: &str, value: &Value, kind: &Kind) {
-    let fits = match kind {
+    let is_valid = match kind {
         Kind::Text => value.as_str().is_some_and(|text| !text.is_empty()),
         Kind::Address => is_address(value),
         Kind::Number(least, most) => value
@@ -497,7 +522,7 @@
         Kind::Flag => value.is_boolean(),
         Kind::Fraction => value
             .as_f64()
-            .is_some_and(|part| (0.0..=1.0).contains(&part)),
+            .is_some_and(|fraction| (0.0..=1.0).contains(&fraction)),
         Kind::Amount => value.as_f64().is_some_and(|amount| amount >= 0.0),
         Kind::Addresses => value
             .as_array()
@@ -511,9 +536,9 @@
             return check_object(out, file, at, value, fields);
         }
     };
-    if !fits {
-        let fix = format!("write {}", wanted(kind));
-        finding(out, file, at, &shorten(value), &fix);
+    if !is_valid {
+        let fix = format!("write {}", expected_value(kind));
+        push_finding(out, file, at, &shorten(value), &fix);
     }
 }
 
@@ -522,7 +547,7 @@
     text.is_some_and(|text| text.parse::<SocketAddr>().is_ok())
 }
 
-fn wanted(kind: &Kind) -> String {
+fn expected_value(kind: &Kind) -> String {
     match kind {
         Kind::Text => "a text that is not empty".to_owned(),
         Kind::Address => "an IP address and a port, such as \"10.0.0.1:8080\"".to_owned(),
@@ -538,7 +563,8 @@
     }
 }
 
-/// A field of the right stem and the wrong unit is told so.
+/// Returns the hint for an unknown field. A name that differs from a known field only in
+/// the unit at its end, or lacks the unit, gets the known field as the suggestion.
 fn hint_for_unknown(name: &str, fields: &[Field]) -> String {
     let stem = |name: &str| name.rsplit_once('_').map(|(stem, _)| stem.to_owned());
     let sibling = fields.iter().find(|field| {
@@ -552,13 +578,13 @@
     format!("remove it, or use one of {}", known.join(", "))
 }
 
-fn finding(out: &mut String, file: &str, at: &str, found: &str, fix: &str) {
+fn push_finding(out: &mut String, file: &str, at: &str, found: &str, fix: &str) {
     let at = if at.is_empty() { "the whole file" } else { at };
-    // Writing to a string does not fail.
+    // Writing to a `String` never fails.
     let _ = writeln!(out, "{file}: {at}: found {found}; {fix}");
 }
 
-fn join(at: &str, name: &str) -> String {
+fn join_field_path(at: &str, name: &str) -> String {
     if at.is_empty() {
         name.to_owned()
     } else {
