--- a/tests/tests/entry_stop.rs
+++ b/tests/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! What a planned stop of a box over its own sources does to requests that are out.
+//! A planned stop of an entry box while requests are in flight.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,8 +9,8 @@
 use wingspur_entry::EntryBox;
 use wingspur_transport::{FaultInjector, Workers};
 
-/// The box over a catalog cut the requests that were out when its stop's time was over; this
-/// one did the same, for the same reason: its limit ended the waiting, and nobody answered.
+/// Guards against requests that are cut without a response when the drain limit of a stop
+/// ends: the limit ended the wait for them, and nothing responded to their callers.
 #[test]
 fn a_request_that_outlasts_the_stop_is_answered_before_the_entry_box_ends() {
     for head in [
@@ -26,7 +26,7 @@
 fn stop_with_stalled_servers(head: &'static str) -> (u16, usize) {
     let workers = Workers::start(4);
     let spawner = workers.spawner();
-    let told = smol::block_on(async {
+    let result = smol::block_on(async {
         let mut fleet = Fleet::start(small_zagreb(1), &spawner).await.unwrap();
         fleet.stop_box(0).await;
         let mut settings = fleet.settings()[0].clone();
@@ -41,24 +41,24 @@
         let servers = || fleet.servers.iter().flatten();
         servers().for_each(|server| server.set_gray(Gray::Stall));
         let before: u64 = servers().map(|server| server.requests()).sum();
-        let to = running.addresses().caller;
-        let calling = std::thread::spawn(move || status_of(to, head));
+        let caller_address = running.addresses().caller;
+        let calling = std::thread::spawn(move || status_of(caller_address, head));
         while servers().map(|server| server.requests()).sum::<u64>() == before {
             smol::Timer::after(Duration::from_millis(5)).await;
         }
         let cut = running.close().await.cut_requests;
-        (calling.join().expect("the caller ends"), cut)
+        (calling.join().expect("the caller's thread panicked"), cut)
     });
     workers.close();
-    told
+    result
 }
 
-/// The status that a caller is told; 0 where its connection just closes.
-fn status_of(to: SocketAddr, head: &str) -> u16 {
-    let mut stream = TcpStream::connect(to).unwrap();
-    // Longer than the stop and than the routes' deadlines.
-    let limit = Some(Duration::from_secs(6));
-    stream.set_read_timeout(limit).unwrap();
+/// Returns the status of the response; 0 where the connection closes without one.
+fn status_of(caller_address: SocketAddr, head: &str) -> u16 {
+    let mut stream = TcpStream::connect(caller_address).unwrap();
+    // Longer than the stop and than the deadlines of the routes.
+    let timeout = Some(Duration::from_secs(6));
+    stream.set_read_timeout(timeout).unwrap();
     let request = format!("{head}content-length: 0\r\n\r\n");
     stream.write_all(request.as_bytes()).unwrap();
     let mut line = String::new();
--- a/tests/tests/evacuation.rs
+++ b/tests/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that the operator evacuates, and servers that are cold.
+//! Evacuated data centres, and cold servers, which must get only few requests.
 
 mod edge;
 
@@ -12,13 +12,13 @@
 use wingspur_tests::{Answer, BackendServer, PlatformStore, Reply};
 use wingspur_transport::Workers;
 
-/// Two boxes in two data centres, each with two servers.
+/// Three boxes and four servers, spread over two data centres.
 struct Fleet {
     store: PlatformStore,
     boxes: Vec<EdgeBox>,
     servers: Vec<BackendServer>,
     workers: Workers,
-    asked: AtomicUsize,
+    request_count: AtomicUsize,
 }
 
 impl Fleet {
@@ -33,7 +33,7 @@
             boxes: Vec::new(),
             servers,
             workers: Workers::start(4),
-            asked: AtomicUsize::new(0),
+            request_count: AtomicUsize::new(0),
         };
         for n in 0..fleet.servers.len() {
             fleet.announce(n, 0);
@@ -52,11 +52,11 @@
         for running in &self.boxes {
             wait_until("all boxes are ready", || running.is_ready());
         }
-        thread::sleep(LINKED_AFTER);
+        thread::sleep(LINK_SETUP_TIME);
         self
     }
 
-    /// Writes the entry of a server that takes work.
+    /// Writes the entry of a server that is ready and stays cold for `cold_ms`.
     fn announce(&self, n: usize, cold_ms: u64) {
         self.announce_as(n, "ready", cold_ms);
     }
@@ -68,20 +68,21 @@
         self.store.put(&format!("servers/i-{n}"), &entry);
     }
 
-    fn ask(&self) -> Answer {
-        let turn = self.asked.fetch_add(1, Ordering::Relaxed);
+    fn send_request(&self) -> Answer {
+        let turn = self.request_count.fetch_add(1, Ordering::Relaxed);
         let running = &self.boxes[turn % self.boxes.len()];
         let id = format!("id-{turn}");
         Caller::of(running).call("read", &id)
     }
 
-    /// Asks for a while; returns how many answers were good, and how many were not.
-    fn ask_for(&self, span: Duration) -> (usize, usize) {
+    /// Sends requests for a while; returns how many responses had status 200, and how
+    /// many had another one.
+    fn send_requests_for(&self, span: Duration) -> (usize, usize) {
         let until = Instant::now() + span;
-        let ask = || {
+        let send = || {
             let (mut good, mut other) = (0, 0);
             while Instant::now() < until {
-                match self.ask().status {
+                match self.send_request().status {
                     200 => good += 1,
                     _ => other += 1,
                 }
@@ -89,25 +90,26 @@
             (good, other)
         };
         thread::scope(|scope| {
-            let callers: Vec<_> = (0..CALLERS).map(|_| scope.spawn(ask)).collect();
+            let callers: Vec<_> = (0..CALLERS).map(|_| scope.spawn(send)).collect();
             let counts = callers.into_iter().map(|caller| caller.join().unwrap());
             counts.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
         })
     }
 
-    /// Requests that a server got after a moment.
+    /// Returns the number of requests that arrived at a server from a moment on.
     fn arrived_since(&self, n: usize, moment: Instant) -> usize {
         let arrivals = self.servers[n].arrivals();
         arrivals.iter().filter(|(at, _)| *at >= moment).count()
     }
 
-    /// The most that arrived at a server in any second from a moment on.
-    fn fullest_second(&self, n: usize, from: Instant) -> usize {
+    /// Returns the largest number of requests that arrived at a server in any one second
+    /// from a moment on.
+    fn max_requests_per_second(&self, n: usize, from: Instant) -> usize {
         let arrivals = self.servers[n].arrivals();
-        let at: Vec<_> = arrivals.into_iter().map(|(at, _)| at).collect();
-        let at: Vec<_> = at.into_iter().filter(|at| *at >= from).collect();
-        let counts = at.iter().enumerate().map(|(index, first)| {
-            at[index..].partition_point(|at| *at < *first + Duration::from_secs(1))
+        let times: Vec<_> = arrivals.into_iter().map(|(at, _)| at).collect();
+        let times: Vec<_> = times.into_iter().filter(|at| *at >= from).collect();
+        let counts = times.iter().enumerate().map(|(index, first)| {
+            times[index..].partition_point(|at| *at < *first + Duration::from_secs(1))
         });
         counts.max().unwrap_or(0)
     }
@@ -133,26 +135,27 @@
 #[test]
 fn servers_of_an_evacuated_data_centre_get_nothing_until_it_is_taken_back() {
     let fleet = Fleet::start(|_| {});
-    let begun = Instant::now();
-    fleet.ask_for(Duration::from_millis(500));
-    assert!([0, 2].iter().any(|n| fleet.arrived_since(*n, begun) > 0));
+    let started = Instant::now();
+    fleet.send_requests_for(Duration::from_millis(500));
+    assert!([0, 2].iter().any(|n| fleet.arrived_since(*n, started) > 0));
     fleet.store.put("op/evacuate/dc-1", &json!({}));
-    thread::sleep(HEARD_AFTER);
+    thread::sleep(PROPAGATION_TIME);
     let evacuated = Instant::now();
-    let (good, other) = fleet.ask_for(Duration::from_millis(700));
+    let (good, other) = fleet.send_requests_for(Duration::from_millis(700));
     assert!(good > 0 && other == 0, "{good} good, {other} other");
     for n in [0, 2] {
         assert_eq!(fleet.arrived_since(n, evacuated), 0, "server {n}");
     }
-    // Taken back, it bears all while the other one is evacuated.
+    // After the evacuation ends, its servers handle everything while the other data
+    // centre is evacuated.
     fleet.store.remove("op/evacuate/dc-1");
     fleet.store.put("op/evacuate/dc-2", &json!({}));
-    thread::sleep(HEARD_AFTER);
-    let taken_back = Instant::now();
-    let (good, other) = fleet.ask_for(Duration::from_millis(700));
+    thread::sleep(PROPAGATION_TIME);
+    let ended = Instant::now();
+    let (good, other) = fleet.send_requests_for(Duration::from_millis(700));
     assert!(good > 0 && other == 0, "{good} good, {other} other");
     for n in [1, 3] {
-        assert_eq!(fleet.arrived_since(n, taken_back), 0, "server {n}");
+        assert_eq!(fleet.arrived_since(n, ended), 0, "server {n}");
     }
     fleet.close();
 }
@@ -161,10 +164,10 @@
 fn evacuation_binds_boxes_that_start_later_and_servers_that_join_later() {
     let fleet = Fleet::start(|store| store.put("op/evacuate/dc-1", &json!({})));
     let started = Instant::now();
-    // It is announced anew, in the evacuated data centre still.
+    // Server 0 is announced again and is still in the evacuated data centre.
     fleet.announce(0, 10);
-    thread::sleep(HEARD_AFTER);
-    let (good, other) = fleet.ask_for(Duration::from_millis(700));
+    thread::sleep(PROPAGATION_TIME);
+    let (good, other) = fleet.send_requests_for(Duration::from_millis(700));
     assert!(good > 0 && other == 0, "{good} good, {other} other");
     for n in [0, 2] {
         assert_eq!(fleet.arrived_since(n, started), 0, "server {n}");
@@ -178,7 +181,7 @@
         store.put("op/evacuate/dc-1", &json!({}));
         store.put("op/evacuate/dc-2", &json!({}));
     });
-    let answer = fleet.ask();
+    let answer = fleet.send_request();
     assert_eq!(answer.status, 503);
     fleet.close();
 }
@@ -186,39 +189,43 @@
 #[test]
 fn cold_server_gets_no_more_than_it_bears_from_all_boxes() {
     let fleet = Fleet::start(|_| {});
-    fleet.ask_for(Duration::from_millis(300));
-    // It turns cold in the middle of its life.
+    fleet.send_requests_for(Duration::from_millis(300));
+    // Server 1 becomes cold while it is running.
     fleet.announce(1, 8_000);
-    thread::sleep(HEARD_AFTER);
-    let told = Instant::now();
-    let (good, other) = fleet.ask_for(Duration::from_millis(2_000));
+    thread::sleep(PROPAGATION_TIME);
+    let limit_known_at = Instant::now();
+    let (good, other) = fleet.send_requests_for(Duration::from_millis(2_000));
     assert!(good > 0 && other == 0, "{good} good, {other} other");
-    let fullest = fleet.fullest_second(1, told);
+    let busiest = fleet.max_requests_per_second(1, limit_known_at);
     let allowed = (COLD_PER_S * 1.5 + 8.0) as usize;
     assert!(
-        fullest <= allowed,
-        "{fullest} in a second, {allowed} allowed"
+        busiest <= allowed,
+        "{busiest} requests in one second at the cold server, {allowed} allowed"
     );
-    // Which of them is a matter of what boxes make of them.
-    let others = [0, 2, 3].map(|n| fleet.fullest_second(n, told));
+    // Which of the warm servers get more depends on the balancing of the boxes.
+    let others = [0, 2, 3].map(|n| fleet.max_requests_per_second(n, limit_known_at));
     assert!(
-        others.iter().any(|fullest| *fullest > allowed),
-        "the others bear more: {others:?}"
+        others.iter().any(|busiest| *busiest > allowed),
+        "no warm server got more requests than a cold one may: {others:?}"
     );
-    // Once it is warm, it has to bear all alone.
+    // Server 1 is warm again and, with the others evacuated or leaving, handles all
+    // requests alone.
     fleet.announce(1, 0);
     fleet.announce_as(3, "leaving", 0);
     fleet.store.put("op/evacuate/dc-1", &json!({}));
-    thread::sleep(HEARD_AFTER);
-    let warm = Instant::now();
-    fleet.ask_for(Duration::from_millis(1_000));
-    assert!(fleet.fullest_second(1, warm) > allowed, "it is warm again");
+    thread::sleep(PROPAGATION_TIME);
+    let warm_known_at = Instant::now();
+    fleet.send_requests_for(Duration::from_millis(1_000));
+    assert!(
+        fleet.max_requests_per_second(1, warm_known_at) > allowed,
+        "the server is still limited although it is warm again"
+    );
     fleet.close();
 }
 
 const COLD_PER_S: f64 = 5.5;
 const CALLERS: usize = 4;
-/// Boxes are linked with each other by then.
-const LINKED_AFTER: Duration = Duration::from_secs(2);
-/// What is written in the store has reached all boxes by then.
-const HEARD_AFTER: Duration = Duration::from_millis(1_500);
+/// The time after which all boxes are linked with each other.
+const LINK_SETUP_TIME: Duration = Duration::from_secs(2);
+/// The time after which a change in the store has reached all boxes.
+const PROPAGATION_TIME: Duration = Duration::from_millis(1_500);
--- a/tests/tests/store_restore.rs
+++ b/tests/tests/store_restore.rs
@@ -1,4 +1,5 @@
-//! The store comes back from an older copy, and its revisions are given out again.
+//! The store is restored from an older copy, and uses revisions and lease ids a second
+//! time.
 
 mod edge;
 
@@ -8,7 +9,8 @@
 use wingspur_tests::{BackendServer, PlatformStore, Reply, StoreCopy, StoreFault, call};
 use wingspur_transport::Workers;
 
-/// A hub with a member and a hub of another data centre, before two servers.
+/// Three boxes in front of two servers: a hub with a member, and the hub of another data
+/// centre.
 struct Fleet {
     store: PlatformStore,
     boxes: Vec<EdgeBox>,
@@ -53,28 +55,29 @@
         self.store.put(&format!("servers/i-{number}"), &entry);
     }
 
-    /// Rolls out another version, and waits until it is in force on all boxes.
+    /// Rolls out another version, and waits until it is active on all boxes.
     fn roll_out(&mut self) {
         self.version += 1;
         self.write_configuration();
         let version = self.version;
-        wait_until("the version is in force on all boxes", || {
+        wait_until("the version is active on all boxes", || {
             self.boxes.iter().all(|b| b.bundle_version() >= version)
         });
     }
 
-    /// Makes changes that all boxes know.
+    /// Rolls out several versions, one after the other.
     fn advance(&mut self, versions: usize) {
         (0..versions).for_each(|_| self.roll_out());
     }
 
-    /// Comes back from a copy; the operator and the servers write again what the copy lacks.
+    /// Restores the store from a copy; the operator writes the newest configuration
+    /// again.
     fn restore(&self, copy: &StoreCopy) {
         self.store.restore(copy);
         self.write_configuration();
     }
 
-    /// How many of some requests to each box reach a server.
+    /// Sends ten requests to each box, and returns how many of them reach a server.
     fn count_at(&self, number: usize) -> usize {
         let before = self.servers[number].ran().len();
         for (n, running) in self.boxes.iter().enumerate() {
@@ -124,7 +127,8 @@
     let copy = fleet.store.copy();
     fleet.advance(5);
     let known = fleet.store.revision();
-    // Nobody reads while the new history overtakes what the boxes know of the old one.
+    // No box can read the store until its new history is past the revision that the boxes
+    // know of the old one.
     fleet.store.set_fault(StoreFault::Refuses(503));
     fleet.restore(&copy);
     fleet.write_server(0, "leaving");
@@ -144,8 +148,12 @@
     let copy = fleet.store.copy();
     fleet.store.remove("servers/i-0");
     fleet.advance(2);
-    assert_eq!(fleet.count_at(0), 0, "it is gone");
-    // The copy holds its entry, which nobody writes again.
+    assert_eq!(
+        fleet.count_at(0),
+        0,
+        "requests after the server's entry was removed"
+    );
+    // The copy holds the entry of server 0, which nobody writes again.
     fleet.restore(&copy);
     fleet.write_server(1, "leaving");
     fleet.roll_out();
@@ -161,12 +169,12 @@
     fleet.roll_out();
     // The operator has not written the newest version again yet.
     fleet.store.restore(&copy);
-    let starts = start_box_in("dc-3", "box-4", &fleet.store, &fleet.workers);
+    let new_box = start_box_in("dc-3", "box-4", &fleet.store, &fleet.workers);
     let version = fleet.version;
-    wait_until("the newest version is in force", || {
-        starts.bundle_version() >= version
+    wait_until("the newest version is active", || {
+        new_box.bundle_version() >= version
     });
-    fleet.boxes.push(starts);
+    fleet.boxes.push(new_box);
     fleet.close();
 }
 
@@ -175,7 +183,7 @@
     let mut fleet = Fleet::start();
     let copy = fleet.store.copy();
     fleet.advance(3);
-    // The operator writes nothing again; the servers do.
+    // The operator writes nothing again, but the servers do.
     fleet.store.restore(&copy);
     fleet.write_server(0, "leaving");
     wait_until("all boxes have read the restored store", || {
@@ -195,21 +203,21 @@
     store.put("op/config", &configuration(1, &[Route::new("read")]));
     let copy = store.copy();
     let running = start_box("box-1", &store, &workers);
-    let is_announced = || {
-        store
-            .keys("wingspur/boxes/")
-            .contains(&ANNOUNCED.to_owned())
-    };
-    wait_until("it is announced", is_announced);
+    let is_announced = || store.keys("wingspur/boxes/").contains(&BOX_KEY.to_owned());
+    wait_until("the box is announced", is_announced);
     store.restore(&copy);
-    // Another box gets the lease that this one had.
-    let stranger = store.put_leased("wingspur/boxes/box-9", &json!({}));
-    wait_until("it is announced again", is_announced);
-    assert_ne!(store.lease_of(ANNOUNCED), Some(stranger));
+    // Another box gets the lease id that this one had.
+    let other_lease = store.put_leased("wingspur/boxes/box-9", &json!({}));
+    wait_until("the box is announced again", is_announced);
+    assert_ne!(store.lease_of(BOX_KEY), Some(other_lease));
     smol::block_on(running.close());
     let keys = store.keys("wingspur/boxes/");
     workers.close();
-    assert_eq!(keys, ["wingspur/boxes/box-9"], "the other's stays");
+    assert_eq!(
+        keys,
+        ["wingspur/boxes/box-9"],
+        "the other box's entry must stay"
+    );
 }
 
-const ANNOUNCED: &str = "wingspur/boxes/box-1";
+const BOX_KEY: &str = "wingspur/boxes/box-1";
