--- a/crates/wingspur-protocol/src/box_list.rs
+++ b/crates/wingspur-protocol/src/box_list.rs
@@ -1,4 +1,5 @@
-//! The platform's lagging list of live and leaving boxes and backend servers.
+//! The platform's list of live and leaving boxes and of draining backend servers. The
+//! list may be out of date.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 pub struct BoxList {
     /// The entry boxes.
     pub boxes: Vec<ListedBox>,
-    /// Backend servers that are leaving; all others count as live.
+    /// Backend servers that are draining; all others count as live.
     #[serde(default)]
     pub leaving_servers: Vec<ListedServer>,
 }
@@ -20,21 +21,21 @@
 pub struct ListedBox {
     /// The box's id.
     pub id: BoxId,
-    /// Where the box listens for its peers.
+    /// The address at which the box accepts connections of other boxes.
     pub peer_address: SocketAddr,
-    /// Where the box stands.
+    /// The data centre that the box is in.
     pub data_centre: DataCentreId,
-    /// Whether it stays.
+    /// Whether the box is in service or stopping.
     pub state: BoxState,
 }
 
-/// Whether a box stays or goes.
+/// Whether a box is in service or stopping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxState {
-    /// In service.
+    /// The box is in service.
     Live,
-    /// On its way out.
+    /// The box is about to stop.
     Leaving,
 }
 
--- a/crates/wingspur-protocol/src/catalog.rs
+++ b/crates/wingspur-protocol/src/catalog.rs
@@ -1,4 +1,5 @@
-//! What a catalog announces: the bundle, backend servers and boxes.
+//! The contents of a catalog: the bundle, backend servers, boxes, quarantines and
+//! evacuations.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,13 +12,13 @@
 
 use crate::compact_servers;
 
-/// All that a catalog announces, as of a point in the store's history.
+/// The full contents of a catalog at one position in the store's history.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogSnapshot {
-    /// Changes up to this one are in.
+    /// The position of the last change that the snapshot includes.
     pub position: StorePosition,
-    /// The bundle in force, if there is a sound one; between boxes none as well where the
-    /// other side has it.
+    /// The active bundle; `None` if there is no valid one. Between boxes it is also
+    /// `None` where the receiver already has the bundle.
     pub bundle: Option<Arc<Bundle>>,
     /// The backend servers.
     #[serde(with = "compact_servers::records")]
@@ -26,78 +27,80 @@
     pub boxes: Vec<BoxRecord>,
     /// The requests in quarantine.
     pub quarantines: Vec<QuarantineRecord>,
-    /// The data centres that are evacuated.
+    /// The evacuated data centres, to whose servers nothing is sent.
     #[serde(default)]
     pub evacuated: Vec<DataCentreId>,
 }
 
-/// Changes after one point in the store's history and up to another of the same era, in
-/// order.
+/// The changes between two positions of the same era of the store's history, in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogChanges {
-    /// What the changes come on top of.
+    /// The position that the changes follow.
     pub after: StorePosition,
-    /// Changes up to this one are in.
+    /// The position of the last change that is included.
     pub position: StorePosition,
-    /// The changes.
+    /// The changes, oldest first.
     #[serde(with = "compact_servers::changes")]
     pub changes: Vec<CatalogChange>,
 }
 
-/// One change of what is announced.
+/// A change of the catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CatalogChange {
     /// A bundle was accepted.
     Bundle(Arc<Bundle>),
-    /// The same, told by what it changes of the one before it.
+    /// A bundle was accepted; only its differences from the previous bundle are sent.
     BundlePatch(Arc<BundlePatch>),
-    /// A backend server is new, or its entry has changed.
+    /// A backend server's entry was added or changed.
     Server(ServerRecord),
-    /// A backend server's entry has vanished.
+    /// A backend server's entry was removed.
     ServerGone(ServerId),
-    /// A box is new, or its entry has changed.
+    /// A box's entry was added or changed.
     Box(BoxRecord),
-    /// A box's entry has vanished.
+    /// A box's entry was removed.
     BoxGone(BoxId),
-    /// A request is in quarantine, or was let through once more.
+    /// A request was put in quarantine, or one more trial of it was permitted.
     Quarantine(QuarantineRecord),
-    /// A request is in quarantine no more.
+    /// The quarantine of a request ended.
     QuarantineEnded(RequestFingerprint),
-    /// Nothing more may be sent to the backend servers of a data centre.
+    /// A data centre was evacuated: nothing more may be sent to its backend servers.
     Evacuated(DataCentreId),
-    /// The backend servers of a data centre may be used again.
+    /// The evacuation of a data centre ended: its backend servers may be used again.
     EvacuationEnded(DataCentreId),
 }
 
-/// A request that may be sent with a permit only, since servers have ended under it.
+/// A request that may be sent only with a permit, because servers ended while they ran
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineRecord {
     /// The request.
     pub request: RequestFingerprint,
-    /// How often it was let through since it is in quarantine.
+    /// The number of trials that were permitted since the quarantine began.
     pub tries: u32,
-    /// The box that has counted that, by its start.
+    /// The instance of the box that wrote this count.
     pub counted_by: SourceId,
-    /// Where in the store's history this was written.
+    /// The position in the store's history at which this record was written.
     pub position: StorePosition,
 }
 
-/// An entry box as it announces itself.
+/// The announcement of an entry box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRecord {
-    /// The box.
+    /// The id of the box.
     pub id: BoxId,
-    /// Where it stands.
+    /// The data centre that the box is in.
     pub data_centre: DataCentreId,
-    /// Where it hears its peers.
+    /// The address at which the box accepts connections of other boxes.
     pub peer_address: SocketAddr,
-    /// Drawn anew at each start.
+    /// A random number that identifies the box's current process, new at each start.
     pub incarnation: u64,
-    /// How much it can carry for other boxes; the strongest of a data centre is its hub.
+    /// How much work the box can do for other boxes. The box with the highest capacity in
+    /// a data centre is its hub.
     #[serde(default)]
     pub capacity: u32,
-    /// How many boxes the fleet has, as far as this one knows; 0 for unknown. Most boxes
-    /// are not announced, and one that starts must know its share before it hears a hub.
+    /// The number of boxes in the fleet as far as this box knows; 0 for unknown. Most
+    /// boxes are not announced, and a starting box must know its share of the fleet's
+    /// quotas before it hears from a hub.
     #[serde(default)]
     pub fleet_boxes: u32,
 }
--- a/crates/wingspur-protocol/src/compact_servers.rs
+++ b/crates/wingspur-protocol/src/compact_servers.rs
@@ -1,5 +1,5 @@
-//! Server records as boxes send them: the names of services and data centres stand once, and
-//! each record tells their places.
+//! The compact encoding of server records between boxes: each name of a service or data
+//! centre is written once, and the records refer to it by index.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 
 use crate::CatalogChange;
 
-/// A list of server records, for `#[serde(with)]`.
+/// Serialises a list of server records, for `#[serde(with)]`.
 pub mod records {
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
     use wingspur_state::ServerRecord;
 
     use super::{CompactRecord, Names};
 
-    /// Writes the names, and the records that point at them.
+    /// Writes the names, and the records that refer to them by index.
     pub fn serialize<S: Serializer>(
         records: &[ServerRecord],
         serializer: S,
@@ -29,7 +29,8 @@
         (names.list, records).serialize(serializer)
     }
 
-    /// Reads what `serialize` has written.
+    /// Reads the encoding that `serialize` writes. Fails on an unknown name or an invalid
+    /// address.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Vec<ServerRecord>, D::Error> {
@@ -40,7 +41,7 @@
     }
 }
 
-/// A list of catalog changes, for `#[serde(with)]`.
+/// Serialises a list of catalog changes, for `#[serde(with)]`.
 pub mod changes {
     use std::borrow::Cow;
 
@@ -49,7 +50,7 @@
     use super::{CompactChange, Names};
     use crate::CatalogChange;
 
-    /// Writes the names, and the changes that point at them.
+    /// Writes the names, and the changes that refer to them by index.
     pub fn serialize<S: Serializer>(
         changes: &[CatalogChange],
         serializer: S,
@@ -63,7 +64,8 @@
         (names.list, changes).serialize(serializer)
     }
 
-    /// Reads what `serialize` has written.
+    /// Reads the encoding that `serialize` writes. Fails on an unknown name or an invalid
+    /// address.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Vec<CatalogChange>, D::Error> {
@@ -79,7 +81,7 @@
     }
 }
 
-/// A change whose server, if it has one, is compact.
+/// A catalog change in which a server record has the compact form.
 #[derive(Debug, Serialize, Deserialize)]
 enum CompactChange<'a> {
     #[serde(rename = "s")]
@@ -88,13 +90,14 @@
     Other(Cow<'a, CatalogChange>),
 }
 
-/// A server record that points at the names of its service and data centre.
+/// A server record in which `service` and `data_centre` are indices into the list of
+/// names.
 #[derive(Debug, Serialize, Deserialize)]
 struct CompactRecord {
     id: ServerId,
     born_ms: u64,
     service: usize,
-    /// The IP address and the port, in network order.
+    /// The IP address and the port, in network byte order.
     address: ByteBuf,
     data_centre: usize,
     slots: u32,
@@ -102,42 +105,43 @@
     cold_ms: u64,
 }
 
-/// Names in the order in which they were first met.
+/// The names in the order of their first use.
 #[derive(Debug, Default)]
 struct Names {
     list: Vec<String>,
-    places: HashMap<String, usize>,
+    indices: HashMap<String, usize>,
 }
 
-/// Why a record cannot be expanded.
+/// The reasons why a compact record is invalid.
 #[derive(Debug, thiserror::Error)]
 enum CompactError {
-    /// It points at a name that was not sent.
-    #[error("server record points at name {place} of {names}")]
-    UnknownName { place: usize, names: usize },
-    /// Its address is neither IPv4 nor IPv6.
+    /// The record refers to a name that is not in the list.
+    #[error("server record refers to name index {index}, but the list has {names} names")]
+    UnknownName { index: usize, names: usize },
+    /// The address is neither IPv4 nor IPv6.
     #[error("server address has {0} bytes, not 6 or 18")]
     AddressLength(usize),
 }
 
 impl Names {
-    fn place(&mut self, name: &str) -> usize {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+    /// Returns the index of a name; adds it to the list on its first use.
+    fn index_of(&mut self, name: &str) -> usize {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let place = self.list.len();
+        let index = self.list.len();
         self.list.push(name.to_owned());
-        self.places.insert(name.to_owned(), place);
-        place
+        self.indices.insert(name.to_owned(), index);
+        index
     }
 
     fn compact(&mut self, record: &ServerRecord) -> CompactRecord {
         CompactRecord {
             id: record.id.clone(),
             born_ms: record.born_ms,
-            service: self.place(&record.service),
+            service: self.index_of(&record.service),
             address: address_bytes(record.address),
-            data_centre: self.place(&record.data_centre),
+            data_centre: self.index_of(&record.data_centre),
             slots: record.slots,
             leaving: record.leaving,
             cold_ms: record.cold_ms,
@@ -147,12 +151,12 @@
 
 impl CompactRecord {
     fn expand(self, names: &[String]) -> Result<ServerRecord, CompactError> {
-        let name = |place: usize| {
+        let name = |index: usize| {
             let unknown = CompactError::UnknownName {
-                place,
+                index,
                 names: names.len(),
             };
-            names.get(place).cloned().ok_or(unknown)
+            names.get(index).cloned().ok_or(unknown)
         };
         Ok(ServerRecord {
             service: name(self.service)?,
@@ -177,16 +181,16 @@
 }
 
 fn read_address(bytes: &[u8]) -> Result<SocketAddr, CompactError> {
-    let wrong = CompactError::AddressLength(bytes.len());
+    let invalid = CompactError::AddressLength(bytes.len());
     let Some((ip, port)) = bytes.split_last_chunk::<PORT_BYTES>() else {
-        return Err(wrong);
+        return Err(invalid);
     };
     let ip = if let Ok(octets) = <[u8; 4]>::try_from(ip) {
         IpAddr::V4(Ipv4Addr::from(octets))
     } else if let Ok(octets) = <[u8; 16]>::try_from(ip) {
         IpAddr::V6(Ipv6Addr::from(octets))
     } else {
-        return Err(wrong);
+        return Err(invalid);
     };
     Ok(SocketAddr::new(ip, u16::from_be_bytes(*port)))
 }
--- a/crates/wingspur-protocol/src/headers.rs
+++ b/crates/wingspur-protocol/src/headers.rs
@@ -3,40 +3,46 @@
 /// The header names of one deployment, in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Names a request; a server that repeats it in its answer is held to it.
+    /// The id of a request. A response that carries another id is not passed on to the
+    /// caller; a server may leave the id out of its response.
     pub request_id: &'static str,
-    /// Tells how many milliseconds are left for a request.
+    /// The time left until the request's deadline, in milliseconds.
     pub deadline_ms: &'static str,
-    /// Stands in every answer that a server made, where servers set one.
+    /// A header that is in every response made by a server itself. `None` where servers
+    /// set no such header.
     pub server_stamp: Option<&'static str>,
-    /// Names the run of a server that a request is for; others answer 421.
+    /// The id of the server that a request is meant for; any other server answers 421.
+    /// `None` where servers have no such header.
     pub expected_incarnation: Option<&'static str>,
-    /// Says that a server did not run the request, where servers say so by a header.
+    /// A header by which a server states that it did not run the request. `None` where
+    /// servers have no such header.
     pub not_executed: Option<&'static str>,
-    /// Tells a server's load.
+    /// The load of a server, in the format of `load_form`.
     pub load: &'static str,
-    /// How the load is written.
+    /// The format of the load header.
     pub load_form: LoadFormat,
-    /// Names the requests a second that a server takes from all boxes together, for as long
-    /// as its answers say so; none where servers name no such limit.
+    /// The requests per second that a server accepts from all boxes together. The limit
+    /// holds for as long as the server's responses carry it. `None` where servers have no
+    /// such header.
     pub server_limit: Option<&'static str>,
-    /// Tells a server the client account of a request.
+    /// The name of the client account of a request, sent to the server.
     pub account: &'static str,
-    /// Says that a server is leaving, where servers say so by a header.
+    /// A header by which a server announces that it is draining. `None` where servers
+    /// have no such header.
     pub draining: Option<&'static str>,
 }
 
-/// How servers write their load.
+/// The format in which servers report their load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadFormat {
-    /// The published JSON form of load reports.
+    /// The published ORCA format of `endpoint-load-metrics`.
     EndpointLoadMetrics,
     /// Requests running, requests waiting and slots, separated by commas.
     RunningWaitingSlots,
 }
 
 impl HeaderNames {
-    /// The product's own names.
+    /// The default header names of wingspur.
     pub const DEFAULT: Self = Self {
         request_id: "x-request-id",
         deadline_ms: "wingspur-deadline-ms",
--- a/crates/wingspur-protocol/src/lib.rs
+++ b/crates/wingspur-protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages between boxes, store records and result codes.
+//! Messages between boxes, records in the store, header names and result codes.
 
 mod box_list;
 mod catalog;
--- a/crates/wingspur-protocol/src/link.rs
+++ b/crates/wingspur-protocol/src/link.rs
@@ -1,4 +1,4 @@
-//! What two boxes tell each other on a long exchange, frame by frame.
+//! The frames that two boxes send each other over a long-lived link.
 
 use std::sync::Arc;
 
@@ -13,200 +13,202 @@
 
 use crate::{BoxRecord, CatalogChanges, CatalogSnapshot, compact_servers};
 
-/// The version of the frames; boxes refuse any other.
+/// The version of the frames; a box refuses a link of any other version.
 pub const LINK_PROTOCOL_VERSION: u16 = 11;
 
-/// The first frame of either side.
+/// The first frame that each side sends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     /// The protocol's version.
     pub protocol: u16,
-    /// The fleet, so that fleets do not mix.
+    /// The sender's fleet; links between fleets are refused.
     pub fleet: String,
-    /// Who speaks.
+    /// The sender's announcement.
     pub from: BoxRecord,
-    /// What the speaker wants of the other.
+    /// The role that the sender has on this link.
     pub role: LinkRole,
-    /// Up to where the speaker knows the store's history.
+    /// The position in the store's history up to which the sender knows the catalog.
     pub position: StorePosition,
-    /// The version of the bundle that is in force at the speaker; 0 for none.
+    /// The version of the sender's active bundle; 0 for none.
     pub bundle_version: BundleVersion,
 }
 
-/// What the opener of a link is to the other side.
+/// The role of a link's opener towards the other side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkRole {
-    /// A box that reports to the other as the hub of its data centre.
+    /// A member, for which the other side is the hub of its data centre.
     Member,
-    /// A hub like the other.
+    /// A hub, as the other side is.
     Hub,
 }
 
-/// Any later frame.
+/// A frame after the first one.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// When it was sent, and what its sender had by then.
+    /// The send time of this frame and of the newest frame that its sender has received.
     pub timestamps: LinkTimestamps,
-    /// The version of the bundle that is in force at the sender; 0 for none. A listing for
-    /// it leaves out a bundle that it has.
+    /// The version of the sender's active bundle; 0 for none. A snapshot sent to it
+    /// leaves out a bundle that it already has.
     pub bundle_version: BundleVersion,
-    /// What the sender, and at a hub its members, have seen; changes only.
+    /// Changed tallies of the sender and, from a hub, of its members.
     pub tally_updates: Vec<TallyUpdate>,
-    /// What is news of the catalog, oldest first.
+    /// Updates of the catalog, oldest first.
     pub catalog: Vec<CatalogUpdate>,
-    /// How the sender stands with the store.
+    /// How fresh the sender's view of the catalog is.
     pub catalog_freshness: CatalogFreshness,
-    /// What the sender knows of the fleet.
+    /// The sender's view of the fleet.
     pub fleet: FleetStatus,
-    /// Whom the sender counts, from one hub to another.
+    /// From one hub to another, the boxes that the sender counts.
     pub membership: MembershipUpdate,
-    /// Whether the sender lacks changes and wants a listing.
+    /// Whether the sender lacks changes and wants a snapshot.
     pub wants_snapshot: bool,
-    /// Whether the sender is stopping: it should not be taken for a hub any more.
+    /// Whether the sender is stopping; it should no longer be used as a hub.
     pub leaving: bool,
-    /// What the sender makes of backend servers; told once, when a link is new.
+    /// The sender's health estimates of backend servers; sent once, when a link is new.
     pub health: Vec<(ServerKey, HealthSnapshot)>,
-    /// How the retry budgets stand at the sender, and at a hub over its members as well.
+    /// Usage of the retry budgets at the sender and, from a hub, at its members.
     #[serde(default)]
     pub resend_budgets: Vec<ResendBudgetUsage>,
-    /// What is lent and asked for.
+    /// Requests for quota leases and replies to them.
     #[serde(default)]
     pub lease_messages: LeaseMessages,
-    /// What was seen of requests under which servers ended.
+    /// Observations of suspected requests, during which servers ended.
     #[serde(default)]
     pub suspects: Vec<SuspectMessage>,
-    /// Limits of servers that have changed.
+    /// Rate limits of servers that have changed.
     #[serde(default)]
     pub limits: Vec<ServerLimitUpdate>,
-    /// Servers that have said that they leave.
+    /// Servers that have announced that they are draining.
     #[serde(default)]
     pub draining_servers: Vec<ServerDrainingUpdate>,
-    /// From one hub to another, the parts that are left to it.
+    /// From one hub to another, the shares that the sender delegates to it.
     #[serde(default)]
     pub delegated_shares: Vec<DelegatedShare>,
-    /// What stands here.
+    /// Which parts of the frame are filled in.
     #[serde(default)]
     pub content: FrameContent,
 }
 
-/// What a frame holds. Frames with one part only go out beside the others, and the other
-/// side does not answer them.
+/// Which parts of a frame are filled in. A frame with a single part is sent in addition
+/// to the regular frames, and the other side does not reply to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FrameContent {
-    /// All parts.
+    /// All parts of the frame.
     #[default]
     All,
-    /// What is lent and asked for.
+    /// Only the requests for quota leases and the replies to them.
     #[serde(rename = "Lending")]
     LeaseMessages,
-    /// A listing of the catalog.
+    /// Only a snapshot of the catalog.
     #[serde(rename = "Listing")]
     Snapshot,
 }
 
-/// What boxes lend each other of the fleet's allowances.
+/// Requests for leases of the fleet's quotas, and replies to them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseMessages {
-    /// What the sender asks for.
+    /// The requests of the sender.
     pub requests: Vec<QuotaLeaseRequest>,
-    /// What it answers.
+    /// The sender's replies to requests of the other side.
     pub replies: Vec<QuotaLeaseReply>,
 }
 
-/// A box asks for a part of an allowance.
+/// A request of a box for a lease of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaLeaseRequest {
-    /// Numbers the sender's requests.
+    /// The number of the request among the sender's requests.
     pub request_id: u32,
-    /// Of what.
+    /// The quota to lease.
     pub resource: LeasedResource,
-    /// What it holds in stock.
+    /// The prefetched amount that the sender still holds.
     pub held: f64,
-    /// What is spent at once, or never.
+    /// The number of units that are used at once or not at all.
     pub on_demand_count: u32,
-    /// The share of the lender's room that is left to more urgent requests.
+    /// The fraction of the allocator's room beyond one unit that the on-demand lease must
+    /// leave to more urgent requests.
     #[serde(default)]
     pub reserve: f32,
-    /// What it would like in stock on top.
+    /// The additional amount that the sender would like to prefetch.
     pub wanted: f64,
 }
 
-/// What boxes lend each other.
+/// The quotas that boxes lease to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeasedResource {
     /// Requests of a client account.
     Account(QuotaKey),
-    /// Requests to a server that has named a limit.
+    /// Requests to a server that has announced a limit.
     Server(ServerKey),
-    /// A resend to a service, by the key of its name.
+    /// Resends to a service, by the key of the service's name.
     Resend(ServerKey),
-    /// A second attempt beside a silent one, which leaves a part to surer resends.
+    /// Hedges of a service: second attempts beside one without a response yet. They leave
+    /// a part of the retry budget to resends that are more certain to be needed.
     Hedge(ServerKey),
-    /// That a request in quarantine may be sent to one server.
+    /// A permit to send a request in quarantine to one server.
     Permit(RequestFingerprint),
 }
 
-/// How a service's retry budget stands at a box, or over the boxes of a hub.
+/// The usage of a service's retry budget at a box, or over a hub and its members.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResendBudgetUsage {
-    /// The service, by the key of its name.
+    /// The service, by the key of the service's name.
     pub service: ServerKey,
-    /// Resends in the window that has least room.
+    /// The resends within the time window that has the least budget left.
     pub spent: f32,
-    /// Those that are allowed there.
+    /// The resends that are allowed within that window.
     pub limit: f32,
 }
 
-/// What a server takes from all boxes together, as its newest answer said.
+/// The rate limit of a server over all boxes, from its newest response.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServerLimitUpdate {
     /// The server.
     pub server: ServerKey,
-    /// Requests a second; none for no limit.
+    /// The limit in requests per second; `None` for no limit.
     pub per_s: Option<f64>,
-    /// How long ago the answer came, in milliseconds.
+    /// The time since that response arrived, in milliseconds.
     pub age_ms: u32,
 }
 
-/// That a server has said that it leaves.
+/// A notice that a server is draining.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerDrainingUpdate {
     /// The server.
     pub server: ServerKey,
-    /// How long ago a box first heard so, in milliseconds.
+    /// The time since a box first learned of it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A hub leaves to another its part, with those of its members, of what the servers of one
-/// data centre take.
+/// A hub delegates to another hub its share, with its members' shares, of the server
+/// limits in one data centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DelegatedShare {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// The part of the whole.
+    /// The delegated fraction of the fleet-wide limits.
     pub share: f64,
 }
 
-/// What came of a request for a part of an allowance.
+/// The reply to a request for a quota lease.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaLeaseReply {
-    /// The request's number.
+    /// The number of the request that this replies to.
     pub request_id: u32,
-    /// Of what.
+    /// The quota that the reply is about.
     pub resource: LeasedResource,
-    /// What is lent of what is urgent.
+    /// The number of units granted of the on-demand ones.
     pub on_demand_granted: u32,
-    /// What is lent for the stock.
+    /// The amount granted for prefetching.
     pub prefetch_granted: f64,
-    /// Whether what was held in stock lasts anew.
+    /// Whether the lease of the prefetched amount that the box held was renewed.
     pub renewed: bool,
-    /// When there should be more, in milliseconds; none where the lender cannot tell, since
-    /// it knows no such allowance or has no part of any.
+    /// The time until more should be available, in milliseconds. `None` where the
+    /// allocator cannot tell, because it does not know the quota or has no share of it.
     pub retry_after_ms: Option<u32>,
 }
 
 impl QuotaLeaseReply {
-    /// That nothing is lent.
+    /// Creates a reply that grants nothing.
     pub fn denied(request: &QuotaLeaseRequest) -> Self {
         Self {
             request_id: request.request_id,
@@ -219,86 +221,91 @@
     }
 }
 
-/// What a box tells another of the fleet.
+/// The state of the fleet as one box reports it to another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// From a hub to a member the boxes of the fleet; else 0.
+    /// From a hub to a member, the number of boxes in the fleet; otherwise 0.
     pub boxes: u32,
-    /// From a hub to another, the boxes that it counts in all data centres; else 0.
+    /// From one hub to another, the number of boxes that the sender counts in all data
+    /// centres; otherwise 0.
     pub counted: u32,
-    /// How long ago the sender, a hub, last was in touch with the hubs of all data centres,
-    /// in milliseconds; none if it never was, or is no hub.
+    /// The time since the sender, if it is a hub, was last in contact with the hubs of
+    /// all data centres, in milliseconds. `None` if it never was, or is not a hub.
     pub hub_contact_age_ms: Option<u32>,
-    /// From a member, whether it leaves its part of the fleet's allowances to the hub.
+    /// From a member, whether it delegates its share of the fleet's quotas to the hub.
     #[serde(default)]
     pub delegates_shares: bool,
 }
 
-/// Whom a hub counts, as far as another hub has not been told yet.
+/// The boxes that a hub counts, as far as it has not yet reported them to another hub.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// Whether those that have joined are all.
+    /// Whether `joined` lists all boxes, not only changes.
     pub is_full: bool,
-    /// Boxes that it counts: itself, and its members.
+    /// The boxes that the hub counts: itself and its members.
     pub joined: Vec<BoxKey>,
-    /// Boxes that it does not count any more.
+    /// The boxes that the hub no longer counts.
     pub left: Vec<BoxKey>,
 }
 
-/// When a frame was sent, by its sender's clock on the link, which begins with it.
+/// The timestamps of a frame, by its sender's clock of the link, which starts at 0 with
+/// the link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkTimestamps {
-    /// When this frame was sent, in milliseconds.
+    /// The time at which this frame was sent, in milliseconds.
     pub sent_ms: u32,
-    /// When the newest frame was sent that the sender has of the other side, by the other
-    /// side's clock; none before it has any.
+    /// The send time of the newest frame that the sender has received, in milliseconds by
+    /// the other side's clock. `None` before it has received any.
     pub heard_ms: Option<u32>,
 }
 
-/// Tallies that have changed, as told by one source.
+/// Changed tallies of one source.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TallyUpdate {
-    /// Who told them.
+    /// The source of the tallies.
     pub source: SourceId,
-    /// Whether these are all tallies of the source, not changes only.
+    /// Whether these are all tallies of the source, not only the changed ones.
     pub is_full: bool,
-    /// Of backend servers.
+    /// The tallies of backend servers.
     pub servers: Vec<KeyedTally>,
-    /// Of services, by the key of the name.
+    /// The tallies of services, by the key of the service's name.
     pub services: Vec<(u64, ServiceTally)>,
 }
 
-/// News of the catalog.
+/// An update of the catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CatalogUpdate {
-    /// All there is; shared, since a hub owes the same listing to many boxes at once.
+    /// The full catalog. It is shared, because a hub sends the same snapshot to many
+    /// boxes at once.
     #[serde(rename = "Listing")]
     Snapshot(Arc<CatalogSnapshotUpdate>),
-    /// What has changed.
+    /// The changes since a position.
     Changes {
         /// The changes.
         changes: CatalogChanges,
-        /// For how long servers that vanish in it may only seem gone, in milliseconds.
+        /// How long a server removed by these changes may still exist, in milliseconds.
         doubtful_ms: u32,
     },
 }
 
-/// All that a box knows of the catalog.
+/// The full catalog as one box knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CatalogSnapshotUpdate {
-    /// What the store holds.
+    /// The contents of the store.
     pub snapshot: CatalogSnapshot,
-    /// For how long servers that it lacks may only seem gone, in milliseconds.
+    /// How long a server that the snapshot lacks may still exist, in milliseconds.
     pub doubtful_ms: u32,
-    /// Servers that it lacks and that may only seem gone.
+    /// The servers that the snapshot lacks and that may still exist.
     #[serde(with = "compact_servers::records")]
     pub missing: Vec<ServerRecord>,
-    /// Listed servers that were gone before the store was restored, and may be still.
+    /// Servers in the snapshot that had been removed before the store was restored, and
+    /// that may no longer exist.
     pub returned: Vec<ServerId>,
 }
 
 impl CatalogUpdate {
-    /// Adds changes that follow on these; false where they do not.
+    /// Appends changes that directly follow these. Returns false, and changes nothing,
+    /// where they do not follow or either update is a snapshot.
     pub fn append(&mut self, other: &Self) -> bool {
         let (
             Self::Changes {
@@ -326,30 +333,33 @@
 /// How fresh a box's view of the catalog is.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogFreshness {
-    /// The box that reads the store for it; none when nobody does.
+    /// The box from whose reads of the store the sender's view comes; `None` when no box
+    /// reads the store for it.
     pub reader: Option<BoxId>,
-    /// How long ago that box last had an answer of the store, in milliseconds.
+    /// The time since that box last received a response of the store, in milliseconds.
     pub age_ms: u32,
-    /// Whether the sender itself tries to read, and has no answer.
+    /// Whether the sender itself tries to read the store and gets no response.
     pub is_read_failing: bool,
-    /// Up to where the sender knows the store's history; the age is that of this knowledge.
+    /// The position in the store's history up to which the sender knows the catalog;
+    /// `age_ms` is the age of this knowledge.
     pub position: StorePosition,
-    /// The newest era of the store that the sender has seen; it may know nothing of it yet.
+    /// The newest era of the store that the sender has seen; it may not have read
+    /// anything of that era yet.
     pub era: StoreEra,
 }
 
-/// Why a frame cannot be read.
+/// The reasons why a frame cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The bytes are no frame of this protocol.
+    /// The bytes are not a frame of this protocol.
     #[error("the frame cannot be read: {0}")]
     Unreadable(#[from] rmp_serde::decode::Error),
-    /// It is longer than any frame should be.
-    #[error("a frame of {0} bytes is over the limit")]
+    /// The frame is longer than the limit.
+    #[error("a frame of {0} bytes is longer than the limit")]
     TooLong(usize),
 }
 
-/// A frame as it is sent; cheap to copy.
+/// An encoded frame, which is cheap to clone.
 #[derive(Debug, Clone)]
 pub struct EncodedFrame(Bytes);
 
@@ -359,13 +369,13 @@
         Self(Bytes::from(encode_frame(frame)))
     }
 
-    /// The frame with its length before it.
+    /// Returns the frame's bytes, preceded by its length.
     pub fn bytes(&self) -> &Bytes {
         &self.0
     }
 }
 
-/// Writes a frame with its length before it.
+/// Encodes a frame, preceded by its length.
 pub fn encode_frame<T: Serialize>(frame: &T) -> Vec<u8> {
     let mut bytes = vec![0; LENGTH_BYTES];
     rmp_serde::encode::write(&mut bytes, frame).expect("frames always serialise");
@@ -374,7 +384,10 @@
     bytes
 }
 
-/// Takes the first whole frame off the bytes; none while it is not all in.
+/// Decodes the first complete frame and removes it from the bytes. Returns `None` while
+/// the frame is incomplete.
+///
+/// Fails if the frame is too long or is not valid.
 pub fn decode_next_frame<T: DeserializeOwned>(
     bytes: &mut Vec<u8>,
 ) -> Result<Option<T>, FrameError> {
@@ -382,7 +395,7 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes(*head) as usize;
-    if length > MOST_FRAME_BYTES {
+    if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
     }
     let end = LENGTH_BYTES + length;
@@ -395,5 +408,5 @@
 }
 
 const LENGTH_BYTES: usize = 4;
-/// A listing of the largest fleet that is planned for stays well below.
-const MOST_FRAME_BYTES: usize = 64 << 20;
+/// A snapshot of the largest planned fleet is much smaller.
+const MAX_FRAME_BYTES: usize = 64 << 20;
--- a/crates/wingspur-protocol/src/load_report.rs
+++ b/crates/wingspur-protocol/src/load_report.rs
@@ -1,11 +1,11 @@
-//! Load reports of backend servers, in the published ORCA header form.
+//! Load reports of backend servers, in the published ORCA header format.
 
 use serde::Deserialize;
 
-/// Reads the utilisation (0 to 1) from an `endpoint-load-metrics` header value.
+/// Parses the utilisation (0 to 1) from an `endpoint-load-metrics` header value.
 ///
-/// Both published forms are understood: `JSON {...}` and `TEXT key=value,...`.
-/// A value that cannot be read gives none: the report is only a hint.
+/// Accepts both published formats, `JSON {...}` and `TEXT key=value,...`. Returns `None`
+/// for a value that cannot be parsed, because the report is only a hint.
 pub fn parse_load_hint(header: &str) -> Option<f64> {
     let hint = match header.split_once(' ')? {
         ("JSON", json) => serde_json::from_str::<OrcaReport>(json)
--- a/crates/wingspur-protocol/src/operation.rs
+++ b/crates/wingspur-protocol/src/operation.rs
@@ -1,18 +1,19 @@
-//! Once-only operations and the segments of their log in the store.
+//! Once-only operations, and the segments of their log in the store.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Stands for an operation: a digest of the service and the operation's key.
+/// Identifies an operation by a digest of its service and its key.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct OperationId(pub u128);
 
 impl OperationId {
-    /// The id of the operation with this key at this service.
+    /// Returns the id of the operation with this key at this service.
     ///
-    /// 128 bits of SHA-256: two keys that share an id are not to be expected.
+    /// The id is 128 bits of a SHA-256 digest, so collisions of two keys are not
+    /// expected.
     pub fn new(service: &str, key: &str) -> Self {
         let mut hash = Sha256::new();
         hash.update((service.len() as u64).to_le_bytes());
@@ -24,53 +25,53 @@
         Self(u128::from_le_bytes(start))
     }
 
-    /// The shard that keeps the operation, of `shards`.
+    /// Returns the index of the shard that stores the operation, out of `shards` shards.
     pub fn shard(self, shards: u32) -> u32 {
         (self.0 % u128::from(shards.max(1))) as u32
     }
 }
 
-/// How an operation's attempt ended.
+/// The outcome of an attempt at an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationOutcome {
-    /// An answer came.
+    /// A response arrived, so the operation ran.
     Ran,
-    /// It surely did not run: the key may be claimed again.
+    /// The operation certainly did not run; its key may be claimed again.
     NotRun,
-    /// It may have run.
+    /// The operation may have run.
     Unknown,
 }
 
-/// One line of a shard's log.
+/// An entry of a shard's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// The operation may be sent by the box that drew the nonce.
+    /// The box that generated the nonce may send the operation.
     Claimed {
         /// The operation.
         operation: OperationId,
         /// The claim's nonce.
         nonce: u64,
-        /// When the claim was recorded, in milliseconds of the recording box's clock
-        /// since the Unix epoch: for retention only, never for fencing.
+        /// The time at which the claim was recorded, in milliseconds since the Unix epoch
+        /// by the recording box's clock. It serves retention only, never fencing.
         at_unix_ms: u64,
     },
-    /// The operation's attempt ended.
+    /// The attempt at the operation ended.
     Ended {
         /// The operation.
         operation: OperationId,
         /// The claim's nonce.
         nonce: u64,
-        /// How.
+        /// How the attempt ended.
         outcome: OperationOutcome,
     },
 }
 
-/// A value of the log: written once under its number, never changed.
+/// A segment of the log, which is written once under its number and never changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSegment {
-    /// The writer's box and incarnation, and a count: tells one's own write apart when
-    /// its reply was lost.
+    /// The writer's box id, its incarnation and a counter. By them a box recognises its
+    /// own write when the reply to it was lost.
     pub writer: (String, u64, u64),
-    /// The entries.
+    /// The entries, in order.
     pub entries: Vec<LogEntry>,
 }
--- a/crates/wingspur-protocol/src/peer.rs
+++ b/crates/wingspur-protocol/src/peer.rs
@@ -5,61 +5,63 @@
 
 use crate::{OperationId, OperationOutcome, SignedBundle};
 
-/// The version of the messages; boxes refuse any other.
+/// The version of the peer messages; a box refuses messages of any other version.
 pub const PEER_PROTOCOL_VERSION: u16 = 1;
 
-/// A message with what every message carries.
+/// A message with the fields that every message carries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerEnvelope {
     /// The protocol's version.
     pub protocol: u16,
-    /// The fleet, so that fleets do not mix.
+    /// The sender's fleet; a message of another fleet is refused.
     pub fleet: String,
     /// The sender.
     pub from: BoxId,
-    /// Drawn anew at each start of the sender.
+    /// A random number that identifies the sender's current process, new at each start.
     pub incarnation: u64,
-    /// Grows with each message of this incarnation; a replayed one is refused.
+    /// A number that grows with each message of this incarnation; a replayed message is
+    /// refused.
     pub sequence: u64,
-    /// The message itself.
+    /// The message.
     pub message: PeerMessage,
 }
 
-/// What a box tells another.
+/// A request from one box to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender lives, and what it last heard.
+    /// Shows that the sender is alive, and which heartbeat it last received.
     Heartbeat(Heartbeat),
-    /// The sender has this version in force: whoever lacks it may fetch it.
+    /// Announces the version of the sender's active bundle; a box that lacks it may fetch
+    /// it.
     Newer(BundleVersion),
-    /// Asks for parts that the sender lacks.
+    /// Asks for bundle parts that the sender lacks, by their digests.
     FetchParts(Vec<String>),
-    /// Asks for the bundle in force.
+    /// Asks for the active bundle.
     FetchBundle,
-    /// What the sender saw, for the judge of each service.
+    /// The sender's observations of servers, for the outlier detector of each service.
     Evidence(Vec<EvidenceReport>),
-    /// A judge's changed verdicts.
+    /// Verdicts of an outlier detector that have changed.
     Verdicts(Vec<Verdict>),
-    /// Asks the owner of a once-only shard for leave to run operations.
+    /// Asks the owner of a once-only shard for permission to run an operation.
     Claim(ClaimRequest),
-    /// Tells the owner how an operation ended.
+    /// Reports to the shard's owner how an operation ended.
     Outcome(OutcomeReport),
-    /// Asks for the box's state.
+    /// Asks for the status of the receiving box.
     Status,
 }
 
-/// Asks for leave to run one operation.
+/// A request for permission to run one operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
     /// The operation.
     pub operation: OperationId,
-    /// Drawn for this claim, so that a repeat of the message is told apart.
+    /// A random number of this claim, which identifies repeats of the same message.
     pub nonce: u64,
-    /// For how long the operation may stay without an outcome, in milliseconds.
+    /// How long the operation may remain without an outcome, in milliseconds.
     pub deadline_ms: u32,
 }
 
-/// How an operation ended.
+/// Reports how an operation ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeReport {
     /// The operation.
@@ -70,16 +72,16 @@
     pub outcome: OperationOutcome,
 }
 
-/// A sign of life.
+/// A message that shows that its sender is alive.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The bundle in force at the sender; 0 for none.
+    /// The version of the sender's active bundle; 0 for none.
     pub bundle_version: BundleVersion,
-    /// The sequence that the sender last heard from the receiver; 0 for none.
+    /// The last sequence number that the sender received from the receiver; 0 for none.
     pub heard_sequence: u64,
     /// Whether the sender is stopping.
     pub leaving: bool,
-    /// Who is suspected to be down.
+    /// The boxes that are suspected to be down.
     pub suspicions: Vec<Suspicion>,
 }
 
@@ -88,94 +90,94 @@
 pub struct Suspicion {
     /// The suspected box.
     pub suspect: BoxId,
-    /// Who watches it and hears nothing.
+    /// The box that monitors the suspect and receives nothing from it.
     pub observer: BoxId,
-    /// For how long the suspicion still holds, in milliseconds.
+    /// How much longer the suspicion is valid, in milliseconds.
     pub ttl_ms: u32,
 }
 
-/// An accepted bundle, by its signed manifest.
+/// An accepted bundle, represented by its signed manifest.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BundleOffer {
     /// The signed manifest.
     pub signed: SignedBundle,
 }
 
-/// What a box answers.
+/// The reply of a box to a [`PeerMessage`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Taken.
+    /// The message was accepted; there is nothing to return.
     Done,
-    /// The answer to a heartbeat, itself a sign of life.
+    /// The reply to a heartbeat, which shows that the replying box is alive as well.
     Heartbeat(Heartbeat),
-    /// The bundle in force, if any.
+    /// The active bundle; `None` if the box has none.
     Bundle(Option<BundleOffer>),
-    /// Parts by digest; those not held are left out.
+    /// Bundle parts by digest; parts that the box does not have are left out.
     Parts(Vec<(String, serde_bytes::ByteBuf)>),
-    /// The judge's verdicts for the sender's data centre.
+    /// The outlier detector's verdicts for the data centre of the sender.
     Verdicts(Vec<Verdict>),
-    /// Whether an operation may run.
+    /// The reply to a claim: whether the operation may run.
     Claim(ClaimReply),
-    /// The box's state.
+    /// The status of the box.
     Status(BoxStatus),
-    /// Not taken; the text is for logs.
+    /// The message was refused; the text gives the reason, for logs.
     Refused(String),
 }
 
-/// The owner's answer to a claim.
+/// The shard owner's reply to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// It is recorded: the asker, and nobody else, may run it once.
+    /// The claim is recorded: only the requesting box may run the operation, once.
     Granted,
-    /// It is running.
+    /// The operation is running.
     InProgress,
-    /// It ran.
+    /// The operation has run.
     AlreadyRun,
-    /// It may have run.
+    /// The operation may have run.
     OutcomeUnknown,
-    /// The key is older than what is kept.
+    /// The operation's key is older than the retention period.
     TooOld,
-    /// It is not recorded and will not run by this claim.
+    /// The claim is not recorded, and the operation will not run by this claim.
     Unavailable,
 }
 
-/// What a box says of itself.
+/// The status that a box reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxStatus {
     /// The box.
     pub id: BoxId,
-    /// Where it stands.
+    /// The data centre that the box is in.
     pub data_centre: DataCentreId,
-    /// The bundle in force; 0 for none.
+    /// The version of the active bundle; 0 for none.
     pub bundle_version: BundleVersion,
-    /// For how long it has been in force.
+    /// How long this bundle has been active, in milliseconds.
     pub in_force_ms: u64,
-    /// Whether it takes callers.
+    /// Whether the box accepts requests of callers.
     pub ready: bool,
-    /// Servers that it gives no work, as `service/server`.
+    /// Servers to which the box sends no requests, as `service/server`.
     pub out: Vec<String>,
 }
 
-/// Why a peer's message was refused.
+/// The reasons why a peer's message is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The bytes are no message of this protocol.
+    /// The bytes are not a message of this protocol.
     #[error("the message cannot be read: {0}")]
     Unreadable(#[from] rmp_serde::decode::Error),
-    /// Another version of the protocol.
+    /// The message has another version of the protocol.
     #[error("protocol version {0}, this box speaks {PEER_PROTOCOL_VERSION}")]
     WrongVersion(u16),
-    /// Another fleet.
+    /// The message is from another fleet.
     #[error("a message of fleet `{0}`")]
     WrongFleet(String),
 }
 
-/// Writes a message or reply.
+/// Encodes a message or a reply as MessagePack.
 pub fn encode_peer<T: Serialize>(value: &T) -> Vec<u8> {
     rmp_serde::to_vec(value).expect("peer messages always serialise")
 }
 
-/// Reads an envelope and checks its version and fleet.
+/// Decodes an envelope and checks its version and fleet.
 pub fn decode_peer(bytes: &[u8], fleet: &str) -> Result<PeerEnvelope, PeerError> {
     let envelope: PeerEnvelope = rmp_serde::from_slice(bytes)?;
     if envelope.protocol != PEER_PROTOCOL_VERSION {
--- a/crates/wingspur-protocol/src/refusal.rs
+++ b/crates/wingspur-protocol/src/refusal.rs
@@ -1,31 +1,31 @@
-//! The body of an answer that wingspur makes itself.
+//! The body of an error response that wingspur itself makes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ResultCode;
 
-/// Whether the request ran at a backend server.
+/// Whether a request ran at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionState {
-    /// It surely did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran.
+    /// The request ran.
     Ran,
 }
 
-/// The JSON body of a refusal.
+/// The JSON body of an error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RefusalBody {
-    /// The number, as in the `wingspur-result` header.
+    /// The number of the result code, as in the `wingspur-result` header.
     pub code: u16,
-    /// The code's short name.
+    /// The short name of the result code.
     pub result: String,
     /// Whether the request ran.
     pub ran: ExecutionState,
-    /// When to ask again, in seconds; absent where asking again does not help.
+    /// The time after which to retry, in seconds; absent where a retry does not help.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<f64>,
 }
--- a/crates/wingspur-protocol/src/result_code.rs
+++ b/crates/wingspur-protocol/src/result_code.rs
@@ -1,59 +1,59 @@
-//! Numbered result codes, one for each answer that wingspur makes itself.
+//! Numbered result codes, one for each kind of response that wingspur itself makes.
 
 use crate::ExecutionState;
 
-/// The result of a request that wingspur answered itself.
+/// The result of a request to which wingspur itself responded.
 ///
 /// The table in `docs/RESULT_CODES.md` is checked against this enum by a test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ResultCode {
-    /// No route has this path.
+    /// No route matches the request's path.
     NoRoute,
-    /// The path is known, but not by this method.
+    /// A route matches the path, but does not allow the method.
     MethodNotAllowed,
-    /// The request's head or body is over the limit.
+    /// The request's head or body is larger than the limit.
     TooLarge,
     /// The request's framing is ambiguous.
     BadFraming,
-    /// A once-only request has no key, or one of the wrong form.
+    /// A once-only request has no idempotency key, or a malformed one.
     BadKey,
-    /// The request carries no key that belongs to a client account.
+    /// The request carries no key of a client account.
     UnknownKey,
-    /// The caller account is over its rate.
+    /// The client account has used up its quota.
     AccountLimit,
-    /// Whether the client account is over its rate could not be found out.
+    /// It could not be determined whether the client account has used up its quota.
     QuotaUnavailable,
-    /// Servers have ended under the request, and it is let through no more for now.
+    /// The request is in quarantine, because servers ended while they ran it.
     Quarantined,
-    /// All servers that may take the request have named limits that are used up.
+    /// All servers that may run the request have announced limits, which are used up.
     ServersAtLimit,
-    /// All servers that may take the request have asked for rest.
+    /// All servers that may run the request have asked for a backoff.
     ServersBackingOff,
-    /// The concern's places and queue are full.
+    /// The service's concurrency limit and its queue are full.
     ServiceQueueFull,
-    /// The deadline would pass, or passed, before the request was sent.
+    /// The deadline passed, or would have passed, before the request was sent.
     DeadlineBeforeSend,
-    /// No backend server may take the request now.
+    /// No backend server may be used for the request now.
     NoServer,
-    /// No backend server could be reached, or all refused before running.
+    /// No backend server could be reached, or all refused the request before running it.
     NotSent,
-    /// The answer did not come before the deadline.
+    /// The request was sent, and no response arrived before the deadline.
     DeadlineAfterSend,
     /// The connection failed after the request was sent.
     ConnectionLostAfterSend,
     /// The once-only claim could not be recorded.
     ClaimUnavailable,
-    /// The once-only request is running now.
+    /// The once-only request is running.
     InProgress,
-    /// The once-only request has run before.
+    /// The once-only request has already run.
     AlreadyRun,
-    /// The once-only request may have run before.
+    /// The once-only request may have already run.
     OutcomeUnknown,
-    /// The key is older than what is kept.
+    /// The idempotency key is older than the retention period.
     KeyTooOld,
-    /// The box has no bundle yet.
+    /// The box has no active bundle yet.
     NotReady,
-    /// The box's news is too old to say that a route or a key does not exist.
+    /// The box's catalog is too stale to state that a route or a key does not exist.
     CatalogStale,
 }
 
@@ -86,7 +86,7 @@
         Self::CatalogStale,
     ];
 
-    /// The number in the `wingspur-result` header.
+    /// Returns the number for the `wingspur-result` header.
     pub fn number(self) -> u16 {
         match self {
             Self::NoRoute => 1001,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::NoRoute => 404,
@@ -129,7 +129,7 @@
             Self::QuotaUnavailable | Self::Quarantined => 503,
             Self::ServersAtLimit | Self::ServersBackingOff => 503,
             Self::DeadlineBeforeSend | Self::NotReady | Self::CatalogStale => 503,
-            // A caller may trust a 503 to mean that nothing ran.
+            // Callers may rely on a 503 to mean that the request did not run.
             Self::NotSent => 503,
             Self::ConnectionLostAfterSend => 502,
             Self::DeadlineAfterSend => 504,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The short name used in metric labels and the body.
+    /// Returns the short name that metric labels and the response body contain.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoRoute => "no_route",
@@ -168,7 +168,7 @@
         }
     }
 
-    /// What the code says about the request having run.
+    /// Returns whether the request ran, as far as the code states it.
     pub fn run_state(self) -> ExecutionState {
         match self {
             Self::DeadlineAfterSend | Self::ConnectionLostAfterSend => {
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Seconds after which the caller may ask again; none where it should not.
+    /// Returns the time after which the caller may retry, in seconds; `None` where it
+    /// should not retry.
     pub fn retry_after_s(self) -> Option<u32> {
         match self {
             Self::AccountLimit | Self::ServiceQueueFull => Some(1),
--- a/crates/wingspur-protocol/src/server_hints.rs
+++ b/crates/wingspur-protocol/src/server_hints.rs
@@ -1,29 +1,32 @@
-//! What a backend server says of itself in the head of an answer.
+//! What a backend server announces about itself in the head of a response.
 
 use std::time::Duration;
 
 use crate::InvalidServerLimit;
 
-/// What the head of one answer says of the server that gave it, beside the answer.
+/// The state that a server announces about itself in the head of one response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerHints {
-    /// Whether the server leaves: it is about to end and wants no new work.
+    /// Whether the server is draining: it is about to end and wants no new requests.
     pub draining: Result<bool, InvalidDraining>,
-    /// For how long it wants nothing of the box that it answered; none where it asks for no
-    /// rest.
+    /// How long the server wants no requests from the box to which it responded; `None`
+    /// where it asks for no backoff.
     pub backoff: Result<Option<Duration>, InvalidBackoff>,
-    /// The requests a second that it takes from all boxes together; none for no limit.
+    /// The requests per second that the server accepts from all boxes together; `None`
+    /// for no limit.
     pub limit_per_s: Result<Option<f64>, InvalidServerLimit>,
-    /// Whether it surely did not run the request.
+    /// Whether the server certainly did not run the request.
     pub not_run: bool,
-    /// Whether it is another run than the one that was asked: what it says is not of that.
+    /// Whether the response comes from another instance of the server than the one
+    /// addressed; the other fields then do not describe the addressed instance.
     pub is_other_instance: bool,
 }
 
-/// Reads whether a server says that it leaves: `1` or `true`, `0` or `false`.
+/// Parses whether a server announces that it is draining: `1` or `true`, `0` or `false`.
 ///
-/// A server that leaves does not come back, so of several readable values one that says so
-/// counts.
+/// No values mean that it is not draining. Draining is never undone, so of several valid
+/// values a single `1` or `true` decides. Fails if there are values and none of them is
+/// valid.
 pub fn parse_draining<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<bool, InvalidDraining> {
@@ -31,16 +34,17 @@
     if values.peek().is_none() {
         return Ok(false);
     }
-    let mut readable = values.filter_map(flag).peekable();
-    readable.peek().ok_or(InvalidDraining)?;
-    Ok(readable.any(|says_so| says_so))
+    let mut valid = values.filter_map(parse_flag).peekable();
+    valid.peek().ok_or(InvalidDraining)?;
+    Ok(valid.any(|is_draining| is_draining))
 }
 
-/// Reads for how long a server wants nothing, by the values of `Retry-After`; none where
-/// there is none.
+/// Parses how long a server wants no requests, from the values of `Retry-After`. Returns
+/// `None` without a value, or where the backoff is zero.
 ///
-/// Seconds may have fractions; `until` tells how far off a date is. Of several readable
-/// values the longest counts, and what is longer than a day is taken for a day.
+/// Seconds may have fractions; `until` returns how far off a date is. Of several
+/// valid values the longest counts, and values above one day count as one day. Fails if
+/// there are values and none of them is valid.
 pub fn parse_backoff<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
     until: impl Fn(&str) -> Option<Duration>,
@@ -49,36 +53,37 @@
     if values.peek().is_none() {
         return Ok(None);
     }
-    let readable = values.filter_map(|value| {
+    let valid = values.filter_map(|value| {
         let text = str::from_utf8(value.trim_ascii()).ok()?;
-        seconds(text).or_else(|| until(text))
+        parse_seconds(text).or_else(|| until(text))
     });
-    let longest = readable.max().ok_or(InvalidBackoff)?;
-    Ok(Some(longest.min(LONGEST_REST)).filter(|rest| !rest.is_zero()))
+    let longest = valid.max().ok_or(InvalidBackoff)?;
+    Ok(Some(longest.min(MAX_BACKOFF)).filter(|backoff| !backoff.is_zero()))
 }
 
-/// No value says whether the server leaves.
+/// No value of the draining header is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("whether the server leaves is neither `0` nor `1`")]
+#[error("the draining header is neither `0` nor `1`")]
 pub struct InvalidDraining;
 
 /// No value of `Retry-After` is a number of seconds or a date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the rest is neither a number of seconds nor a date")]
+#[error("`Retry-After` is neither a number of seconds nor a date")]
 pub struct InvalidBackoff;
 
-fn flag(value: &[u8]) -> Option<bool> {
+fn parse_flag(value: &[u8]) -> Option<bool> {
     match value.trim_ascii() {
         b"1" => Some(true),
         b"0" => Some(false),
-        word if word.eq_ignore_ascii_case(b"true") => Some(true),
-        word if word.eq_ignore_ascii_case(b"false") => Some(false),
+        text if text.eq_ignore_ascii_case(b"true") => Some(true),
+        text if text.eq_ignore_ascii_case(b"false") => Some(false),
         _ => None,
     }
 }
 
-/// Digits with at most one point, as `0`, `1.6` or `20`.
-fn seconds(text: &str) -> Option<Duration> {
+/// Parses a decimal number of seconds, such as `0`, `1.6` or `20`: digits with at most
+/// one point. Returns `None` for any other text.
+fn parse_seconds(text: &str) -> Option<Duration> {
     let is_plain = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || byte == b'.');
@@ -87,9 +92,9 @@
     }
     let seconds: f64 = text.parse().ok()?;
     Some(Duration::from_secs_f64(
-        seconds.min(LONGEST_REST.as_secs_f64()),
+        seconds.min(MAX_BACKOFF.as_secs_f64()),
     ))
 }
 
-/// No need of a server lasts longer; it would ask again.
-const LONGEST_REST: Duration = Duration::from_secs(86_400);
+/// A server does not need a longer backoff, and it can ask for another one.
+const MAX_BACKOFF: Duration = Duration::from_secs(86_400);
--- a/crates/wingspur-protocol/src/signing.rs
+++ b/crates/wingspur-protocol/src/signing.rs
@@ -1,4 +1,4 @@
-//! Sign-off of bundles by named persons, with Ed25519.
+//! Ed25519 signatures of bundles by named persons.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::{Manifest, SignedBundle};
 
-/// Whose signatures a box accepts: each person's public key in base64.
+/// The persons whose signatures a box accepts, each with a public key in base64.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Keyring {
@@ -25,17 +25,19 @@
     #[error("`{0}` is not in the keyring; add the person's public key to `keyring`")]
     UnknownSigner(String),
     /// The key in the keyring is not an Ed25519 public key.
-    #[error("the key of `{0}` is not an Ed25519 public key; make one by `keys new`")]
+    #[error("the key of `{0}` is not an Ed25519 public key; create one with `keys new`")]
     BadKey(String),
-    /// The signature does not fit the manifest.
-    #[error("the signature of `{0}` does not fit; sign the bundle again")]
+    /// The signature does not match the manifest.
+    #[error("the signature of `{0}` does not match the manifest; sign the bundle again")]
     BadSignature(String),
-    /// The manifest cannot be read.
+    /// The manifest is not valid JSON of a manifest.
     #[error("the manifest cannot be read: {0}; sign the bundle again")]
     BadManifest(#[from] serde_json::Error),
 }
 
-/// Signs a bundle; returns the signed manifest and the parts' bytes.
+/// Signs a bundle and returns the signed manifest and the bytes of its parts.
+///
+/// Fails if the bundle cannot be serialised.
 pub fn sign_bundle(
     bundle: &Bundle,
     signer: &str,
@@ -52,7 +54,10 @@
     Ok((signed, parts))
 }
 
-/// Checks a signed manifest against the keyring and reads it.
+/// Verifies a signed manifest against the keyring and parses it.
+///
+/// Fails if the signer is unknown, the key or the signature is invalid, or the manifest
+/// cannot be parsed.
 pub fn verify_bundle(
     signed: &SignedBundle,
     keyring: &Keyring,
--- a/crates/wingspur-protocol/src/store.rs
+++ b/crates/wingspur-protocol/src/store.rs
@@ -1,4 +1,4 @@
-//! Records in the platform's key-value service.
+//! Records and keys in the key-value store.
 
 use std::sync::Arc;
 
@@ -8,42 +8,42 @@
     Bundle, BundleVersion, CallerLimits, ClientAccount, HostRoute, Service,
 };
 
-/// The one key whose move is the acceptance of a bundle.
+/// The value of the pointer key; a bundle is accepted by writing this key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundlePointer {
     /// The accepted version.
     pub version: BundleVersion,
-    /// The digest of the accepted manifest.
+    /// The SHA-256 digest of the accepted manifest, in hexadecimal.
     pub manifest: String,
-    /// Who signed it.
+    /// The person who signed the manifest, by the name in the keyring.
     pub signer: String,
 }
 
-/// The manifest of a bundle: everything but the services, which are parts.
+/// The manifest of a bundle: everything except the services, which are stored as parts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// The version, which the signature covers.
+    /// The version of the bundle; the signature covers it.
     pub version: BundleVersion,
-    /// The fleet, so that a bundle of another fleet is not taken.
+    /// The fleet of the bundle; boxes do not accept a bundle of another fleet.
     pub fleet: String,
     /// The request header that names the caller's account.
     pub account_header: String,
-    /// The services, in order.
+    /// The parts of the bundle, one for each service, in order.
     pub parts: Vec<PartReference>,
     /// Routes by host and path prefix.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub host_routes: Vec<HostRoute>,
-    /// What callers may send.
+    /// The limits for requests of callers.
     #[serde(default)]
     pub caller_limits: CallerLimits,
-    /// The client accounts; none where callers need no key.
+    /// The client accounts; `None` where callers need no key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub client_accounts: Option<Vec<Arc<ClientAccount>>>,
 }
 
-/// A part by name and content.
+/// A reference to a part, by the service's name and the part's digest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PartReference {
@@ -53,11 +53,11 @@
     pub digest: String,
 }
 
-/// A manifest as it was signed, byte for byte.
+/// A manifest with its signature.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SignedBundle {
-    /// The manifest's JSON; the signature covers these bytes.
+    /// The manifest's JSON. The signature covers exactly these bytes.
     pub manifest: String,
     /// The person who signed, by the name in the keyring.
     pub signer: String,
@@ -66,7 +66,9 @@
 }
 
 impl Manifest {
-    /// Splits a bundle into its manifest and its parts' bytes.
+    /// Splits a bundle into its manifest and the bytes of its parts.
+    ///
+    /// Fails if a service cannot be serialised.
     pub fn split(bundle: &Bundle) -> Result<(Self, Vec<Vec<u8>>), serde_json::Error> {
         let mut parts = Vec::with_capacity(bundle.services.len());
         let mut references = Vec::with_capacity(bundle.services.len());
@@ -91,7 +93,7 @@
         Ok((manifest, parts))
     }
 
-    /// Puts the bundle together again from its services.
+    /// Reassembles the bundle from the manifest and its services.
     pub fn join(&self, services: Vec<Service>) -> Bundle {
         Bundle {
             version: self.version,
@@ -105,7 +107,7 @@
     }
 }
 
-/// The keys under which a fleet's records stand.
+/// The store keys of a fleet's records.
 #[derive(Debug, Clone)]
 pub struct StoreKeys {
     prefix: String,
@@ -119,48 +121,49 @@
         }
     }
 
-    /// The key of the bundle pointer.
+    /// Returns the key of the bundle pointer.
     pub fn pointer(&self) -> String {
         format!("{}/pointer", self.prefix)
     }
 
-    /// The key of a signed manifest.
+    /// Returns the key of a signed manifest.
     pub fn manifest(&self, digest: &str) -> String {
         format!("{}/manifest/{digest}", self.prefix)
     }
 
-    /// The key of one piece of a part; pieces keep each value under the limit.
+    /// Returns the key of one piece of a part. Parts are stored in pieces so that each
+    /// value stays below the store's size limit.
     pub fn part_piece(&self, digest: &str, piece: usize) -> String {
         format!("{}/part/{digest}/{piece:04}", self.prefix)
     }
 
-    /// The prefix of all pieces of a part.
+    /// Returns the common key prefix of all pieces of a part.
     pub fn part(&self, digest: &str) -> String {
         format!("{}/part/{digest}/", self.prefix)
     }
 
-    /// The key of a service's agreed ejections.
+    /// Returns the key of a service's agreed ejections.
     pub fn ejections(&self, service: &str) -> String {
         format!("{}/ejections/{service}", self.prefix)
     }
 
-    /// The key that says who owns a once-only shard.
+    /// Returns the key that holds the owner of a once-only shard.
     pub fn log_owner(&self, shard: u32) -> String {
         format!("{}/once-owner/{shard:04}", self.prefix)
     }
 
-    /// The prefix of a once-only shard's log.
+    /// Returns the common key prefix of all segments of a once-only shard's log.
     pub fn log(&self, shard: u32) -> String {
         format!("{}/once/{shard:04}/", self.prefix)
     }
 
-    /// The key of one segment of a once-only shard's log.
+    /// Returns the key of one segment of a once-only shard's log.
     pub fn log_segment(&self, shard: u32, segment: u64) -> String {
         format!("{}/once/{shard:04}/{segment:016}", self.prefix)
     }
 }
 
-/// The SHA-256 of some bytes, in hexadecimal.
+/// Returns the SHA-256 of some bytes, in lower-case hexadecimal.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes)
         .iter()
