--- a/tests/src/backend_server.rs
+++ b/tests/src/backend_server.rs
@@ -1,4 +1,4 @@
-//! A backend server on loopback that does what each request is told to meet.
+//! A fake backend server on loopback whose reply to each request is set by the test.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -7,90 +7,92 @@
 
 use crate::http::{Head, listen};
 
-/// A backend server.
+/// A fake backend server.
 pub struct BackendServer {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     ran: Arc<Mutex<Vec<String>>>,
     heads: Arc<Mutex<Vec<(Instant, Head)>>>,
-    says: Arc<Mutex<String>>,
+    /// Header lines for all responses.
+    extra_headers: Arc<Mutex<String>>,
 }
 
-/// What a request meets.
+/// How the server handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// It runs, and the answer is whole.
+    /// The request runs, and the response is complete.
     Whole,
-    /// It runs, and the server says that it failed.
+    /// The request runs, and the response is an error 500.
     Error,
-    /// It is refused before it runs, with the mark that says so.
+    /// The request is refused before it runs, with the header that states so.
     Shed,
-    /// It is refused by 503 without the mark: it may have run.
+    /// The request is refused with 503 without that header, so it may have run.
     Unmarked,
-    /// It is for another incarnation.
+    /// The request is refused with 421, as for another instance of the server.
     Misdirected,
-    /// It runs, and the connection closes without an answer.
+    /// The request runs, and the connection closes without a response.
     Close,
-    /// It runs, and the answer breaks off in its body.
+    /// The request runs, and the connection closes within the response body.
     Cut,
-    /// It runs, and the bytes are no answer.
+    /// The request runs, and the bytes sent are not a response.
     Garbage,
-    /// It runs, and the success lacks the server's stamp.
+    /// The request runs, and the successful response lacks the server's stamp.
     NoStamp,
-    /// It runs, and an answer to another request comes before its own.
+    /// The request runs, and a response to another request comes before its own.
     SurplusFirst,
-    /// It runs, and an answer to another request follows its own.
+    /// The request runs, and a response to another request follows its own.
     SurplusAfter,
-    /// It runs, and never answers.
+    /// The request runs, and no response is sent.
     Silent,
 }
 
 impl BackendServer {
-    /// Starts a server; `reply` says what each request meets, by its number from 0.
+    /// Starts a server; `reply` returns how to handle each request, by its number from 0.
     pub fn start(reply: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         let ran = Arc::new(Mutex::new(Vec::new()));
         let heads = Arc::new(Mutex::new(Vec::new()));
-        let says = Arc::new(Mutex::new(String::new()));
-        let (ran_here, heads_here) = (ran.clone(), heads.clone());
-        let says_here = says.clone();
+        let extra_headers = Arc::new(Mutex::new(String::new()));
+        let (served_ran, served_heads) = (ran.clone(), heads.clone());
+        let served_headers = extra_headers.clone();
         let address = listen(move |head, stream| {
-            let mut heads = heads_here.lock().expect("no holder panics");
+            let mut heads = served_heads.lock().expect("no holder panics");
             let reply = reply(heads.len());
             heads.push((Instant::now(), head.clone()));
             drop(heads);
             if !matches!(reply, Reply::Shed | Reply::Misdirected) {
                 let id = head.headers.get("x-wingspur-request-id").cloned();
-                let mut ran = ran_here.lock().expect("no holder panics");
+                let mut ran = served_ran.lock().expect("no holder panics");
                 ran.push(id.unwrap_or_default());
             }
-            let said = says_here.lock().expect("no holder panics").clone();
-            answer(reply, &head, &said, stream)
+            let extra = served_headers.lock().expect("no holder panics").clone();
+            answer(reply, &head, &extra, stream)
         });
         Self {
             address,
             ran,
             heads,
-            says,
+            extra_headers,
         }
     }
 
-    /// Puts header lines into all answers from now on, each with its line break.
+    /// Adds header lines to all responses from now on, each with its line break. They
+    /// replace those of an earlier call.
     pub fn say(&self, lines: &str) {
-        *self.says.lock().expect("no holder panics") = lines.to_owned();
+        *self.extra_headers.lock().expect("no holder panics") = lines.to_owned();
     }
 
-    /// The ids of the requests that ran, in order.
+    /// Returns the ids of the requests that ran, in order.
     pub fn ran(&self) -> Vec<String> {
         self.ran.lock().expect("no holder panics").clone()
     }
 
-    /// The requests that arrived, in order.
+    /// Returns the requests that arrived, in order.
     pub fn heads(&self) -> Vec<Head> {
         let heads = self.heads.lock().expect("no holder panics");
         heads.iter().map(|(_, head)| head.clone()).collect()
     }
 
-    /// When each request arrived, with its id, in order.
+    /// Returns the time of arrival and the id of each request, in order.
     pub fn arrivals(&self) -> Vec<(Instant, String)> {
         let heads = self.heads.lock().expect("no holder panics");
         let id_of = |head: &Head| head.headers.get("x-wingspur-request-id").cloned();
@@ -101,24 +103,33 @@
     }
 }
 
-/// Writes what a request meets; whether the connection stays.
-fn answer(reply: Reply, head: &Head, said: &str, stream: &mut TcpStream) -> bool {
+/// Writes the response to a request. Returns whether the connection stays open.
+fn answer(reply: Reply, head: &Head, extra: &str, stream: &mut TcpStream) -> bool {
     let id = head.headers.get("x-wingspur-request-id");
     let id = id.map_or("", String::as_str);
-    let own = whole(id, "200 OK", said, "own body");
-    let foreign = whole("of-another", "200 OK", said, "not yours");
+    let own = complete_response(id, "200 OK", extra, "own body");
+    let foreign = complete_response("of-another", "200 OK", extra, "not yours");
     match reply {
         Reply::Whole => write(stream, &own),
         Reply::Error => write(
             stream,
-            &whole(id, "500 Internal Server Error", said, "failed"),
+            &complete_response(id, "500 Internal Server Error", extra, "failed"),
         ),
         Reply::Shed => {
-            let mark = format!("x-wingspur-not-executed: 1\r\n{said}");
-            write(stream, &plain(id, "503 Service Unavailable", &mark))
+            let mark = format!("x-wingspur-not-executed: 1\r\n{extra}");
+            write(
+                stream,
+                &empty_response(id, "503 Service Unavailable", &mark),
+            )
         }
-        Reply::Unmarked => write(stream, &plain(id, "503 Service Unavailable", said)),
-        Reply::Misdirected => write(stream, &plain(id, "421 Misdirected Request", said)),
+        Reply::Unmarked => write(
+            stream,
+            &empty_response(id, "503 Service Unavailable", extra),
+        ),
+        Reply::Misdirected => write(
+            stream,
+            &empty_response(id, "421 Misdirected Request", extra),
+        ),
         Reply::Close => false,
         Reply::Cut => {
             write(stream, &own[..own.len() - 3]);
@@ -128,7 +139,7 @@
             write(stream, "\u{1}\u{2} no protocol at all\r\n\r\n");
             false
         }
-        Reply::NoStamp => write(stream, &plain(id, "200 OK", said)),
+        Reply::NoStamp => write(stream, &empty_response(id, "200 OK", extra)),
         Reply::SurplusFirst => write(stream, &format!("{foreign}{own}")),
         Reply::SurplusAfter => write(stream, &format!("{own}{foreign}")),
         Reply::Silent => {
@@ -138,17 +149,17 @@
     }
 }
 
-/// An answer with the server's stamp.
-fn whole(id: &str, status: &str, said: &str, body: &str) -> String {
+/// Returns a complete response with the server's stamp.
+fn complete_response(id: &str, status: &str, extra: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nx-wingspur-request-id: {id}\r\n\
-         x-wingspur-server-stamp: stamp\r\n{said}content-length: {}\r\n\r\n{body}",
+         x-wingspur-server-stamp: stamp\r\n{extra}content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// An answer without a stamp or a body.
-fn plain(id: &str, status: &str, header: &str) -> String {
+/// Returns a response without a stamp or a body.
+fn empty_response(id: &str, status: &str, header: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nx-wingspur-request-id: {id}\r\n{header}content-length: 0\r\n\r\n"
     )
--- a/tests/src/http.rs
+++ b/tests/src/http.rs
@@ -1,4 +1,4 @@
-//! Just enough HTTP/1.1 over blocking sockets for stand-ins and callers.
+//! A minimal HTTP/1.1 implementation over blocking sockets, for fake servers and callers.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The head of a request, with its body.
+/// A request.
 #[derive(Debug, Clone)]
 pub struct Head {
     /// The method.
     pub method: String,
     /// The path, without the query.
     pub path: String,
-    /// The query's parts.
+    /// The parameters of the query.
     pub query: BTreeMap<String, String>,
     /// The headers, names in lower case.
     pub headers: BTreeMap<String, String>,
@@ -21,20 +21,21 @@
     pub body: Vec<u8>,
 }
 
-/// What a caller was answered.
+/// The response that a caller received.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// The status; 0 where the connection ended without an answer.
+    /// The status; 0 where the connection ended without a response.
     pub status: u16,
     /// The headers, names in lower case.
     pub headers: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether all of the body that the head announced came.
+    /// Whether the body is as long as the head announced.
     pub whole: bool,
 }
 
-/// Serves connections until the process ends; a connection closes when `serve` says false.
+/// Serves connections until the process ends. A connection closes when `serve` returns
+/// false. Returns the address of the listener.
 pub fn listen(
     serve: impl Fn(Head, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -50,7 +51,7 @@
     address
 }
 
-/// Sends a request on a connection of its own and reads the answer.
+/// Sends a request on a new connection and reads the response.
 pub fn call(
     to: SocketAddr,
     method: &str,
@@ -61,7 +62,7 @@
     try_call(to, method, path, headers, body).expect("the listener is up")
 }
 
-/// The same; none where nobody listens.
+/// Does the same as [`call`], but returns `None` where nothing listens at the address.
 pub fn try_call(
     to: SocketAddr,
     method: &str,
@@ -97,18 +98,19 @@
     }
 }
 
-/// Reads a request with its body; none where the connection ends before it is whole.
+/// Reads a request with its body. Returns `None` where the connection ends before the
+/// request is complete.
 pub fn read_request(reader: &mut impl BufRead) -> Option<Head> {
     let mut request = read_request_head(reader)?;
     request.body = read_body(reader, &request.headers)?;
     Some(request)
 }
 
-/// Reads a request up to its body.
+/// Reads a request up to its body. Returns `None` where the connection ends before that.
 pub fn read_request_head(reader: &mut impl BufRead) -> Option<Head> {
     let (line, headers) = read_head(reader)?;
-    let mut hints = line.split(' ');
-    let (method, target) = (hints.next()?, hints.next()?);
+    let mut words = line.split(' ');
+    let (method, target) = (words.next()?, words.next()?);
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     Some(Head {
         method: method.to_owned(),
@@ -119,7 +121,8 @@
     })
 }
 
-/// Reads an answer from a connection that stays; none where it ends before it is whole.
+/// Reads a response from a connection that stays open. Returns `None` where the
+/// connection ends before the response is complete.
 pub fn read_kept_answer(reader: &mut impl BufRead) -> Option<Answer> {
     let (line, headers) = read_head(reader)?;
     let status = line.split(' ').nth(1)?.parse().ok()?;
@@ -132,7 +135,8 @@
     })
 }
 
-/// Reads a body that has a length or comes in chunks; without either there is none.
+/// Reads a body that has a length or is chunked; a message without either has an empty
+/// body. Returns `None` where the connection ends before the body is complete.
 pub fn read_body(
     reader: &mut impl BufRead,
     headers: &BTreeMap<String, String>,
@@ -157,7 +161,7 @@
         let start = body.len();
         body.resize(start + length, 0);
         reader.read_exact(&mut body[start..]).ok()?;
-        // The line's end after the chunk, or the empty line after the last.
+        // The line break after the chunk, or the empty line after the last chunk.
         let mut end = [0; 2];
         reader.read_exact(&mut end).ok()?;
         if length == 0 {
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the suite: stand-ins of the platform's store and of backend servers.
+//! Helpers shared by the tests: fakes of the platform's store and of backend servers.
 
 mod backend_server;
 mod http;
--- a/tests/src/mortal_server.rs
+++ b/tests/src/mortal_server.rs
@@ -1,4 +1,5 @@
-//! Backend servers that end when they begin to run a certain request, and come back as new.
+//! A fake backend server that ends when it starts to run a harmful request, and that can
+//! be started again as a new instance.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,40 +10,41 @@
 
 use crate::http::{Head, read_request};
 
-/// A place at which one server runs after the other: each ends by the first request that
-/// does it harm, and the next one starts when it is told to.
+/// A sequence of server instances. Each one ends at the first harmful request, and the
+/// next one starts when the test asks for it.
 #[derive(Clone)]
 pub struct MortalServer {
     shared: Arc<Shared>,
 }
 
-/// One run of the server.
+/// One instance of the server.
 #[derive(Debug, Clone)]
 pub struct ServerRun {
-    /// Where it listens.
+    /// The address at which the instance listens.
     pub address: SocketAddr,
-    /// Whether it has ended.
+    /// Whether the instance has ended.
     pub ended: bool,
-    /// What arrived, with when.
+    /// The requests that arrived, with the time of each.
     pub arrivals: Vec<(Instant, Head)>,
 }
 
 struct Shared {
+    /// Whether a request ends the instance that runs it.
     harms: fn(&Head) -> bool,
-    /// How long a run of a request takes.
+    /// How long a request runs.
     work: Duration,
     runs: Mutex<Vec<Running>>,
 }
 
 struct Running {
-    told: ServerRun,
+    record: ServerRun,
     stop: Arc<AtomicBool>,
     streams: Vec<TcpStream>,
 }
 
 impl MortalServer {
-    /// Starts a server whose requests take `work`, and which ends as soon as it begins to
-    /// run a request that `harms` it.
+    /// Starts a server whose requests take `work`, and which ends as soon as it starts to
+    /// run a request for which `harms` returns true.
     pub fn start(harms: fn(&Head) -> bool, work: Duration) -> Self {
         let shared = Shared {
             harms,
@@ -56,7 +58,7 @@
         server
     }
 
-    /// Starts the next run at an address of its own; returns it.
+    /// Starts the next instance at a new address, which is returned.
     pub fn start_again(&self) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
         let address = listener.local_addr().expect("it is bound");
@@ -65,7 +67,7 @@
             .expect("loopback sockets can be");
         let stop = Arc::new(AtomicBool::new(false));
         let running = Running {
-            told: ServerRun {
+            record: ServerRun {
                 address,
                 ended: false,
                 arrivals: Vec::new(),
@@ -74,7 +76,7 @@
             streams: Vec::new(),
         };
         let number = {
-            let mut runs = self.runs_now();
+            let mut runs = self.lock_runs();
             runs.push(running);
             runs.len() - 1
         };
@@ -83,32 +85,35 @@
         address
     }
 
-    /// What became of each run, the first first.
+    /// Returns the state of each instance, oldest first.
     pub fn runs(&self) -> Vec<ServerRun> {
-        self.runs_now().iter().map(|run| run.told.clone()).collect()
+        self.lock_runs()
+            .iter()
+            .map(|run| run.record.clone())
+            .collect()
     }
 
-    /// Whether the last run has ended.
+    /// Returns whether the newest instance has ended.
     pub fn has_ended(&self) -> bool {
-        let runs = self.runs_now();
-        runs.last().is_none_or(|run| run.told.ended)
+        let runs = self.lock_runs();
+        runs.last().is_none_or(|run| run.record.ended)
     }
 
-    /// Ends the last run for a reason of its own.
+    /// Ends the newest instance without a harmful request.
     pub fn end(&self) {
-        let number = self.runs_now().len() - 1;
+        let number = self.lock_runs().len() - 1;
         self.end_run(number);
     }
 
     fn accept(&self, listener: &TcpListener, number: usize, stop: &AtomicBool) {
         while !stop.load(Ordering::Acquire) {
             let Ok((stream, _)) = listener.accept() else {
-                thread::sleep(ACCEPT_EVERY);
+                thread::sleep(ACCEPT_INTERVAL);
                 continue;
             };
             let kept = stream.try_clone().expect("descriptors are left");
             stream.set_nonblocking(false).expect("it is a socket");
-            self.runs_now()[number].streams.push(kept);
+            self.lock_runs()[number].streams.push(kept);
             let server = self.clone();
             thread::spawn(move || server.serve(stream, number));
         }
@@ -123,8 +128,8 @@
             let harms = (self.shared.harms)(&head);
             let id = head.headers.get("x-wingspur-request-id").cloned();
             {
-                let mut runs = self.runs_now();
-                runs[number].told.arrivals.push((Instant::now(), head));
+                let mut runs = self.lock_runs();
+                runs[number].record.arrivals.push((Instant::now(), head));
             }
             if harms {
                 return self.end_run(number);
@@ -141,28 +146,29 @@
         }
     }
 
-    /// Closes the port first, so that nobody who sees a connection break off finds it open.
+    /// Ends an instance. It closes the port before the connections, so that a peer that
+    /// sees a connection close cannot connect again.
     fn end_run(&self, number: usize) {
         let (stop, address) = {
-            let runs = self.runs_now();
-            (runs[number].stop.clone(), runs[number].told.address)
+            let runs = self.lock_runs();
+            (runs[number].stop.clone(), runs[number].record.address)
         };
         stop.store(true, Ordering::Release);
         while TcpStream::connect(address).is_ok() {
-            thread::sleep(ACCEPT_EVERY);
+            thread::sleep(ACCEPT_INTERVAL);
         }
-        let mut runs = self.runs_now();
+        let mut runs = self.lock_runs();
         let run = &mut runs[number];
-        run.told.ended = true;
+        run.record.ended = true;
         for stream in run.streams.drain(..) {
-            // One that its caller has closed is closed already.
+            // Fails if the caller has already closed the connection.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    fn runs_now(&self) -> MutexGuard<'_, Vec<Running>> {
+    fn lock_runs(&self) -> MutexGuard<'_, Vec<Running>> {
         self.shared.runs.lock().expect("no holder panics")
     }
 }
 
-const ACCEPT_EVERY: Duration = Duration::from_millis(1);
+const ACCEPT_INTERVAL: Duration = Duration::from_millis(1);
--- a/tests/src/platform_store.rs
+++ b/tests/src/platform_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's key-value store, with its faults.
+//! A fake of the platform's key-value store, with faults that tests can set.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,44 +12,47 @@
 
 use crate::http::{Head, listen};
 
-/// The store.
+/// The fake store.
 #[derive(Clone)]
 pub struct PlatformStore {
-    /// Where it listens.
+    /// The address at which the store listens.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// What the store held at a moment.
+/// A copy of all that the store held at one time.
 #[derive(Clone)]
 pub struct StoreCopy(State);
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The store works.
     #[default]
     None,
-    /// It refuses all calls by this status.
+    /// The store refuses all calls with this status.
     Refuses(u16),
-    /// It does what it is asked, and closes the connection without a word.
+    /// The store executes each call and closes the connection without a response.
     LosesReplies,
-    /// It never answers.
+    /// The store accepts calls and never responds.
     Silent,
 }
 
 #[derive(Clone, Default)]
 struct State {
-    /// How often it has come back from an older copy.
+    /// The numbering generation: starts at 1 and grows with each restore from an older
+    /// copy.
     era: u64,
     revision: u64,
     items: BTreeMap<String, Item>,
     history: Vec<(u64, String)>,
-    /// History up to this revision is forgotten.
-    forgotten: u64,
+    /// The history up to this revision is compacted.
+    compacted: u64,
     leases: Vec<u64>,
     fault: StoreFault,
+    /// The number of items on a page.
     page: usize,
+    /// The number of calls by path.
     calls: BTreeMap<String, usize>,
 }
 
@@ -75,13 +78,13 @@
         Self { address, state }
     }
 
-    /// Writes a key as the operator or a server does.
+    /// Writes a key without a lease, as the operator or a server does.
     pub fn put(&self, key: &str, value: &Value) {
         let bytes = serde_json::to_vec(value).expect("values serialise");
         self.put_bytes(key, &bytes);
     }
 
-    /// The same with any bytes.
+    /// Writes a key without a lease, with any bytes as its value.
     pub fn put_bytes(&self, key: &str, value: &[u8]) {
         self.lock().put(key, value.to_vec(), 0);
         self.state.1.notify_all();
@@ -93,7 +96,7 @@
         self.state.1.notify_all();
     }
 
-    /// Writes a key under a lease of its own, as another box does; returns the lease.
+    /// Writes a key under a new lease, as another box does, and returns the lease.
     pub fn put_leased(&self, key: &str, value: &Value) -> u64 {
         let bytes = serde_json::to_vec(value).expect("values serialise");
         let mut state = self.lock();
@@ -104,26 +107,26 @@
         lease
     }
 
-    /// Ends a lease, as when it runs out.
+    /// Ends a lease as if it had expired.
     pub fn end_lease(&self, lease: u64) {
         self.lock().end_lease(lease);
         self.state.1.notify_all();
     }
 
-    /// Forgets all history.
+    /// Compacts all history.
     pub fn forget_history(&self) {
         let mut state = self.lock();
-        state.forgotten = state.revision;
+        state.compacted = state.revision;
         state.history.clear();
     }
 
-    /// A copy of all that it holds, as a backup would have it.
+    /// Returns a copy of all that the store holds, as a backup would.
     pub fn copy(&self) -> StoreCopy {
         StoreCopy(self.lock().clone())
     }
 
-    /// Comes back from an older copy: what was written since is lost, its revisions and
-    /// lease ids are given out again, and its era rises.
+    /// Restores an older copy: what was written since is lost, its revisions and lease
+    /// ids are assigned again, and the era grows by one.
     pub fn restore(&self, copy: &StoreCopy) {
         let mut state = self.lock();
         let copied = copy.0.clone();
@@ -137,30 +140,30 @@
         self.state.1.notify_all();
     }
 
-    /// The revision of its newest change.
+    /// Returns the revision of the newest change.
     pub fn revision(&self) -> u64 {
         self.lock().revision
     }
 
-    /// Sets what is wrong from now on.
+    /// Sets the fault that applies from now on.
     pub fn set_fault(&self, fault: StoreFault) {
         self.lock().fault = fault;
         self.state.1.notify_all();
     }
 
-    /// The keys that begin with `prefix`.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.lock();
         let keys = state.items.keys().filter(|key| key.starts_with(prefix));
         keys.cloned().collect()
     }
 
-    /// The lease that a key is under; none where there is no such key.
+    /// Returns the lease of a key, 0 for none; `None` where there is no such key.
     pub fn lease_of(&self, key: &str) -> Option<u64> {
         self.lock().items.get(key).map(|item| item.lease)
     }
 
-    /// How many calls of a path have come.
+    /// Returns the number of calls of a path so far.
     pub fn calls(&self, path: &str) -> usize {
         self.lock().calls.get(path).copied().unwrap_or(0)
     }
@@ -206,20 +209,21 @@
     }
 
     fn events(&self, prefix: &str, after: u64) -> Vec<Value> {
-        let seen = self
+        let changes = self
             .history
             .iter()
             .filter(|(revision, key)| *revision > after && key.starts_with(prefix));
-        seen.map(|(revision, key)| match self.items.get(key) {
-            Some(item) if item.revision == *revision => item_json(key, item),
-            Some(item) => item_json(key, item),
-            None => json!({"key": key, "revision": revision, "deleted": true}),
-        })
-        .collect()
+        changes
+            .map(|(revision, key)| match self.items.get(key) {
+                Some(item) if item.revision == *revision => item_json(key, item),
+                Some(item) => item_json(key, item),
+                None => json!({"key": key, "revision": revision, "deleted": true}),
+            })
+            .collect()
     }
 }
 
-/// Serves one call; whether the connection stays.
+/// Serves one call. Returns whether the connection stays open.
 fn serve(
     shared: &Arc<(Mutex<State>, Condvar)>,
     head: &Head,
@@ -241,17 +245,17 @@
         ("GET", "/-/kv-range") => range(&state, head),
         ("GET", "/-/kv-watch") => {
             drop(state);
-            let (ended_in, answer) = watch(shared, head);
-            era = ended_in;
-            answer
+            let (era_at_end, response) = watch(shared, head);
+            era = era_at_end;
+            response
         }
         ("POST", "/-/kv-txn") => transaction(&mut state, head),
         ("POST", "/-/kv-lease") => {
             let lease = state.grant_lease();
-            let asked: Value = serde_json::from_slice(&head.body).unwrap_or_default();
-            (200, json!({"lease": lease, "ttl_ms": asked["ttl_ms"]}))
+            let request: Value = serde_json::from_slice(&head.body).unwrap_or_default();
+            (200, json!({"lease": lease, "ttl_ms": request["ttl_ms"]}))
         }
-        (method, path) => by_lease(&mut state, method, path),
+        (method, path) => keep_or_end_lease(&mut state, method, path),
     };
     shared.1.notify_all();
     if fault == StoreFault::LosesReplies {
@@ -263,10 +267,10 @@
 fn range(state: &State, head: &Head) -> (u16, Value) {
     let prefix = head.query.get("path_prefix").map_or("", String::as_str);
     let after = head.query.get("after").map_or("", String::as_str);
-    let asked = state.items.iter().filter(|(key, _)| {
+    let selected = state.items.iter().filter(|(key, _)| {
         key.starts_with(prefix) && (after.is_empty() || key.as_str() > after)
     });
-    let items: Vec<Value> = asked.map(|(key, item)| item_json(key, item)).collect();
+    let items: Vec<Value> = selected.map(|(key, item)| item_json(key, item)).collect();
     let more = items.len() > state.page;
     let items: Vec<Value> = items.into_iter().take(state.page).collect();
     let revision = state.revision;
@@ -276,7 +280,8 @@
     )
 }
 
-/// Waits for changes; answers with the era that the wait ended in.
+/// Waits for changes. Returns the era in which the wait ended, with the status and the
+/// body.
 fn watch(shared: &Arc<(Mutex<State>, Condvar)>, head: &Head) -> (u64, (u16, Value)) {
     let number = |name: &str| head.query.get(name).and_then(|text| text.parse().ok());
     let after: u64 = number("after").unwrap_or(0);
@@ -286,30 +291,30 @@
     let mut state = shared.0.lock().expect("no holder panics");
     loop {
         let era = state.era;
-        if after < state.forgotten || after > state.revision {
+        if after < state.compacted || after > state.revision {
             return (era, (410, Value::Null));
         }
         if let StoreFault::Refuses(status) = state.fault {
             return (era, (status, Value::Null));
         }
         let events = state.events(prefix, after);
-        let left = until.saturating_duration_since(Instant::now());
-        if !events.is_empty() || left.is_zero() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if !events.is_empty() || remaining.is_zero() {
             let body = json!({"events": events, "store_revision": state.revision});
             return (era, (200, body));
         }
-        let waited = shared.1.wait_timeout(state, left);
+        let waited = shared.1.wait_timeout(state, remaining);
         state = waited.expect("no holder panics").0;
     }
 }
 
 fn transaction(state: &mut State, head: &Head) -> (u16, Value) {
-    let asked: Value = serde_json::from_slice(&head.body).unwrap_or_default();
-    let rows = |name: &str| asked[name].as_array().cloned().unwrap_or_default();
+    let request: Value = serde_json::from_slice(&head.body).unwrap_or_default();
+    let rows = |name: &str| request[name].as_array().cloned().unwrap_or_default();
     for condition in rows("conditions") {
         let key = condition["key"].as_str().unwrap_or_default();
-        let stands = state.items.get(key).map_or(0, |item| item.revision);
-        if condition["revision"].as_u64() != Some(stands) {
+        let revision = state.items.get(key).map_or(0, |item| item.revision);
+        if condition["revision"].as_u64() != Some(revision) {
             let found = state.items.get(key).map(|item| item_json(key, item));
             return (412, json!({"items": Vec::from_iter(found)}));
         }
@@ -329,7 +334,8 @@
     (200, json!({"revision": state.revision}))
 }
 
-fn by_lease(state: &mut State, method: &str, path: &str) -> (u16, Value) {
+/// Renews a lease, or ends it for `DELETE`.
+fn keep_or_end_lease(state: &mut State, method: &str, path: &str) -> (u16, Value) {
     let lease = path.rsplit('/').next().and_then(|text| text.parse().ok());
     let Some(lease) = lease.filter(|lease| state.leases.contains(lease)) else {
         return (404, Value::Null);
--- a/tests/tests/answers.rs
+++ b/tests/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers: raw servers and raw callers that do what libraries never would.
+//! Framing of responses and requests: raw servers and raw callers send what HTTP
+//! libraries would not.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,8 +10,9 @@
 use wingspur_bench::{Fleet, small_zagreb};
 use wingspur_transport::Workers;
 
-/// A server that answers each request on a connection by what `answer` writes; the
-/// connection closes when it returns false.
+/// Starts a server that responds to each request with what `answer` writes. The
+/// connection closes when it returns false. Returns the address and the count of request
+/// heads.
 fn raw_server(
     answer: impl Fn(&str, &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<AtomicUsize>) {
@@ -38,13 +40,13 @@
     (address, heads)
 }
 
-/// Closes the connection once what was written has been passed on.
+/// Waits until what was written has been forwarded, and has the connection closed.
 fn cut_after_a_while() -> bool {
     std::thread::sleep(Duration::from_millis(200));
     false
 }
 
-/// Reads a request's head and gives its `x-echo`.
+/// Reads a request's head and returns the value of its `x-echo` header.
 fn read_head(reader: &mut impl BufRead) -> Option<String> {
     let mut echo = String::new();
     loop {
@@ -61,7 +63,7 @@
     }
 }
 
-/// Sends raw bytes and reads until the connection closes or nothing comes for a while.
+/// Sends raw bytes and reads until the connection closes or nothing arrives for 3 s.
 fn raw_call(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream
@@ -73,7 +75,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Runs a test with one box before one raw server.
+/// Runs a test with one box in front of one raw server.
 fn with_box(server: SocketAddr, test: impl FnOnce(SocketAddr)) {
     let workers = Workers::start(2);
     smol::block_on(async {
@@ -111,7 +113,7 @@
         assert!(head.contains("content-length: 1000"), "{head}");
         assert!(
             body.len() < 1000,
-            "the caller can see that the answer is cut"
+            "the caller must be able to see that the response is truncated"
         );
     });
 }
@@ -139,8 +141,9 @@
                 body.len()
             )
         };
-        // The answer, and one more that nobody asked for, in one piece: what a server
-        // writes only after the next request is there cannot be told from its answer.
+        // The response and a surplus one are written at once. Bytes that a server writes
+        // only after the next request has arrived cannot be distinguished from its
+        // response.
         let both = format!("{}{}", answer(echo), answer("somebody else's"));
         let _ = out.write_all(both.as_bytes());
         true
@@ -182,7 +185,8 @@
                 "{shape:?} got {answer}"
             );
         }
-        // Both a length and chunks: one reading only, and the connection ends.
+        // With both a length and chunked coding, there is only one interpretation, and
+        // the connection closes.
         let both = "GET /exam/p HTTP/1.1\r\nhost: x\r\ncontent-length: 4\r\n\
                     transfer-encoding: chunked\r\n\r\n0\r\n\r\n\
                     GET /exam/smuggled HTTP/1.1\r\nhost: x\r\n\r\n";
@@ -191,7 +195,7 @@
     });
     assert!(
         heads.load(Ordering::SeqCst) <= 2,
-        "only the well-formed got through"
+        "a request with ambiguous framing reached the server"
     );
 }
 
--- a/tests/tests/identity.rs
+++ b/tests/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS between boxes: who is let in, who is not, and new certificates.
+//! Mutual TLS between boxes: accepted and rejected peers, and rotation of certificates.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 
 type Authority = CertifiedIssuer<'static, KeyPair>;
 
-/// A folder of its own that goes with the test.
+/// A temporary folder that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -43,7 +43,8 @@
     CertifiedIssuer::self_signed(params, KeyPair::generate().unwrap()).unwrap()
 }
 
-/// Writes a box's files: a certificate by `by`, trusting `trusted`.
+/// Writes a box's files: a certificate issued by `by`, its key, and the authorities in
+/// `trusted`.
 fn write_files(
     folder: &Path,
     name: &str,
@@ -68,7 +69,8 @@
     files
 }
 
-/// Starts a listener that says whether the caller's certificate names `box-1`.
+/// Starts a listener that responds with `box-1` if the caller's certificate is that
+/// box's, and with `another` otherwise.
 async fn start(
     workers: &Workers,
     identity: Arc<TlsIdentity>,
@@ -95,10 +97,10 @@
     identity: Option<Arc<TlsIdentity>>,
     to: SocketAddr,
 ) -> Result<String, HttpClientError> {
-    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
-    let exchange = exchange.with_identity(identity);
-    let got = exchange.get(to, "/peer", Duration::from_secs(5)).await?;
-    Ok(String::from_utf8_lossy(&got).into_owned())
+    let http_client = HttpClient::new(workers.spawner(), FaultInjector::default());
+    let http_client = http_client.with_identity(identity);
+    let body = http_client.get(to, "/peer", Duration::from_secs(5)).await?;
+    Ok(String::from_utf8_lossy(&body).into_owned())
 }
 
 fn load(files: &TlsFiles) -> Arc<TlsIdentity> {
@@ -116,10 +118,10 @@
     let workers = Workers::start(2);
     smol::block_on(async {
         let (listener, address) = start(&workers, load(&server)).await;
-        let got = call(&workers, Some(load(&known)), address).await;
-        assert_eq!(got.unwrap(), "box-1");
-        let got = call(&workers, Some(load(&other)), address).await;
-        assert_eq!(got.unwrap(), "another");
+        let response = call(&workers, Some(load(&known)), address).await;
+        assert_eq!(response.unwrap(), "box-1");
+        let response = call(&workers, Some(load(&other)), address).await;
+        assert_eq!(response.unwrap(), "another");
         assert!(
             call(&workers, Some(load(&stranger)), address)
                 .await
@@ -127,7 +129,7 @@
         );
         assert!(
             call(&workers, None, address).await.is_err(),
-            "plain is refused"
+            "a connection without TLS must be refused"
         );
         listener.close(Duration::ZERO).await;
     });
@@ -159,15 +161,16 @@
     smol::block_on(async {
         let (identity, caller) = (load(&server), load(&known));
         let (listener, address) = start(&workers, identity.clone()).await;
-        assert!(!identity.refresh().unwrap(), "nothing has changed");
-        // First all trust both, then one after the other gets a new certificate.
+        assert!(!identity.refresh().unwrap(), "no file has changed");
+        // All boxes trust both authorities first, then each gets a new certificate in
+        // turn.
         write_files(&folder.0, "box-0", &old, &[&old, &new]);
         write_files(&folder.0, "box-1", &new, &[&old, &new]);
         assert!(identity.refresh().unwrap());
         assert!(caller.refresh().unwrap());
-        let got = call(&workers, Some(caller.clone()), address).await;
-        assert_eq!(got.unwrap(), "box-1");
-        // A file caught half-written changes nothing.
+        let response = call(&workers, Some(caller.clone()), address).await;
+        assert_eq!(response.unwrap(), "box-1");
+        // A half-written file is refused, and the previous certificate stays active.
         std::fs::write(&server.certificate, "-----BEGIN CERT").unwrap();
         assert!(identity.refresh().is_err());
         assert_eq!(
--- a/tests/tests/names.rs
+++ b/tests/tests/names.rs
@@ -1,8 +1,8 @@
-//! The platform's names stay in its adapter.
+//! Names of the platform occur in its adapter only.
 
 use std::path::{Path, PathBuf};
 
-/// Names of the platform's wire that nothing else may know.
+/// Names of the platform's protocol that no other crate may contain.
 const NAMES: &[&str] = &[
     "tls_key",
     "expected_rev",
@@ -25,7 +25,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            // Tests speak to stand-ins of the platform.
+            // Tests talk to fakes of the platform.
             if !path.ends_with("tests") {
                 sources(&path, found);
             }
@@ -40,7 +40,11 @@
     let root = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/.."));
     let mut files = Vec::new();
     sources(&root.join("crates"), &mut files);
-    assert!(files.len() > 80, "the sources are there: {}", files.len());
+    assert!(
+        files.len() > 80,
+        "too few source files found: {}",
+        files.len()
+    );
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap();
         for name in NAMES {
--- a/tests/tests/pages.rs
+++ b/tests/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages and examples agree with the code.
+//! The documentation pages and the examples agree with the code.
 
 use std::path::Path;
 
--- a/tests/tests/platform_catalog.rs
+++ b/tests/tests/platform_catalog.rs
@@ -1,4 +1,4 @@
-//! The platform's store as a catalog, against its stand-in and its faults.
+//! The catalog over the platform's store, against a fake store with faults.
 
 mod edge;
 
@@ -15,20 +15,22 @@
 
 const WAIT: Duration = Duration::from_millis(50);
 
-/// Runs a test over a store's catalog, whose calls are given up after `timeout`.
+/// Runs a test with a catalog over a store, whose calls time out after `timeout`.
 fn with_catalog(store: &PlatformStore, timeout: Duration, test: impl FnOnce(Catalog)) {
     let workers = Workers::start(1);
-    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
+    let http_client = HttpClient::new(workers.spawner(), FaultInjector::default());
     let lease = Duration::from_secs(10);
-    test(catalog(store.address, exchange.into(), timeout, lease));
+    test(catalog(store.address, http_client.into(), timeout, lease));
     workers.close();
 }
 
-fn with_sound_catalog(store: &PlatformStore, test: impl FnOnce(Catalog)) {
+/// Runs a test with a catalog whose calls do not time out within the test.
+fn with_patient_catalog(store: &PlatformStore, test: impl FnOnce(Catalog)) {
     with_catalog(store, Duration::from_secs(20), test);
 }
 
-fn asked<T>(call: CatalogFuture<T>) -> Result<T, CatalogError> {
+/// Waits for a call and returns its outcome.
+fn outcome_of<T>(call: CatalogFuture<T>) -> Result<T, CatalogError> {
     smol::block_on(call).outcome
 }
 
@@ -59,11 +61,11 @@
     for n in 0..10 {
         put_server(&store, &format!("i-{n}"));
     }
-    with_sound_catalog(&store, |catalog| {
-        let listing = asked((catalog.list)(true)).unwrap();
-        assert_eq!(listing.servers.len(), 10);
-        assert_eq!(listing.bundle.unwrap().version, 1);
-        assert_eq!(listing.position, at(11));
+    with_patient_catalog(&store, |catalog| {
+        let snapshot = outcome_of((catalog.list)(true)).unwrap();
+        assert_eq!(snapshot.servers.len(), 10);
+        assert_eq!(snapshot.bundle.unwrap().version, 1);
+        assert_eq!(snapshot.position, at(11));
         assert_eq!(store.calls("/-/kv-range"), 4);
     });
 }
@@ -75,16 +77,16 @@
     put_server(&store, "i-2");
     store.remove("servers/i-1");
     store.put_bytes("someone/elses", b"\xff");
-    with_sound_catalog(&store, |catalog| {
-        let changes = asked((catalog.watch)(at(1), WAIT)).unwrap();
+    with_patient_catalog(&store, |catalog| {
+        let changes = outcome_of((catalog.watch)(at(1), WAIT)).unwrap();
         assert_eq!((changes.after, changes.position), (at(1), at(4)));
         assert!(
             matches!(&changes.changes[0], CatalogChange::Server(r) if &*r.id == "i-2")
         );
         assert_eq!(changes.changes[1], CatalogChange::ServerGone("i-1".into()));
         assert_eq!(changes.changes.len(), 2);
-        let quiet = asked((catalog.watch)(at(4), WAIT)).unwrap();
-        assert_eq!((quiet.position, quiet.changes.len()), (at(4), 0));
+        let unchanged = outcome_of((catalog.watch)(at(4), WAIT)).unwrap();
+        assert_eq!((unchanged.position, unchanged.changes.len()), (at(4), 0));
     });
 }
 
@@ -94,13 +96,13 @@
     put_server(&store, "i-1");
     put_server(&store, "i-2");
     store.forget_history();
-    with_sound_catalog(&store, |catalog| {
-        let lost = asked((catalog.watch)(at(1), WAIT)).unwrap_err();
+    with_patient_catalog(&store, |catalog| {
+        let lost = outcome_of((catalog.watch)(at(1), WAIT)).unwrap_err();
         assert!(matches!(lost, CatalogError::HistoryLost));
         for status in [429, 500, 503] {
             store.set_fault(StoreFault::Refuses(status));
-            let away = asked((catalog.watch)(at(2), WAIT)).unwrap_err();
-            assert!(away.is_unavailable(), "{status}: {away}");
+            let refused = outcome_of((catalog.watch)(at(2), WAIT)).unwrap_err();
+            assert!(refused.is_unavailable(), "{status}: {refused}");
         }
     });
 }
@@ -111,25 +113,27 @@
     store.put_bytes("servers/i-0", b"no entry");
     store.put_bytes("op/config", b"{\"version\": 1");
     put_server(&store, "i-1");
-    with_sound_catalog(&store, |catalog| {
-        let listing = asked((catalog.list)(true)).unwrap();
-        assert_eq!(listing.servers.len(), 1);
-        assert!(listing.bundle.is_none());
+    with_patient_catalog(&store, |catalog| {
+        let snapshot = outcome_of((catalog.list)(true)).unwrap();
+        assert_eq!(snapshot.servers.len(), 1);
+        assert!(snapshot.bundle.is_none());
     });
 }
 
 #[test]
 fn a_box_is_announced_under_a_lease_that_can_end() {
     let store = PlatformStore::start(500);
-    with_sound_catalog(&store, |catalog| {
-        let lease = asked((catalog.announce)(own_record(), None)).unwrap().lease;
-        let listing = asked((catalog.list)(true)).unwrap();
-        assert_eq!(listing.boxes, [own_record()]);
-        assert!(asked((catalog.renew)(lease)).unwrap());
+    with_patient_catalog(&store, |catalog| {
+        let lease = outcome_of((catalog.announce)(own_record(), None))
+            .unwrap()
+            .lease;
+        let snapshot = outcome_of((catalog.list)(true)).unwrap();
+        assert_eq!(snapshot.boxes, [own_record()]);
+        assert!(outcome_of((catalog.renew)(lease)).unwrap());
         store.end_lease(lease.id);
-        assert!(!asked((catalog.renew)(lease)).unwrap());
-        let again = asked((catalog.announce)(own_record(), None)).unwrap();
-        assert!(asked((catalog.withdraw)("box-1".into(), again.position)).unwrap());
+        assert!(!outcome_of((catalog.renew)(lease)).unwrap());
+        let again = outcome_of((catalog.announce)(own_record(), None)).unwrap();
+        assert!(outcome_of((catalog.withdraw)("box-1".into(), again.position)).unwrap());
         assert_eq!(store.keys("wingspur/"), Vec::<String>::new());
     });
 }
@@ -139,14 +143,22 @@
     let store = PlatformStore::start(500);
     put_server(&store, "i-1");
     store.set_fault(StoreFault::LosesReplies);
-    with_sound_catalog(&store, |catalog| {
-        assert!(asked((catalog.list)(true)).unwrap_err().is_unavailable());
-        let lost = asked((catalog.announce)(own_record(), None));
+    with_patient_catalog(&store, |catalog| {
+        assert!(
+            outcome_of((catalog.list)(true))
+                .unwrap_err()
+                .is_unavailable()
+        );
+        let lost = outcome_of((catalog.announce)(own_record(), None));
         assert!(lost.unwrap_err().is_unavailable());
     });
     store.set_fault(StoreFault::Silent);
     with_catalog(&store, Duration::from_millis(100), |catalog| {
-        assert!(asked((catalog.list)(true)).unwrap_err().is_unavailable());
+        assert!(
+            outcome_of((catalog.list)(true))
+                .unwrap_err()
+                .is_unavailable()
+        );
     });
 }
 
@@ -154,11 +166,11 @@
 fn the_boxes_alone_are_listed_with_their_revision() {
     let store = PlatformStore::start(2);
     put_server(&store, "i-0");
-    with_sound_catalog(&store, |catalog| {
-        asked((catalog.announce)(own_record(), None)).unwrap();
-        let listing = asked((catalog.list_boxes)()).unwrap();
-        assert_eq!(listing.boxes, [own_record()]);
-        assert!(listing.servers.is_empty() && listing.position > at(0));
+    with_patient_catalog(&store, |catalog| {
+        outcome_of((catalog.announce)(own_record(), None)).unwrap();
+        let snapshot = outcome_of((catalog.list_boxes)()).unwrap();
+        assert_eq!(snapshot.boxes, [own_record()]);
+        assert!(snapshot.servers.is_empty() && snapshot.position > at(0));
     });
 }
 
@@ -169,14 +181,16 @@
         fleet_boxes: 40,
         ..own_record()
     };
-    with_sound_catalog(&store, |catalog| {
-        let lease = asked((catalog.announce)(own_record(), None)).unwrap().lease;
-        let told = (catalog.announce)(larger.clone(), Some(lease));
-        assert_eq!(asked(told).unwrap().lease, lease);
-        let listing = asked((catalog.list_boxes)()).unwrap();
-        assert_eq!(listing.boxes, [larger]);
+    with_patient_catalog(&store, |catalog| {
+        let lease = outcome_of((catalog.announce)(own_record(), None))
+            .unwrap()
+            .lease;
+        let announcing = (catalog.announce)(larger.clone(), Some(lease));
+        assert_eq!(outcome_of(announcing).unwrap().lease, lease);
+        let snapshot = outcome_of((catalog.list_boxes)()).unwrap();
+        assert_eq!(snapshot.boxes, [larger]);
         store.end_lease(lease.id);
-        let listing = asked((catalog.list_boxes)()).unwrap();
-        assert!(listing.boxes.is_empty());
+        let snapshot = outcome_of((catalog.list_boxes)()).unwrap();
+        assert!(snapshot.boxes.is_empty());
     });
 }
--- a/tests/tests/platform_records.rs
+++ b/tests/tests/platform_records.rs
@@ -1,4 +1,5 @@
-//! What the operator and servers write into the store, and what is refused whole.
+//! Parsing of the records that the operator and servers write into the store, and the
+//! refusal of invalid ones as a whole.
 
 mod edge;
 
@@ -39,15 +40,15 @@
     };
     assert_eq!(rate(json!(5.5)), Ok(Some(5.5)));
     assert_eq!(rate(Value::Null), Ok(None));
-    for wrong in [json!(0), json!(-1.0)] {
-        let error = rate(wrong).unwrap_err();
+    for invalid in [json!(0), json!(-1.0)] {
+        let error = rate(invalid).unwrap_err();
         assert!(error.contains("cold_requests_per_s"), "{error}");
     }
 }
 
 #[test]
 fn weights_become_targets() {
-    let split = bundle(|value| {
+    let bundle = bundle(|value| {
         let route = value["host_routes"][0].as_object_mut().unwrap();
         route.remove("service");
         let targets = json!([
@@ -56,7 +57,7 @@
         ]);
         route.insert("targets".into(), targets);
     });
-    let weights: Vec<u32> = split.unwrap().host_routes[0]
+    let weights: Vec<u32> = bundle.unwrap().host_routes[0]
         .targets
         .iter()
         .map(|target| target.weight)
@@ -82,11 +83,11 @@
     ];
     for (change, field) in cases {
         let error = bundle(change).unwrap_err();
-        let named = error.contains(field) || error.contains("unknown variant");
-        assert!(named, "{field}: {error}");
+        let names_field = error.contains(field) || error.contains("unknown variant");
+        assert!(names_field, "{field}: {error}");
     }
-    let half = serde_json::to_vec(&configuration(7, &[])).unwrap();
-    assert!(read_bundle(&half[..half.len() / 2]).is_err());
+    let bytes = serde_json::to_vec(&configuration(7, &[])).unwrap();
+    assert!(read_bundle(&bytes[..bytes.len() / 2]).is_err());
 }
 
 #[test]
--- a/tests/tests/words_play.rs
+++ b/tests/tests/words_play.rs
@@ -1,6 +1,7 @@
-//! Services whose servers leave and ask for rest, in virtual time: what boxes still send against
-//! a word, and what they refuse or leave idle beyond it. The decisions are the real ones; a
-//! seed decides the rest.
+//! Simulates, in virtual time, services whose servers drain or ask for backoff. Guards
+//! against requests sent despite an announcement, and against servers refused or left
+//! idle without one. The balancing code is the real one; a seed draws the settings and
+//! all else.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -17,32 +18,32 @@
 const QUEUE: usize = 4;
 const WORK_MS: u64 = 200;
 const STEP_MS: u64 = 5;
-const NEWS_EVERY_MS: u64 = 100;
-const FROM_MS: u64 = 6_000;
-const LAST_WORD_MS: u64 = 20_000;
+const UPDATE_INTERVAL_MS: u64 = 100;
+const FIRST_ANNOUNCEMENT_MS: u64 = 6_000;
+const LAST_ANNOUNCEMENT_MS: u64 = 20_000;
 const END_MS: u64 = 34_000;
-/// A server that leaves ends after this, and its next run begins a second later.
-const LEAVES_FOR_MS: u64 = 5_000;
-/// A first attempt may go to a server that leaves for so long, where others are full.
+/// A draining server ends after this time, and its next instance starts a second later.
+const DRAIN_MS: u64 = 5_000;
+/// For this long, a first attempt may go to a draining server where the others are full.
 const LAST_RESORT_MS: u64 = 1_000;
-/// A request waits for the end of a rest this long.
-const PATIENCE_MS: u64 = 300;
+/// A request waits at most this long for the end of a backoff.
+const MAX_BACKOFF_WAIT_MS: u64 = 300;
 
-/// What a play is about.
+/// The parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Setting {
     seed: u64,
     boxes: usize,
-    /// How many servers say something.
-    speakers: usize,
-    /// For how long they ask for rest; none where they leave.
-    rest_ms: Option<u64>,
-    /// How long they are in need each time, and how often that begins anew.
-    need_ms: u64,
+    /// The number of servers that announce something.
+    announcing: usize,
+    /// The backoff that they ask for; `None` where they drain instead.
+    backoff_ms: Option<u64>,
+    /// How long they announce it each time, and the interval at which that starts again.
+    announce_ms: u64,
     every_ms: u64,
-    /// What is asked for, as a multiple of what all servers do.
+    /// The rate of requests, as a multiple of the capacity of all servers.
     load: f64,
-    /// Whether entries go and come back, and boxes start again.
+    /// Whether entries are removed and written again, and boxes restart.
     disturbed: bool,
 }
 
@@ -53,40 +54,43 @@
         Self {
             seed,
             boxes: one_of(&[1, 8, 40, 113]) as usize,
-            speakers: one_of(&[1, 6, 12]) as usize,
-            rest_ms: match one_of(&[0, 300, 1_000, 3_000, 10_000]) {
+            announcing: one_of(&[1, 6, 12]) as usize,
+            backoff_ms: match one_of(&[0, 300, 1_000, 3_000, 10_000]) {
                 0 => None,
-                rest_ms => Some(rest_ms),
+                backoff_ms => Some(backoff_ms),
             },
-            need_ms: one_of(&[100, 1_000, 3_000]),
+            announce_ms: one_of(&[100, 1_000, 3_000]),
             every_ms: one_of(&[2_000, 5_000, 100_000]),
             load: [0.3, 0.6, 3.0][one_of(&[0, 1, 2]) as usize],
             disturbed: one_of(&[0, 1]) == 1,
         }
     }
 
-    /// Whether a server says its word now.
-    fn speaks(&self, server: usize, ms: u64) -> bool {
-        if server >= self.speakers || !(FROM_MS..LAST_WORD_MS).contains(&ms) {
+    /// Returns whether a server makes its announcement now.
+    fn announces(&self, server: usize, ms: u64) -> bool {
+        if server >= self.announcing
+            || !(FIRST_ANNOUNCEMENT_MS..LAST_ANNOUNCEMENT_MS).contains(&ms)
+        {
             return false;
         }
-        // They overlap, but do not all begin at once.
-        let since_ms = ms - FROM_MS + 170 * server as u64;
-        since_ms % self.every_ms < self.need_ms
+        // The servers' announcements overlap, but do not all start at once.
+        let since_ms = ms - FIRST_ANNOUNCEMENT_MS + 170 * server as u64;
+        since_ms % self.every_ms < self.announce_ms
     }
 }
 
-/// A server: a run of it, and what it works on.
+/// A server: its current instance and the requests in it.
 #[derive(Default)]
 struct SimServer {
-    run: u64,
+    instance: u64,
     key: ServerKey,
-    leaves_since: Option<u64>,
+    /// When the instance started to drain, in milliseconds of the simulation.
+    draining_since_ms: Option<u64>,
     is_up: bool,
-    /// Ends of what runs, and what waits: box, its life, attempt, when it came.
+    /// The requests that run, with the time at which each ends, and those that wait.
     running: Vec<(u64, Sent)>,
     waiting: VecDeque<Sent>,
-    /// When the last rest that it asked for ends, and when it was first of use after that.
+    /// When its last backoff ends, and when it first completed a request after that.
     backoff_until_ms: u64,
     used_again_ms: Option<u64>,
 }
@@ -94,60 +98,62 @@
 #[derive(Clone, Copy)]
 struct Sent {
     place: usize,
-    life: u64,
+    incarnation: u64,
     attempt: AttemptId,
     server: usize,
     key: ServerKey,
     resend: bool,
 }
 
-/// What an answer says.
+/// A response of a server.
 struct Answer {
     due_ms: u64,
     sent: Sent,
     ended: HealthOutcome,
-    rest_ms: Option<u64>,
-    leaves: bool,
+    backoff_ms: Option<u64>,
+    is_draining: bool,
 }
 
 struct SimBox {
-    life: u64,
+    incarnation: u64,
     balancer: Balancer,
-    standings: AnnouncedStates,
-    /// What the box has heard, kept here by itself: until when a run rests, since when it
-    /// leaves.
-    heard: HashMap<ServerKey, (u64, Option<u64>)>,
+    announced_states: AnnouncedStates,
+    /// What the box has received, kept separately from the code under test: for each
+    /// instance, when its backoff ends and since when it is draining, in milliseconds.
+    received: HashMap<ServerKey, (u64, Option<u64>)>,
     remote: BTreeMap<ServerKey, ServerTally>,
     waiting: Vec<u64>,
 }
 
 #[derive(Default, Debug)]
 struct Outcome {
-    asked: u64,
+    requests: u64,
     served: u64,
     refused: u64,
-    sent_to_resting: u64,
-    sent_to_leaving_late: u64,
-    /// First attempts at a server that leaves while another had a slot free.
-    sent_to_leaving_in_vain: u64,
-    /// Requests that were refused though a server could have taken them.
-    refused_in_vain: u64,
-    /// How long a server was idle after its last rest, at most.
+    sent_in_backoff: u64,
+    /// Requests sent to a draining server later than `LAST_RESORT_MS` after its
+    /// announcement.
+    sent_to_draining_late: u64,
+    /// First attempts at a draining server while another one had a free slot.
+    sent_to_draining_needlessly: u64,
+    /// Requests that were refused although a server could have run them.
+    refused_needlessly: u64,
+    /// The longest time that a server was idle after its last backoff.
     longest_idle_ms: u64,
 }
 
-struct Play {
+struct Simulation {
     setting: Setting,
     random: StdRng,
     start: Instant,
     now_ms: u64,
     boxes: Vec<SimBox>,
     servers: Vec<SimServer>,
-    /// The server of each run that there was.
-    runs: HashMap<ServerKey, usize>,
+    /// The server of each instance so far.
+    instances: HashMap<ServerKey, usize>,
     arrivals: VecDeque<(u64, Sent)>,
     answers: Vec<Answer>,
-    lives: u64,
+    incarnations: u64,
     outcome: Outcome,
 }
 
@@ -164,30 +170,30 @@
     }
 }
 
-impl Play {
+impl Simulation {
     fn new(setting: Setting) -> Self {
-        let mut play = Self {
+        let mut simulation = Self {
             setting,
             random: StdRng::seed_from_u64(setting.seed + 1_000),
             start: Instant::now(),
             now_ms: 0,
             boxes: Vec::new(),
             servers: Vec::new(),
-            runs: HashMap::new(),
+            instances: HashMap::new(),
             arrivals: VecDeque::new(),
             answers: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             outcome: Outcome::default(),
         };
         for n in 0..SERVERS {
-            let first = play.begin_run(n, 0);
-            play.servers.push(first);
+            let first = simulation.start_instance(n, 0);
+            simulation.servers.push(first);
         }
         for _ in 0..setting.boxes {
-            let fresh = play.fresh_box();
-            play.boxes.push(fresh);
+            let fresh = simulation.fresh_box();
+            simulation.boxes.push(fresh);
         }
-        play
+        simulation
     }
 
     fn run(mut self) -> Outcome {
@@ -199,8 +205,8 @@
             self.arrive();
             self.finish();
             self.deliver();
-            self.let_callers_come();
-            if self.now_ms.is_multiple_of(NEWS_EVERY_MS) {
+            self.send_requests();
+            if self.now_ms.is_multiple_of(UPDATE_INTERVAL_MS) {
                 self.send_updates();
             }
             self.now_ms += STEP_MS;
@@ -217,11 +223,11 @@
         self.at(self.now_ms)
     }
 
-    fn begin_run(&mut self, n: usize, run: u64) -> SimServer {
-        let key = record(n, run).key();
-        self.runs.insert(key, n);
+    fn start_instance(&mut self, n: usize, instance: u64) -> SimServer {
+        let key = record(n, instance).key();
+        self.instances.insert(key, n);
         SimServer {
-            run,
+            instance,
             key,
             is_up: true,
             ..SimServer::default()
@@ -229,60 +235,61 @@
     }
 
     fn fresh_box(&mut self) -> SimBox {
-        self.lives += 1;
+        self.incarnations += 1;
         let mut fresh = SimBox {
-            life: self.lives,
+            incarnation: self.incarnations,
             balancer: Balancer::new("dc-1".into()),
-            standings: AnnouncedStates::default(),
-            heard: HashMap::new(),
+            announced_states: AnnouncedStates::default(),
+            received: HashMap::new(),
             remote: BTreeMap::new(),
             waiting: Vec::new(),
         };
         for (n, server) in self.servers.iter().enumerate().filter(|(_, s)| s.is_up) {
-            announce(&mut fresh, &record(n, server.run), self.now());
+            announce(&mut fresh, &record(n, server.instance), self.now());
         }
         fresh
     }
 
-    /// Servers that leave end, and their next run begins.
+    /// Starts to drain servers, ends draining ones and starts their next instances.
     fn follow_servers(&mut self) {
         for n in 0..SERVERS {
-            let begins = self.setting.rest_ms.is_none()
-                && self.setting.speaks(n, self.now_ms)
-                && self.servers[n].leaves_since.is_none();
-            if begins && self.servers[n].run == 0 {
-                self.servers[n].leaves_since = Some(self.now_ms);
+            let starts = self.setting.backoff_ms.is_none()
+                && self.setting.announces(n, self.now_ms)
+                && self.servers[n].draining_since_ms.is_none();
+            if starts && self.servers[n].instance == 0 {
+                self.servers[n].draining_since_ms = Some(self.now_ms);
             }
-            let Some(since) = self.servers[n].leaves_since else {
+            let Some(since) = self.servers[n].draining_since_ms else {
                 continue;
             };
             let now = self.now();
-            if self.servers[n].is_up && self.now_ms >= since + LEAVES_FOR_MS {
-                let gone = record(n, self.servers[n].run);
+            if self.servers[n].is_up && self.now_ms >= since + DRAIN_MS {
+                let ended = record(n, self.servers[n].instance);
                 self.servers[n].is_up = false;
                 self.servers[n].waiting.clear();
                 for sim in &mut self.boxes {
-                    withdraw(sim, gone.key());
+                    withdraw(sim, ended.key());
                 }
             }
-            if self.now_ms >= since + LEAVES_FOR_MS + 1_000 {
-                let run = self.servers[n].run + 1;
-                self.servers[n] = self.begin_run(n, run);
-                let born = record(n, run);
+            if self.now_ms >= since + DRAIN_MS + 1_000 {
+                let instance = self.servers[n].instance + 1;
+                self.servers[n] = self.start_instance(n, instance);
+                let started = record(n, instance);
                 for sim in &mut self.boxes {
-                    announce(sim, &born, now);
+                    announce(sim, &started, now);
                 }
             }
         }
     }
 
-    /// Entries go and come back, at each box by itself; now and then a box starts again.
+    /// Removes entries and adds them again, at each box independently, and sometimes
+    /// restarts a box.
     fn disturb(&mut self) {
         let now = self.now();
         for place in 0..self.boxes.len() {
             if self.random.random_bool(0.002) {
                 let n = self.random.random_range(0..SERVERS);
-                let entry = record(n, self.servers[n].run);
+                let entry = record(n, self.servers[n].instance);
                 let sim = &mut self.boxes[place];
                 if self.servers[n].is_up {
                     withdraw(sim, entry.key());
@@ -295,15 +302,15 @@
         }
     }
 
-    fn let_callers_come(&mut self) {
+    fn send_requests(&mut self) {
         let per_s =
             self.setting.load * (SERVERS * SLOTS) as f64 * 1000.0 / WORK_MS as f64;
         let mut due = per_s * STEP_MS as f64 / 1000.0;
         while due >= 1.0 || (due > 0.0 && self.random.random_bool(due)) {
             due -= 1.0;
             let place = self.random.random_range(0..self.boxes.len());
-            self.outcome.asked += 1;
-            self.request(place, None, PATIENCE_MS);
+            self.outcome.requests += 1;
+            self.request(place, None, MAX_BACKOFF_WAIT_MS);
         }
         for place in 0..self.boxes.len() {
             let waiting = std::mem::take(&mut self.boxes[place].waiting);
@@ -317,9 +324,9 @@
         }
     }
 
-    /// Sends a request as a box does: to the best server, to one that leaves where the others
-    /// are full, or later where the first rest ends soon.
-    fn request(&mut self, place: usize, tried: Option<ServerKey>, patience_ms: u64) {
+    /// Sends a request as a box does: to the best server, to a draining one where the
+    /// others are full, or later where the shortest backoff ends soon.
+    fn request(&mut self, place: usize, tried: Option<ServerKey>, max_wait_ms: u64) {
         let now = self.now();
         let tried: Vec<_> = tried.into_iter().collect();
         let want = PickRequest {
@@ -336,52 +343,54 @@
         let balancer = &self.boxes[place].balancer;
         let pick = balancer.pick(&want, now, &mut self.random);
         let waits_long = |pick: &Pick| pick.wait_ms > WORK_MS as f64;
-        let leaving = match pick.as_ref().is_none_or(waits_long) && tried.is_empty() {
+        let draining = match pick.as_ref().is_none_or(waits_long) && tried.is_empty() {
             true => balancer.pick_draining(&want, now, &mut self.random),
             false => None,
         };
-        let leaving = leaving.filter(|leaving| {
+        let draining = draining.filter(|draining| {
             let other = pick.as_ref();
-            other.is_none_or(|pick| leaving.expected_ms < pick.expected_ms)
+            other.is_none_or(|pick| draining.expected_ms < pick.expected_ms)
         });
-        let is_leaving = leaving.is_some();
-        if let Some(pick) = leaving.or(pick) {
-            return self.send(place, &pick, is_leaving, !tried.is_empty());
+        let is_draining = draining.is_some();
+        if let Some(pick) = draining.or(pick) {
+            return self.send(place, &pick, is_draining, !tried.is_empty());
         }
         let back = balancer.shortest_backoff(&want, now);
         let back_ms = back.map(|back| back.as_millis() as u64);
-        if let Some(back_ms) = back_ms.filter(|back_ms| *back_ms <= patience_ms) {
+        if let Some(back_ms) = back_ms.filter(|back_ms| *back_ms <= max_wait_ms) {
             let spread = self.random.random_range(0..50);
             let due_ms = self.now_ms + back_ms + spread;
             return self.boxes[place].waiting.push(due_ms);
         }
         self.outcome.refused += 1;
-        let could = (0..SERVERS).any(|n| {
+        let could_run = (0..SERVERS).any(|n| {
             let SimServer { key, is_up, .. } = self.servers[n];
             is_up && !tried.contains(&key) && self.is_free(place, key)
         });
-        self.outcome.refused_in_vain += u64::from(could);
+        self.outcome.refused_needlessly += u64::from(could_run);
     }
 
-    /// Whether a box may use a run by what it has heard.
-    fn is_free(&self, place: usize, run: ServerKey) -> bool {
-        let heard = self.boxes[place].heard.get(&run);
-        heard.is_none_or(|(backoff_until_ms, leaves)| {
-            *backoff_until_ms <= self.now_ms && leaves.is_none()
+    /// Returns whether a box may use an instance by the announcements that it has
+    /// received.
+    fn is_free(&self, place: usize, instance: ServerKey) -> bool {
+        let received = self.boxes[place].received.get(&instance);
+        received.is_none_or(|(backoff_until_ms, draining_since_ms)| {
+            *backoff_until_ms <= self.now_ms && draining_since_ms.is_none()
         })
     }
 
-    fn send(&mut self, place: usize, pick: &Pick, is_leaving: bool, resend: bool) {
+    fn send(&mut self, place: usize, pick: &Pick, is_draining: bool, resend: bool) {
         let now = self.now();
         let key = pick.server.key();
-        let heard = self.boxes[place].heard.get(&key).copied();
-        if let Some((backoff_until_ms, leaves)) = heard {
-            self.outcome.sent_to_resting += u64::from(self.now_ms < backoff_until_ms);
-            let late = leaves.is_some_and(|ms| self.now_ms >= ms + LAST_RESORT_MS);
-            self.outcome.sent_to_leaving_late += u64::from(late);
-            let idle = self.setting.load < 0.5 && self.setting.speakers < SERVERS;
-            let in_vain = leaves.is_some() && (!is_leaving || idle);
-            self.outcome.sent_to_leaving_in_vain += u64::from(in_vain);
+        let received = self.boxes[place].received.get(&key).copied();
+        if let Some((backoff_until_ms, draining_since_ms)) = received {
+            self.outcome.sent_in_backoff += u64::from(self.now_ms < backoff_until_ms);
+            let late =
+                draining_since_ms.is_some_and(|ms| self.now_ms >= ms + LAST_RESORT_MS);
+            self.outcome.sent_to_draining_late += u64::from(late);
+            let idle = self.setting.load < 0.5 && self.setting.announcing < SERVERS;
+            let needless = draining_since_ms.is_some() && (!is_draining || idle);
+            self.outcome.sent_to_draining_needlessly += u64::from(needless);
         }
         let sim = &mut self.boxes[place];
         let expected = ExpectedLatency {
@@ -390,10 +399,10 @@
             service_time: ServiceTime::new(),
         };
         let attempt = sim.balancer.begin(key, expected, now);
-        let server = self.runs[&key];
+        let server = self.instances[&key];
         let sent = Sent {
             place,
-            life: sim.life,
+            incarnation: sim.incarnation,
             attempt,
             server,
             key,
@@ -409,12 +418,12 @@
                 self.arrivals.push_back((due_ms, sent));
                 continue;
             }
-            let needy = self.setting.speaks(sent.server, self.now_ms);
+            let announces = self.setting.announces(sent.server, self.now_ms);
             let server = &mut self.servers[sent.server];
             if !server.is_up || server.key != sent.key {
                 self.answer(sent, HealthOutcome::Unreached, None);
-            } else if needy && self.setting.rest_ms.is_some() {
-                self.answer(sent, HealthOutcome::Refused, self.setting.rest_ms);
+            } else if announces && self.setting.backoff_ms.is_some() {
+                self.answer(sent, HealthOutcome::Refused, self.setting.backoff_ms);
             } else if server.running.len() < SLOTS {
                 server.running.push((self.now_ms + WORK_MS, sent));
             } else if server.waiting.len() < QUEUE {
@@ -429,10 +438,10 @@
         for n in 0..SERVERS {
             let now_ms = self.now_ms;
             let running = std::mem::take(&mut self.servers[n].running);
-            let (ended, goes_on): (Vec<_>, Vec<_>) = running
+            let (ended, still_running): (Vec<_>, Vec<_>) = running
                 .into_iter()
                 .partition(|(end_ms, _)| *end_ms <= now_ms);
-            self.servers[n].running = goes_on;
+            self.servers[n].running = still_running;
             for (_, sent) in ended {
                 if let Some(next) = self.servers[n].waiting.pop_front() {
                     self.servers[n].running.push((now_ms + WORK_MS, next));
@@ -442,12 +451,12 @@
         }
     }
 
-    fn answer(&mut self, sent: Sent, ended: HealthOutcome, rest_ms: Option<u64>) {
+    fn answer(&mut self, sent: Sent, ended: HealthOutcome, backoff_ms: Option<u64>) {
         let due_ms = self.now_ms + self.random.random_range(1..5);
         let server = &mut self.servers[sent.server];
-        let leaves = server.leaves_since.is_some();
-        if let Some(rest_ms) = rest_ms {
-            server.backoff_until_ms = server.backoff_until_ms.max(due_ms + rest_ms);
+        let is_draining = server.draining_since_ms.is_some();
+        if let Some(backoff_ms) = backoff_ms {
+            server.backoff_until_ms = server.backoff_until_ms.max(due_ms + backoff_ms);
             server.used_again_ms = None;
         }
         if ended == HealthOutcome::Good && self.now_ms >= server.backoff_until_ms {
@@ -457,8 +466,8 @@
             due_ms,
             sent,
             ended,
-            rest_ms,
-            leaves: leaves && ended == HealthOutcome::Good,
+            backoff_ms,
+            is_draining: is_draining && ended == HealthOutcome::Good,
         });
     }
 
@@ -471,7 +480,7 @@
             let sent = answer.sent;
             let now = self.now();
             let sim = &mut self.boxes[sent.place];
-            if sim.life != sent.life {
+            if sim.incarnation != sent.incarnation {
                 continue;
             }
             let key = sent.key;
@@ -486,38 +495,38 @@
         }
     }
 
-    /// Takes in what an answer says, as a box does for each head that it reads.
+    /// Applies the announcements of a response, as a box does for each response head.
     fn receive(&mut self, answer: &Answer, key: ServerKey) {
         let (now, now_ms) = (self.now(), self.now_ms);
         let sim = &mut self.boxes[answer.sent.place];
-        let heard = sim.heard.entry(key).or_insert((0, None));
-        if let Some(rest_ms) = answer.rest_ms {
-            heard.0 = heard.0.max(now_ms + rest_ms);
-            sim.standings
-                .receive_backoff(key, now + Duration::from_millis(rest_ms));
+        let received = sim.received.entry(key).or_insert((0, None));
+        if let Some(backoff_ms) = answer.backoff_ms {
+            received.0 = received.0.max(now_ms + backoff_ms);
+            sim.announced_states
+                .receive_backoff(key, now + Duration::from_millis(backoff_ms));
         }
-        if answer.leaves {
-            heard.1 = heard.1.or(Some(now_ms));
-            sim.standings.record_draining(key, now);
+        if answer.is_draining {
+            received.1 = received.1.or(Some(now_ms));
+            sim.announced_states.record_draining(key, now);
         }
-        let standing = sim.standings.state(key);
+        let standing = sim.announced_states.state(key);
         sim.balancer.set_announced_state(key, standing);
     }
 
-    /// How long the servers were idle after their last rests, at most.
+    /// Returns the longest time that a server was idle after its last backoff.
     fn longest_idle_ms(&self) -> u64 {
-        let spoke = self
+        let backed_off = self
             .servers
             .iter()
             .filter(|server| server.backoff_until_ms > 0);
-        let idle = spoke.map(|server| {
+        let idle = backed_off.map(|server| {
             let used_ms = server.used_again_ms.unwrap_or(END_MS);
             used_ms.saturating_sub(server.backoff_until_ms)
         });
         idle.max().unwrap_or(0)
     }
 
-    /// Tells each box what all others have seen.
+    /// Sends each box the tallies of all others.
     fn send_updates(&mut self) {
         let now = self.now();
         let mut all: BTreeMap<ServerKey, ServerTally> = BTreeMap::new();
@@ -543,42 +552,43 @@
 }
 
 fn announce(sim: &mut SimBox, record: &ServerRecord, now: Instant) {
-    sim.standings.announce(record.key());
+    sim.announced_states.announce(record.key());
     sim.balancer.upsert(record.clone(), now);
-    let standing = sim.standings.state(record.key());
+    let standing = sim.announced_states.state(record.key());
     sim.balancer.set_announced_state(record.key(), standing);
 }
 
 fn withdraw(sim: &mut SimBox, server: ServerKey) {
-    sim.standings.withdraw(server);
+    sim.announced_states.withdraw(server);
     sim.balancer.remove(server);
 }
 
-fn play_checked(seed: u64) {
+fn simulate_checked(seed: u64) {
     let setting = Setting::drawn(seed);
-    let outcome = Play::new(setting).run();
+    let outcome = Simulation::new(setting).run();
     assert!(outcome.served > 500, "{setting:?}: {outcome:?}");
-    assert_eq!(outcome.sent_to_resting, 0, "{setting:?}");
-    assert_eq!(outcome.sent_to_leaving_late, 0, "{setting:?}");
-    assert_eq!(outcome.sent_to_leaving_in_vain, 0, "{setting:?}");
-    assert_eq!(outcome.refused_in_vain, 0, "{setting:?}");
-    // The time in which the floor tries what nobody used, and a slot's work.
-    let is_asked_for = setting.load > 0.5;
+    assert_eq!(outcome.sent_in_backoff, 0, "{setting:?}");
+    assert_eq!(outcome.sent_to_draining_late, 0, "{setting:?}");
+    assert_eq!(outcome.sent_to_draining_needlessly, 0, "{setting:?}");
+    assert_eq!(outcome.refused_needlessly, 0, "{setting:?}");
+    // The time until an idle probe goes to an unused server, and the work of one slot.
+    let is_loaded = setting.load > 0.5;
     assert!(
-        !is_asked_for || outcome.longest_idle_ms <= 2_500,
+        !is_loaded || outcome.longest_idle_ms <= 2_500,
         "{setting:?}: {outcome:?}"
     );
 }
 
 #[test]
 fn no_word_is_passed_and_nothing_is_refused_beyond_it() {
-    let play_each_fifth = |from: u64| (from..50).step_by(5).for_each(play_checked);
+    let simulate_each_fifth =
+        |from: u64| (from..50).step_by(5).for_each(simulate_checked);
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..5)
-            .map(|from| scope.spawn(move || play_each_fifth(from)))
+            .map(|from| scope.spawn(move || simulate_each_fifth(from)))
             .collect();
         for thread in threads {
-            thread.join().expect("no play fails");
+            thread.join().expect("no simulation fails");
         }
     });
 }
--- a/tests/tests/words_table.rs
+++ b/tests/tests/words_table.rs
@@ -1,10 +1,11 @@
-//! The table of what servers, the store, the operator and callers may say is the code's.
+//! The page's table of headers, statuses and fields that others send agrees with the
+//! code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
 const LET_PASS: &str = "let pass";
-/// Where words of others are read on the path of the platform.
+/// The files that read headers and statuses of others on the platform's path.
 const READERS: [&str; 8] = [
     "crates/wingspur-edge/src/admission.rs",
     "crates/wingspur-edge/src/attempt.rs",
@@ -16,7 +17,8 @@
     "platform/src/store.rs",
 ];
 
-/// A row of the table.
+/// A row of the table: a term, the name by which the code reads it, the file that does
+/// so, whom it binds and until when.
 struct Row {
     word: String,
     read_as: String,
@@ -34,7 +36,7 @@
     let page = read("docs/PLATFORM.md");
     let section = page.split("## What others say").nth(1);
     let section = section.and_then(|rest| rest.split("\n## ").next());
-    let rows = section.expect("the section is there").lines();
+    let rows = section.expect("the page has the section").lines();
     let rows = rows.filter_map(|line| {
         let cells: Vec<_> = line.trim_matches('|').split(" | ").collect();
         let [_, word, read_as, taken_up_by, binds, until] = cells[..] else {
@@ -52,12 +54,12 @@
     rows.skip(2).collect()
 }
 
-/// What stands between quotes, as header names do.
+/// Returns the texts between double quotes, such as header names.
 fn literals(source: &str) -> Vec<&str> {
     source.split('"').skip(1).step_by(2).collect()
 }
 
-/// Whether the whole word stands somewhere in a text.
+/// Returns whether a text contains a word that is not a part of a longer one.
 fn has_word(text: &str, word: &str) -> bool {
     let is_part = |c: Option<char>| c.is_some_and(|c| c.is_alphanumeric() || c == '_');
     text.match_indices(word).any(|(at, _)| {
@@ -67,7 +69,8 @@
     })
 }
 
-/// Names in capitals that follow a path, as `StatusCode::GONE` does.
+/// Returns the names in capitals that follow a path, such as `GONE` in
+/// `StatusCode::GONE`.
 fn constants_after(source: &str, path: &str) -> BTreeSet<String> {
     let after = source.split(path).skip(1);
     let named = after.map(|rest| {
@@ -77,7 +80,7 @@
     named.filter(|name| name.len() > 1).collect()
 }
 
-/// The header constants that a file imports.
+/// Returns the header constants that a file imports.
 fn imported_headers(source: &str) -> BTreeSet<String> {
     let imports = source.split("use hyper::header::").skip(1);
     let names = imports.flat_map(|rest| {
@@ -85,11 +88,12 @@
         let names = rest[..end].split(|c: char| !c.is_ascii_uppercase() && c != '_');
         names.map(str::to_owned).collect::<Vec<_>>()
     });
-    // Parts of type names are one letter long.
+    // A type name contributes fragments of one capital letter, which are not constants.
     names.filter(|name| name.len() > 2).collect()
 }
 
-/// The fields of what is read from a wire form, by what they are called there.
+/// Returns the field names of all deserialised structs of a file, as they are on the
+/// wire.
 fn wire_fields(source: &str) -> BTreeSet<String> {
     let mut fields = BTreeSet::new();
     for item in source.split("#[derive(").skip(1) {
@@ -122,7 +126,11 @@
 #[test]
 fn each_row_names_code_that_reads_its_word_or_says_why_none_does() {
     let rows = table();
-    assert!(rows.len() > 50, "the table is there: {}", rows.len());
+    assert!(
+        rows.len() > 50,
+        "the table has too few rows: {}",
+        rows.len()
+    );
     for row in rows {
         assert!(
             !row.binds.is_empty() && !row.until.is_empty(),
@@ -130,7 +138,11 @@
             row.word
         );
         if row.taken_up_by == LET_PASS {
-            assert!(row.binds.len() > 20, "{}: why is it let pass?", row.word);
+            assert!(
+                row.binds.len() > 20,
+                "{}: the reason why it is let pass is missing",
+                row.word
+            );
             continue;
         }
         let source = read(&row.taken_up_by);
@@ -144,7 +156,7 @@
     let page = read("docs/PLATFORM.md");
     let section = page.split("## What the code leans on").nth(1);
     let section = section.and_then(|rest| rest.split("\n## ").next());
-    let rows = section.expect("the section is there").lines();
+    let rows = section.expect("the page has the section").lines();
     let rows = rows.filter(|line| line.starts_with("| ")).skip(2);
     let mut count = 0;
     for row in rows {
@@ -153,7 +165,10 @@
             panic!("five cells: {row}");
         };
         count += 1;
-        assert!(fails.trim().len() > 20, "{promise}: what if it fails?");
+        assert!(
+            fails.trim().len() > 20,
+            "{promise}: the consequence of its failure is missing"
+        );
         if leaned_on_by.trim() == "-" {
             continue;
         }
@@ -161,7 +176,7 @@
         let word = read_as.trim();
         assert!(has_word(&source, word), "{leaned_on_by}: {word}");
     }
-    assert!(count > 20, "the table is there: {count}");
+    assert!(count > 20, "the table has too few rows: {count}");
 }
 
 #[test]
@@ -197,10 +212,10 @@
     let rows = table();
     for path in READERS {
         let source = read(path);
-        let mut hints = imported_headers(&source);
-        hints.extend(constants_after(&source, "StatusCode::"));
-        hints.remove("OK");
-        for word in hints {
+        let mut names = imported_headers(&source);
+        names.extend(constants_after(&source, "StatusCode::"));
+        names.remove("OK");
+        for word in names {
             let known = rows.iter().any(|row| row.read_as == word);
             assert!(known, "{path} reads {word}");
         }
