--- a/crates/wingspur-edge/src/lease_messages.rs
+++ b/crates/wingspur-edge/src/lease_messages.rs
@@ -1,10 +1,10 @@
-//! Sends what boxes ask and answer of loans.
+//! Sends quota lease requests and replies to other boxes.
 
 use wingspur_coordination::QuotaMessage;
 
 use crate::edge_state::EdgeState;
 
-/// Sends what there is to ask and to answer.
+/// Sends each lease request or reply on its link, or queues it for the link's next frame.
 pub fn send_lease_messages(
     shared: &EdgeState,
     messages: impl IntoIterator<Item = QuotaMessage>,
@@ -15,7 +15,9 @@
         match outgoing.sender.send(&outgoing.frame) {
             Ok(bytes) => shared.metrics.count_frame(bytes),
             // The link's own task notices that it has ended.
-            Err(error) => tracing::debug!(%error, "lending: not sent."),
+            Err(error) => {
+                tracing::debug!(%error, "lending: lease message not sent.")
+            }
         }
     }
 }
--- a/crates/wingspur-edge/src/quota_leases.rs
+++ b/crates/wingspur-edge/src/quota_leases.rs
@@ -1,4 +1,4 @@
-//! Asks other boxes for parts of the fleet's allowances, and answers them.
+//! Leases parts of fleet-wide quotas from other boxes and grants leases to them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -24,37 +24,39 @@
     handle_resend_lease_reply, handle_resend_lease_request,
 };
 
-/// Lets a request of an account through, or refuses it: by 429 what is over its limit, by 503
-/// what nobody could tell in time.
+/// Admits a request within its client account's rate limit. Rejects it with 429 if the
+/// account is over its limit, and with 503 if the quota state could not be determined in
+/// time.
 ///
-/// Each request is paid for by what boxes have minted of the account's limit: none goes
-/// through on the strength of news, which other boxes may not hear. `docs/design/allowances.md`
-/// proves what that bounds.
+/// Each admitted request spends quota that boxes have issued from the account's limit.
+/// Updates between boxes never suffice to admit one, because other boxes may not receive
+/// them. `docs/design/allowances.md` proves the bound that follows.
 pub async fn enforce_account_limit(
     shared: &EdgeState,
     id: &str,
     account: &ClientAccount,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(), RequestError> {
     if !account.is_limited() {
         return Ok(());
     }
-    let began = wingspur_clock::now();
-    let of = LeasedResource::Account(account.allowance());
-    let outcome = acquire_quota(shared, of, 0.0, LONGEST_WAIT.min(patience / 2)).await;
-    let (code, more_in) = match outcome {
+    let started_at = wingspur_clock::now();
+    let resource = LeasedResource::Account(account.allowance());
+    let outcome =
+        acquire_quota(shared, resource, 0.0, MAX_QUOTA_WAIT.min(timeout / 2)).await;
+    let (code, available_in) = match outcome {
         AcquireOutcome::Acquired => return Ok(()),
-        AcquireOutcome::Refused(more_in) => (ResultCode::AccountLimit, more_in),
+        AcquireOutcome::Refused(available_in) => (ResultCode::AccountLimit, available_in),
         AcquireOutcome::Unknown | AcquireOutcome::Pending => {
             (ResultCode::QuotaUnavailable, Duration::ZERO)
         }
     };
-    let retry_after = come_back(more_in);
+    let retry_after = retry_after_with_jitter(available_in);
     tracing::info!(
         id,
         account = account.name,
-        waited_ms = wingspur_clock::since(began).as_millis() as u64,
-        more_in_ms = more_in.as_millis() as u64,
+        waited_ms = wingspur_clock::since(started_at).as_millis() as u64,
+        more_in_ms = available_in.as_millis() as u64,
         retry_after_ms = retry_after.as_millis() as u64,
         result = code.name(),
         "allowance: refused."
@@ -65,75 +67,79 @@
     })
 }
 
-/// Takes in what another box asks for and answers.
+/// Handles the lease requests and replies that a frame from another box carries.
 pub fn handle_lease_messages(
     shared: &Arc<EdgeState>,
     link: LinkId,
-    lending: &LeaseMessages,
+    received: &LeaseMessages,
 ) {
-    if *lending == LeaseMessages::default() {
+    if *received == LeaseMessages::default() {
         return;
     }
     let now = wingspur_clock::now();
-    let standing = standing(shared, now);
-    let allowances = Allowances::now(shared);
-    let find = |of| allowances.find(shared, of);
-    let is_lent_here = |of: &LeasedResource| match of {
+    let topology = topology(shared, now);
+    let quotas = QuotaTable::current(shared);
+    let find = |resource| quotas.find(shared, resource);
+    let is_quota = |resource: &LeasedResource| match resource {
         LeasedResource::Account(_) | LeasedResource::Server(_) => true,
         LeasedResource::Resend(_)
         | LeasedResource::Hedge(_)
         | LeasedResource::Permit(_) => false,
     };
     let mut state = shared.quota_leases.lock();
-    state.update_shares(&standing, now);
+    state.update_shares(&topology, now);
     let mut messages = QuotaMessages::new();
-    for request in lending
+    for request in received
         .requests
         .iter()
-        .filter(|ask| is_lent_here(&ask.resource))
+        .filter(|request| is_quota(&request.resource))
     {
-        messages.extend(state.handle_request(link, request, &standing, &find, now));
+        messages.extend(state.handle_request(link, request, &topology, &find, now));
     }
-    let answers = lending.replies.iter();
-    for answer in answers.filter(|answer| is_lent_here(&answer.resource)) {
-        messages.extend(state.handle_answer(answer, &standing, &find, now));
+    let replies = received.replies.iter();
+    for reply in replies.filter(|reply| is_quota(&reply.resource)) {
+        messages.extend(state.handle_answer(reply, &topology, &find, now));
     }
     let is_busy = state.has_pending();
     drop(state);
-    take_permits(shared, link, lending);
-    messages.extend(take_resend_loans(shared, link, lending));
+    handle_permits(shared, link, received);
+    messages.extend(handle_resend_leases(shared, link, received));
     send_lease_messages(shared, messages);
     if is_busy {
         shared.quota_lease_pending.notify();
     }
 }
 
-/// Keeps the part's clock, and goes on with what waits, until the box stops.
+/// Refreshes this box's quota share and retries pending lease requests until the box
+/// stops.
 pub async fn run_quota_leases(shared: Arc<EdgeState>, stop: StopSignal) {
-    let (mut tidied, mut told_part) = (wingspur_clock::now(), 0.0);
+    let (mut evicted_at, mut logged_share) = (wingspur_clock::now(), 0.0);
     while !stop.is_triggered() {
         if shared.quota_leases.lock().has_pending() {
-            wingspur_clock::sleep(GO_ON_EVERY).await;
+            wingspur_clock::sleep(PENDING_POLL_INTERVAL).await;
         } else {
-            shared.quota_lease_pending.wait(CLOCK_EVERY).await;
+            shared
+                .quota_lease_pending
+                .wait(SHARE_REFRESH_INTERVAL)
+                .await;
         }
         let now = wingspur_clock::now();
-        let standing = standing(&shared, now);
-        let allowances = Allowances::now(&shared);
-        let find = |of| allowances.find(&shared, of);
-        if (standing.share - told_part).abs() > told_part / TOLD_PART {
-            told_part = standing.share;
+        let topology = topology(&shared, now);
+        let quotas = QuotaTable::current(&shared);
+        let find = |resource| quotas.find(&shared, resource);
+        if (topology.share - logged_share).abs() > logged_share / SHARE_LOG_DIVISOR {
+            logged_share = topology.share;
             tracing::info!(
-                part = round_for_log(told_part),
-                is_member = standing.own_hub.is_some(),
+                part = round_for_log(logged_share),
+                is_member = topology.own_hub.is_some(),
                 "allowance: this box has another part."
             );
         }
         let mut state = shared.quota_leases.lock();
-        state.update_shares(&standing, now);
-        let messages = state.poll(&standing, &find, now);
-        if now.saturating_duration_since(tidied) >= TIDY_EVERY {
-            tidied = now;
+        state.update_shares(&topology, now);
+        let messages = state.poll(&topology, &find, now);
+        if now.saturating_duration_since(evicted_at) >= EVICTION_INTERVAL {
+            evicted_at = now;
             state.evict_idle(&find, now);
         }
         drop(state);
@@ -141,32 +147,34 @@
     }
 }
 
-/// Wants one of an allowance; what came of it within a time.
+/// Acquires one unit of a quota. Returns `Unknown` if there is no outcome within
+/// `timeout`.
 pub async fn acquire_quota(
     shared: &EdgeState,
-    of: LeasedResource,
+    resource: LeasedResource,
     reserve: ReserveShare,
-    patience: Duration,
+    timeout: Duration,
 ) -> AcquireOutcome {
-    match begin_to_want(shared, of, reserve) {
+    match request_quota(shared, resource, reserve) {
         Ok(outcome) => outcome,
-        Err(told) => wait_until_told(told, patience).await,
+        Err(grant) => wait_for_grant(grant, timeout).await,
     }
 }
 
-/// Wants one of an allowance: what came of it, or where that will be told.
-fn begin_to_want(
+/// Requests one unit of a quota. Returns the outcome, or the channel on which it will
+/// arrive.
+fn request_quota(
     shared: &EdgeState,
-    of: LeasedResource,
+    resource: LeasedResource,
     reserve: ReserveShare,
 ) -> Result<AcquireOutcome, PendingGrant> {
     let now = wingspur_clock::now();
-    let standing = standing(shared, now);
-    let allowances = Allowances::now(shared);
-    let find = |of| allowances.find(shared, of);
+    let topology = topology(shared, now);
+    let quotas = QuotaTable::current(shared);
+    let find = |resource| quotas.find(shared, resource);
     let mut state = shared.quota_leases.lock();
-    state.update_shares(&standing, now);
-    let (outcome, messages) = state.acquire(of, reserve, &standing, &find, now);
+    state.update_shares(&topology, now);
+    let (outcome, messages) = state.acquire(resource, reserve, &topology, &find, now);
     drop(state);
     send_lease_messages(shared, messages);
     if outcome.is_err() {
@@ -175,71 +183,79 @@
     outcome
 }
 
-async fn wait_until_told(told: PendingGrant, patience: Duration) -> AcquireOutcome {
-    let told = async { told.recv().await.unwrap_or(AcquireOutcome::Unknown) };
+async fn wait_for_grant(grant: PendingGrant, timeout: Duration) -> AcquireOutcome {
+    let grant = async { grant.recv().await.unwrap_or(AcquireOutcome::Unknown) };
     let expired = async {
-        wingspur_clock::sleep(patience).await;
+        wingspur_clock::sleep(timeout).await;
         AcquireOutcome::Unknown
     };
-    told.or(expired).await
+    grant.or(expired).await
 }
 
-/// Takes in what is asked and answered of resends.
-fn take_resend_loans(
+/// Handles the lease requests and replies for resends; returns the messages to send.
+fn handle_resend_leases(
     shared: &EdgeState,
     link: LinkId,
-    lending: &LeaseMessages,
+    received: &LeaseMessages,
 ) -> QuotaMessages {
-    let of_resends = |of: &LeasedResource| {
-        matches!(of, LeasedResource::Resend(_) | LeasedResource::Hedge(_))
+    let is_resend = |resource: &LeasedResource| {
+        matches!(
+            resource,
+            LeasedResource::Resend(_) | LeasedResource::Hedge(_)
+        )
     };
-    let asks = lending
+    let requests = received
         .requests
         .iter()
-        .filter(|ask| of_resends(&ask.resource));
-    let answers = lending.replies.iter();
-    let answers = answers.filter(|answer| of_resends(&answer.resource));
-    let answered = asks.flat_map(|ask| handle_resend_lease_request(shared, link, ask));
-    let passed = answers.flat_map(|answer| handle_resend_lease_reply(shared, answer));
-    answered.chain(passed).collect()
+        .filter(|request| is_resend(&request.resource));
+    let replies = received.replies.iter();
+    let replies = replies.filter(|reply| is_resend(&reply.resource));
+    let responses =
+        requests.flat_map(|request| handle_resend_lease_request(shared, link, request));
+    let forwarded_replies =
+        replies.flat_map(|reply| handle_resend_lease_reply(shared, reply));
+    responses.chain(forwarded_replies).collect()
 }
 
-/// Takes in what is asked and answered of requests in quarantine.
-fn take_permits(shared: &Arc<EdgeState>, link: LinkId, lending: &LeaseMessages) {
-    let of_permits = |of: &LeasedResource| matches!(of, LeasedResource::Permit(_));
-    for ask in lending
+/// Handles the permit requests and replies for quarantined requests.
+fn handle_permits(shared: &Arc<EdgeState>, link: LinkId, received: &LeaseMessages) {
+    let is_permit =
+        |resource: &LeasedResource| matches!(resource, LeasedResource::Permit(_));
+    for request in received
         .requests
         .iter()
-        .filter(|ask| of_permits(&ask.resource))
+        .filter(|request| is_permit(&request.resource))
     {
-        handle_permit_request(shared, link, ask);
+        handle_permit_request(shared, link, request);
     }
-    let answers = lending.replies.iter();
-    for answer in answers.filter(|answer| of_permits(&answer.resource)) {
-        handle_permit_response(shared, answer);
+    let replies = received.replies.iter();
+    for reply in replies.filter(|reply| is_permit(&reply.resource)) {
+        handle_permit_response(shared, reply);
     }
 }
 
-fn standing(shared: &EdgeState, now: Instant) -> QuotaTopology {
+fn topology(shared: &EdgeState, now: Instant) -> QuotaTopology {
     shared.links.lock().quota_standing(now)
 }
 
-/// What allowances are reckoned by: the bundle in force, the settings and servers' limits.
-struct Allowances {
+/// Looks up quotas from the active bundle, the settings and the limits of servers.
+struct QuotaTable {
     accounts: Option<Arc<AccountTable>>,
     quota: QuotaTolerance,
 }
 
-impl Allowances {
-    fn now(shared: &EdgeState) -> Self {
+impl QuotaTable {
+    fn current(shared: &EdgeState) -> Self {
         Self {
-            accounts: shared.active_bundle().and_then(|now| now.accounts.clone()),
+            accounts: shared
+                .active_bundle()
+                .and_then(|bundle| bundle.accounts.clone()),
             quota: shared.settings().quota,
         }
     }
 
-    fn find(&self, shared: &EdgeState, of: LeasedResource) -> Option<Quota> {
-        match of {
+    fn find(&self, shared: &EdgeState, resource: LeasedResource) -> Option<Quota> {
+        match resource {
             LeasedResource::Account(key) => {
                 let account = self.accounts.as_ref()?.of_allowance(key)?;
                 Some(Quota {
@@ -247,7 +263,7 @@
                     allocator: QuotaAllocator::EachHub,
                 })
             }
-            LeasedResource::Server(server) => of_server(shared, server),
+            LeasedResource::Server(server) => server_quota(shared, server),
             LeasedResource::Resend(_)
             | LeasedResource::Hedge(_)
             | LeasedResource::Permit(_) => None,
@@ -255,8 +271,9 @@
     }
 }
 
-/// What a server takes, held by the hub of its data centre.
-fn of_server(shared: &EdgeState, server: ServerKey) -> Option<Quota> {
+/// Returns the quota of a server's rate limit, which the hub of its data centre
+/// allocates. `None` if the server is not announced or has no limit.
+fn server_quota(shared: &EdgeState, server: ServerKey) -> Option<Quota> {
     let service = shared.services.of_server(server)?;
     let balancer = service.balancer.lock();
     let limit_per_s = balancer.limit(server, wingspur_clock::now())?;
@@ -267,22 +284,26 @@
     })
 }
 
-/// When a refused caller may come again: once there is more, and not all at once.
-fn come_back(more_in: Duration) -> Duration {
-    let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random());
-    more_in.max(SOONEST_COME_BACK) + spread
+/// Returns the delay after which a refused caller may retry: when quota is expected to be
+/// available, plus jitter so that callers do not all return at once.
+fn retry_after_with_jitter(available_in: Duration) -> Duration {
+    let jitter = RETRY_AFTER_JITTER.mul_f64(rand::rng().random());
+    available_in.max(MIN_RETRY_AFTER) + jitter
 }
 
-/// An answer takes some milliseconds; a hub that is lost has a successor after about a second,
-/// a box that starts again uses its part 0.8 s later, and what waits by then is minted soon after.
-const LONGEST_WAIT: Duration = Duration::from_millis(1800);
-/// How often what waits is looked at.
-const GO_ON_EVERY: Duration = Duration::from_millis(20);
-/// How often the part's clock is set while nobody asks.
-const CLOCK_EVERY: Duration = Duration::from_millis(200);
-/// A part that is off by more than an eighth is told anew.
-const TOLD_PART: f64 = 8.0;
-const TIDY_EVERY: Duration = Duration::from_secs(1);
-/// Refused callers come back over this span, so that they do not come at once again.
-const COME_BACK_SPREAD: Duration = Duration::from_millis(1500);
-const SOONEST_COME_BACK: Duration = Duration::from_millis(200);
+/// Longest wait for the quota of an account. A reply takes some milliseconds. A lost hub
+/// is replaced after about a second, a restarted box uses its share 0.8 s later, and the
+/// quota for requests that wait by then is issued soon after.
+const MAX_QUOTA_WAIT: Duration = Duration::from_millis(1800);
+/// Interval at which pending lease requests are polled.
+const PENDING_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the quota share is refreshed while no lease request is pending.
+const SHARE_REFRESH_INTERVAL: Duration = Duration::from_millis(200);
+/// A share is logged again once it differs from the last logged one by more than an
+/// eighth of that one. This is the divisor.
+const SHARE_LOG_DIVISOR: f64 = 8.0;
+const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
+/// Retries of refused callers are spread over this time, so that they do not arrive at
+/// once.
+const RETRY_AFTER_JITTER: Duration = Duration::from_millis(1500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
--- a/crates/wingspur-edge/src/resend_lease_exchange.rs
+++ b/crates/wingspur-edge/src/resend_lease_exchange.rs
@@ -1,4 +1,4 @@
-//! Asks other boxes for resends, and answers their questions.
+//! Leases resends from the retry budgets of other boxes and handles their lease requests.
 
 use std::time::{Duration, Instant};
 
@@ -14,85 +14,104 @@
 use crate::resend_leases::{ForwardedRequest, ResendBudgetReports, resend_kind};
 use crate::services::ServiceState;
 
-/// Asks other boxes for a resend; whether one has lent it.
+/// Asks other boxes for one unit of retry budget. Returns whether it was granted in time.
 ///
-/// Gain: a box sees few requests of a service, so its part is a resend or two, used up by the
-/// first trouble while the parts of the others lie idle.
+/// A box handles few requests of a service, so its share is one or two resends. The first
+/// failures use these up while the shares of other boxes remain unused.
 pub async fn lease_resend(
     shared: &EdgeState,
     service: &ServiceState,
-    use_: ResendKind,
+    kind: ResendKind,
 ) -> bool {
-    let Some((number, answered)) = ask_for_resend(shared, service, use_) else {
+    let Some((number, receiver)) = request_resend_lease(shared, service, kind) else {
         return false;
     };
-    let lent = async { answered.recv().await.unwrap_or(false) };
+    let granted = async { receiver.recv().await.unwrap_or(false) };
     let expired = async {
         wingspur_clock::sleep(RESEND_LEASE_TTL).await;
         false
     };
-    let lent = lent.or(expired).await;
+    let granted = granted.or(expired).await;
     shared.resend_leases.lock().pending.remove(&number);
-    lent
+    granted
 }
 
-/// Sends the question to whoever should have room; its number, and where the answer comes.
-fn ask_for_resend(
+/// Sends a lease request to the own hub, or to the box with the most budget left. Returns
+/// the number of the request and the channel for the reply; `None` if there is no box to
+/// ask.
+fn request_resend_lease(
     shared: &EdgeState,
     service: &ServiceState,
-    use_: ResendKind,
+    kind: ResendKind,
 ) -> Option<(u32, async_channel::Receiver<bool>)> {
-    let of = lendable(service, use_);
-    let lenders = shared.links.lock().lease_sources();
-    let mut loans = shared.resend_leases.lock();
-    let to = match lenders.own_hub {
+    let resource = resend_resource(service, kind);
+    let sources = shared.links.lock().lease_sources();
+    let mut leases = shared.resend_leases.lock();
+    let to = match sources.own_hub {
         Some(hub) => hub,
-        None => loans.choose_lender(&lenders, of, None)?,
+        None => leases.choose_lender(&sources, resource, None)?,
     };
-    let number = loans.next_request_number();
-    let (told, answered) = async_channel::bounded(1);
-    loans.pending.insert(number, told);
-    drop(loans);
+    let number = leases.next_request_number();
+    let (sender, receiver) = async_channel::bounded(1);
+    leases.pending.insert(number, sender);
+    drop(leases);
     let request = QuotaLeaseRequest {
         request_id: number,
-        resource: of,
+        resource,
         held: 0.0,
         on_demand_count: 1,
         reserve: 0.0,
         wanted: 0.0,
     };
     send_lease_messages(shared, vec![QuotaMessage::request(to, request)]);
-    Some((number, answered))
+    Some((number, receiver))
 }
 
-/// Answers another box's question for a resend: lends, passes the question on, or declines.
+/// Handles another box's lease request for a resend: grants it from this box's own
+/// budget, forwards it to a box with budget left, or refuses it. Returns the message to
+/// send.
 pub fn handle_resend_lease_request(
     shared: &EdgeState,
     link: LinkId,
     request: &QuotaLeaseRequest,
 ) -> QuotaMessages {
     let now = wingspur_clock::now();
-    if lends_itself(shared, request.resource, now) {
-        return vec![answering(link, request.request_id, request.resource, true)];
+    if try_lend_own(shared, request.resource, now) {
+        return vec![lease_reply(
+            link,
+            request.request_id,
+            request.resource,
+            true,
+        )];
     }
-    let lenders = shared.links.lock().lease_sources();
-    if lenders.own_hub == Some(link) {
-        return vec![answering(link, request.request_id, request.resource, false)];
+    let sources = shared.links.lock().lease_sources();
+    if sources.own_hub == Some(link) {
+        return vec![lease_reply(
+            link,
+            request.request_id,
+            request.resource,
+            false,
+        )];
     }
-    let mut loans = shared.resend_leases.lock();
-    let Some(to) = loans.choose_lender(&lenders, request.resource, Some(link)) else {
-        return vec![answering(link, request.request_id, request.resource, false)];
+    let mut leases = shared.resend_leases.lock();
+    let Some(to) = leases.choose_lender(&sources, request.resource, Some(link)) else {
+        return vec![lease_reply(
+            link,
+            request.request_id,
+            request.resource,
+            false,
+        )];
     };
-    let number = loans.next_request_number();
-    let passed = ForwardedRequest {
+    let number = leases.next_request_number();
+    let forwarded = ForwardedRequest {
         from: link,
         number: request.request_id,
         at: now,
     };
-    loans
+    leases
         .forwarded
-        .retain(|_, passed| passed.at + KEPT_FOR > now);
-    loans.forwarded.insert(number, passed);
+        .retain(|_, forwarded| forwarded.at + FORWARDED_TTL > now);
+    leases.forwarded.insert(number, forwarded);
     let request = QuotaLeaseRequest {
         request_id: number,
         ..*request
@@ -100,91 +119,96 @@
     vec![QuotaMessage::request(to, request)]
 }
 
-/// Takes in the answer to a question for a resend: this box's own, or one passed on.
+/// Handles the reply to a lease request: delivers it to the waiting task of this box, or
+/// returns the reply to the box whose request was forwarded.
 pub fn handle_resend_lease_reply(
     shared: &EdgeState,
-    answer: &QuotaLeaseReply,
+    reply: &QuotaLeaseReply,
 ) -> QuotaMessages {
-    let lent = answer.on_demand_granted > 0;
-    let mut loans = shared.resend_leases.lock();
-    if let Some(asked) = loans.pending.remove(&answer.request_id) {
-        // One that has given up does not listen any more.
-        let _ = asked.try_send(lent);
+    let granted = reply.on_demand_granted > 0;
+    let mut leases = shared.resend_leases.lock();
+    if let Some(waiter) = leases.pending.remove(&reply.request_id) {
+        // Sending fails if the waiting task has timed out, which needs no handling.
+        let _ = waiter.try_send(granted);
         return QuotaMessages::new();
     }
-    let passed = loans.forwarded.remove(&answer.request_id);
-    let message = |passed: ForwardedRequest| {
-        answering(passed.from, passed.number, answer.resource, lent)
+    let forwarded = leases.forwarded.remove(&reply.request_id);
+    let message = |forwarded: ForwardedRequest| {
+        lease_reply(forwarded.from, forwarded.number, reply.resource, granted)
     };
-    passed.map(message).into_iter().collect()
+    forwarded.map(message).into_iter().collect()
 }
 
-/// How the retry budgets stand at this box, and over it and its members.
+/// Returns the usage of the retry budgets at this box, and summed over it and its
+/// members.
 pub fn resend_budget_reports(shared: &EdgeState, now: Instant) -> ResendBudgetReports {
-    if let Some((at, told)) = &shared.resend_leases.lock().last_report
-        && now.saturating_duration_since(*at) < TOLD_FOR
+    if let Some((at, report)) = &shared.resend_leases.lock().last_report
+        && now.saturating_duration_since(*at) < REPORT_CACHE_TTL
     {
-        return told.clone();
+        return report.clone();
     }
-    let standing = shared.fleet_membership();
-    let room = |service: &ServiceState| {
+    let membership = shared.fleet_membership();
+    let usage_of = |service: &ServiceState| {
         let mut budget = service.budget.lock();
-        let answer = budget.check(ResendKind::AfterFailure, standing, now);
+        let check = budget.check(ResendKind::AfterFailure, membership, now);
         ResendBudgetUsage {
             service: server_key(&service.name),
-            spent: answer.spent as f32,
-            limit: answer.limit() as f32,
+            spent: check.spent as f32,
+            limit: check.limit() as f32,
         }
     };
     let services = shared.services.all();
-    let own: Vec<_> = services.iter().map(|service| room(service)).collect();
+    let own: Vec<_> = services.iter().map(|service| usage_of(service)).collect();
     let members = shared.links.lock().lease_sources().members;
-    let mut loans = shared.resend_leases.lock();
-    let sums = loans.aggregate_with(&own, &members);
-    let told = ResendBudgetReports {
-        own,
-        aggregate: sums,
-    };
-    loans.last_report = Some((now, told.clone()));
-    told
+    let mut leases = shared.resend_leases.lock();
+    let aggregate = leases.aggregate_with(&own, &members);
+    let report = ResendBudgetReports { own, aggregate };
+    leases.last_report = Some((now, report.clone()));
+    report
 }
 
-/// Whether this box's own part has room for the resend of another; counts it.
-fn lends_itself(shared: &EdgeState, of: LeasedResource, now: Instant) -> bool {
-    let Some((key, use_)) = resend_kind(of) else {
+/// Lends a resend from this box's own budget and counts it there. Returns whether it did.
+fn try_lend_own(shared: &EdgeState, resource: LeasedResource, now: Instant) -> bool {
+    let Some((key, kind)) = resend_kind(resource) else {
         return false;
     };
     let services = shared.services.all();
-    let mut named = services.iter();
-    let service = named.find(|service| server_key(&service.name) == key);
-    let standing = shared.fleet_membership();
+    let mut candidates = services.iter();
+    let service = candidates.find(|service| server_key(&service.name) == key);
+    let membership = shared.fleet_membership();
     service.is_some_and(|service| {
         let mut budget = service.budget.lock();
-        budget.try_lend(use_, standing, now).allowed
+        budget.try_lend(kind, membership, now).allowed
     })
 }
 
-fn lendable(service: &ServiceState, use_: ResendKind) -> LeasedResource {
+fn resend_resource(service: &ServiceState, kind: ResendKind) -> LeasedResource {
     let key = server_key(&service.name);
-    match use_ {
+    match kind {
         ResendKind::AfterFailure => LeasedResource::Resend(key),
         ResendKind::Hedge => LeasedResource::Hedge(key),
     }
 }
 
-fn answering(link: LinkId, number: u32, of: LeasedResource, lent: bool) -> QuotaMessage {
-    let answer = QuotaLeaseReply {
+fn lease_reply(
+    link: LinkId,
+    number: u32,
+    resource: LeasedResource,
+    granted: bool,
+) -> QuotaMessage {
+    let reply = QuotaLeaseReply {
         request_id: number,
-        resource: of,
-        on_demand_granted: u32::from(lent),
+        resource,
+        on_demand_granted: u32::from(granted),
         prefetch_granted: 0.0,
         renewed: false,
         retry_after_ms: None,
     };
-    QuotaMessage::reply(link, answer, true)
+    QuotaMessage::reply(link, reply, true)
 }
 
-/// How long what is told of the budgets counts as new: each frame asks for it.
-const TOLD_FOR: Duration = Duration::from_millis(100);
-/// Whoever asked has given up by then.
-const KEPT_FOR: Duration = Duration::from_millis(500);
+/// How long computed budget reports are reused, since each frame asks for them.
+const REPORT_CACHE_TTL: Duration = Duration::from_millis(100);
+/// How long a forwarded lease request is kept; the box that made it has timed out by
+/// then.
+const FORWARDED_TTL: Duration = Duration::from_millis(500);
--- a/crates/wingspur-edge/src/resend_leases.rs
+++ b/crates/wingspur-edge/src/resend_leases.rs
@@ -1,8 +1,9 @@
-//! Resends that boxes make for each other's account: who has room, who is asked, who lends.
+//! Resends that a box makes on the retry budget of another box, and which box it asks.
 //!
-//! Each box may make the resends that its own requests and its part of the slack allow; one
-//! that has no room asks its hub, which asks the box with the most. Who lends counts the
-//! resend as its own, so nothing is allowed that would not be without lending.
+//! Each box may make the resends that its own requests and its share of the slack allow.
+//! A box without budget left asks its hub, which asks the box with the most budget left.
+//! The lender counts the resend as its own, so leasing allows no more resends in total
+//! than there would be without it.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -11,140 +12,149 @@
 use wingspur_protocol::{LeasedResource, ResendBudgetUsage};
 use wingspur_state::{ResendKind, ServerKey};
 
-/// Who has room for resends, and which loans are under way.
+/// Retry budget usage reported by other boxes, and the lease requests in progress.
 #[derive(Debug, Default)]
 pub struct ResendLeases {
-    rooms: HashMap<LinkId, HashMap<ServerKey, ResendBudgetUsage>>,
-    /// This box's own questions, with who waits for each answer.
+    usage_by_link: HashMap<LinkId, HashMap<ServerKey, ResendBudgetUsage>>,
+    /// This box's own lease requests by number, each with the channel of the task that
+    /// waits for the reply: whether the resend was granted.
     pub pending: HashMap<u32, async_channel::Sender<bool>>,
-    /// Questions of other boxes that were passed on.
+    /// Lease requests of other boxes that this box has forwarded, by their number here.
     pub forwarded: HashMap<u32, ForwardedRequest>,
     next_number: u32,
-    /// What was told last, and when it was put together.
+    /// The usage last reported to other boxes, and when it was computed.
     pub last_report: Option<(Instant, ResendBudgetReports)>,
 }
 
-/// A question that was passed on to a box with room.
+/// A lease request that was forwarded to a box with budget left.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Who asked.
+    /// Link to the box that made the request.
     pub from: LinkId,
-    /// The number of its question.
+    /// Number that the requesting box gave it.
     pub number: u32,
-    /// When it was passed on.
+    /// When it was forwarded.
     pub at: Instant,
 }
 
-/// How the retry budgets stand, as it is told to other boxes.
+/// Usage of the retry budgets as reported to other boxes, an entry per service.
 #[derive(Debug, Clone, Default)]
 pub struct ResendBudgetReports {
-    /// At this box.
+    /// Usage at this box.
     pub own: Vec<ResendBudgetUsage>,
-    /// Over this box and its members.
+    /// Usage summed over this box and its members.
     pub aggregate: Vec<ResendBudgetUsage>,
 }
 
-/// Whom a box may ask.
+/// Linked boxes that a box may ask for a resend lease.
 #[derive(Debug, Default)]
 pub struct LeaseSources {
-    /// The hub that this box reports to.
+    /// The hub that this box is a member of; `None` if this box acts as a hub.
     pub own_hub: Option<LinkId>,
-    /// The boxes that report to this one.
+    /// The boxes that are members of this one.
     pub members: Vec<LinkId>,
     /// The hubs of other data centres.
     pub other_hubs: Vec<LinkId>,
 }
 
 impl ResendLeases {
-    /// Takes in how the budgets stand at the other side of a link.
-    pub fn record_report(&mut self, link: LinkId, rooms: &[ResendBudgetUsage]) {
-        if !rooms.is_empty() {
-            let rooms = rooms.iter().map(|room| (room.service, *room));
-            self.rooms.insert(link, rooms.collect());
+    /// Stores the retry budget usage reported on a link. An empty report changes nothing.
+    pub fn record_report(&mut self, link: LinkId, report: &[ResendBudgetUsage]) {
+        if !report.is_empty() {
+            let usages = report.iter().map(|usage| (usage.service, *usage));
+            self.usage_by_link.insert(link, usages.collect());
         }
     }
 
-    /// Forgets a link that has ended.
+    /// Removes the reports of a link that has ended.
     pub fn forget(&mut self, link: LinkId) {
-        self.rooms.remove(&link);
+        self.usage_by_link.remove(&link);
     }
 
-    /// The share of a service's budget that is spent over the boxes of a hub, as it tells.
+    /// Returns the fraction of a service's retry budget that is spent over the boxes of a
+    /// hub, according to the hub's last report. `None` if it has reported none for the
+    /// service.
     pub fn spent_share(&self, hub: LinkId, service: ServerKey) -> Option<f64> {
-        let room = self.rooms.get(&hub)?.get(&service)?;
-        Some(f64::from(room.spent) / f64::from(room.limit).max(1.0))
+        let usage = self.usage_by_link.get(&hub)?.get(&service)?;
+        Some(f64::from(usage.spent) / f64::from(usage.limit).max(1.0))
     }
 
-    /// How the budgets stand at this box and some others together.
+    /// Adds the usage last reported by the given members to this box's own.
     pub fn aggregate_with(
         &self,
         own: &[ResendBudgetUsage],
         members: &[LinkId],
     ) -> Vec<ResendBudgetUsage> {
-        let told = members.iter().filter_map(|link| self.rooms.get(link));
-        let told: Vec<_> = told.collect();
+        let reports = members
+            .iter()
+            .filter_map(|link| self.usage_by_link.get(link));
+        let reports: Vec<_> = reports.collect();
         let sum_of = |own: &ResendBudgetUsage| {
-            let rooms = told.iter().filter_map(|rooms| rooms.get(&own.service));
-            rooms.fold(*own, |sum, room| ResendBudgetUsage {
+            let usages = reports.iter().filter_map(|report| report.get(&own.service));
+            usages.fold(*own, |sum, usage| ResendBudgetUsage {
                 service: sum.service,
-                spent: sum.spent + room.spent,
-                limit: sum.limit + room.limit,
+                spent: sum.spent + usage.spent,
+                limit: sum.limit + usage.limit,
             })
         };
         own.iter().map(sum_of).collect()
     }
 
-    /// Whom to ask for a resend: the member with the most room, or else the hub of another
-    /// data centre with it, which asks its own members. None where nobody has room.
+    /// Chooses the box to ask for a resend: the member with the most budget left, or else
+    /// such a hub of another data centre, which asks its own members. A request that came
+    /// from another data centre's hub goes to members only. Never returns `requester`;
+    /// `None` if no box has budget left or `resource` is no resend.
     pub fn choose_lender(
         &mut self,
-        lenders: &LeaseSources,
-        of: LeasedResource,
-        asker: Option<LinkId>,
+        sources: &LeaseSources,
+        resource: LeasedResource,
+        requester: Option<LinkId>,
     ) -> Option<LinkId> {
-        let (service, use_) = resend_kind(of)?;
-        let from_hub = asker.is_some_and(|link| lenders.other_hubs.contains(&link));
-        let here = self.with_most_room(&lenders.members, service, use_, asker);
-        let chosen = match here {
+        let (service, kind) = resend_kind(resource)?;
+        let from_hub = requester.is_some_and(|link| sources.other_hubs.contains(&link));
+        let member =
+            self.with_most_budget_left(&sources.members, service, kind, requester);
+        let chosen = match member {
             None if !from_hub => {
-                self.with_most_room(&lenders.other_hubs, service, use_, asker)
+                self.with_most_budget_left(&sources.other_hubs, service, kind, requester)
             }
-            here => here,
+            member => member,
         }?;
-        // Until it tells anew, it has one less.
-        let rooms = self.rooms.get_mut(&chosen)?;
-        rooms.get_mut(&service)?.spent += 1.0;
+        // Counts the resend as spent there until the box sends its next report.
+        let report = self.usage_by_link.get_mut(&chosen)?;
+        report.get_mut(&service)?.spent += 1.0;
         Some(chosen)
     }
 
-    fn with_most_room(
+    fn with_most_budget_left(
         &self,
         links: &[LinkId],
         service: ServerKey,
-        use_: ResendKind,
-        not: Option<LinkId>,
+        kind: ResendKind,
+        excluded: Option<LinkId>,
     ) -> Option<LinkId> {
-        let room_of = |link: &LinkId| {
-            let room = self.rooms.get(link)?.get(&service)?;
-            Some(room.limit * use_.budget_share() as f32 - room.spent)
+        let budget_left = |link: &LinkId| {
+            let usage = self.usage_by_link.get(link)?.get(&service)?;
+            Some(usage.limit * kind.budget_share() as f32 - usage.spent)
         };
-        let others = links.iter().filter(|link| Some(**link) != not);
-        let able = others.filter_map(|link| Some((*link, room_of(link)?)));
-        let able = able.filter(|(_, room)| *room >= 1.0);
-        let most = able.max_by(|(_, a), (_, b)| a.total_cmp(b));
+        let others = links.iter().filter(|link| Some(**link) != excluded);
+        let candidates = others.filter_map(|link| Some((*link, budget_left(link)?)));
+        let candidates = candidates.filter(|(_, left)| *left >= 1.0);
+        let most = candidates.max_by(|(_, a), (_, b)| a.total_cmp(b));
         most.map(|(link, _)| link)
     }
 
-    /// The number of the next question.
+    /// Allocates the number of the next lease request.
     pub fn next_request_number(&mut self) -> u32 {
         self.next_number = self.next_number.wrapping_add(1);
         self.next_number
     }
 }
 
-/// The service that a resend is for, and how sure it is; none for what is no resend.
-pub fn resend_kind(of: LeasedResource) -> Option<(ServerKey, ResendKind)> {
-    match of {
+/// Returns the service and the kind (retry or hedge) of a resend; `None` for other
+/// resources.
+pub fn resend_kind(resource: LeasedResource) -> Option<(ServerKey, ResendKind)> {
+    match resource {
         LeasedResource::Resend(service) => Some((service, ResendKind::AfterFailure)),
         LeasedResource::Hedge(service) => Some((service, ResendKind::Hedge)),
         LeasedResource::Account(_)
