--- a/crates/wingspur-edge/src/admission.rs
+++ b/crates/wingspur-edge/src/admission.rs
@@ -1,8 +1,8 @@
-//! Who may ask for what: the route of a request, and the client account of its key.
+//! Admission of requests: finds the route of a request and the client account of its key.
 //!
-//! A refusal for a route or a key that is not known is final for its caller. So a box says it
-//! only while its news is of a moment ago; else it waits a little for newer news, and then
-//! tells the caller to come back.
+//! Callers treat a rejection for an unknown route or key as final. So a box rejects a
+//! request for that only if its catalog is fresh. Otherwise it waits a little for newer
+//! catalog information, and then reports a stale catalog, so that the caller retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,73 +15,77 @@
 use crate::edge_state::EdgeState;
 use crate::request_error::RequestError;
 
-/// A request that asks to be let in.
+/// A request to be admitted.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// Its id, for logs.
+    /// Id of the request, for logs.
     pub id: &'a str,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Instant,
-    /// How long its caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Duration,
 }
 
-/// Whom a request is counted for.
+/// The key and client account that a request is attributed to.
 #[derive(Debug, Clone, Default)]
 pub struct Principal {
-    /// The key that its caller gave; none where none was given or asked for.
+    /// Digest of the caller's key; `None` if the caller gave none or the bundle has no
+    /// accounts.
     pub key: Option<KeyDigest>,
-    /// The account that the key belonged to when the request came.
+    /// The account that the key belonged to when the request was admitted; `None` if
+    /// there was none.
     pub account: Option<Arc<ClientAccount>>,
 }
 
-/// Why a request is not sent any more.
+/// Error: the caller's key no longer belongs to an account, and the route requires one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyRevoked;
 
-/// Finds the route of a request.
+/// Finds the route of a request by its host and path.
 pub async fn find_route(
     shared: &EdgeState,
-    asking: &AdmissionRequest<'_>,
+    request: &AdmissionRequest<'_>,
     host: &str,
     path: &str,
 ) -> Result<Arc<ActiveRoute>, RequestError> {
-    let find = |in_force: &ActiveBundle| in_force.find(host, path).cloned();
-    find_or_refuse(shared, asking, ResultCode::NoRoute, find).await
+    let find = |bundle: &ActiveBundle| bundle.find(host, path).cloned();
+    find_or_reject(shared, request, ResultCode::NoRoute, find).await
 }
 
-/// Finds the account of a request's key; a route that is open to all needs none.
+/// Finds the client account of a request's key. A route that is open to all requires
+/// none.
 pub async fn admit(
     shared: &EdgeState,
-    asking: &AdmissionRequest<'_>,
+    request: &AdmissionRequest<'_>,
     route: &ActiveRoute,
     headers: &HeaderMap,
 ) -> Result<Principal, RequestError> {
-    let key = key_of(headers);
-    let open = route.route.open_to_all;
-    let find = |in_force: &ActiveBundle| {
-        let Some(accounts) = &in_force.accounts else {
+    let key = bearer_key(headers);
+    let is_open = route.route.open_to_all;
+    let find = |bundle: &ActiveBundle| {
+        let Some(accounts) = &bundle.accounts else {
             return Some(Principal::default());
         };
         let account = key.and_then(|key| accounts.find(&key));
         let account = account.cloned();
-        (account.is_some() || open).then_some(Principal { key, account })
+        (account.is_some() || is_open).then_some(Principal { key, account })
     };
-    find_or_refuse(shared, asking, ResultCode::UnknownKey, find).await
+    find_or_reject(shared, request, ResultCode::UnknownKey, find).await
 }
 
 impl Principal {
-    /// The account that the request is sent for now; none where none is needed.
+    /// Returns the account that the key belongs to now; `None` if there is none and none
+    /// is required.
     ///
-    /// Asked before each attempt: a key that was taken away, or that has gone to another
-    /// account, while a request waited or was about to be sent again, counts as it is now.
+    /// It is looked up before each attempt, because the key may have been revoked or
+    /// moved to another account while the request waited or before it was resent.
     pub fn account_now(
         &self,
         shared: &EdgeState,
         route: &ActiveRoute,
     ) -> Result<Option<Arc<ClientAccount>>, KeyRevoked> {
-        let in_force = shared.active_bundle();
-        let accounts = in_force.as_ref().and_then(|now| now.accounts.as_ref());
+        let bundle = shared.active_bundle();
+        let accounts = bundle.as_ref().and_then(|bundle| bundle.accounts.as_ref());
         let Some(accounts) = accounts else {
             return Ok(None);
         };
@@ -93,14 +97,15 @@
     }
 }
 
-/// Removes what tells a backend server of keys, and what pretends to tell it of accounts.
+/// Removes headers that a backend server must not get from a caller: a forged account
+/// header and, if the deployment uses keys (`has_keys`), the key.
 pub fn strip_credentials(headers: &mut HeaderMap, account_header: &str, has_keys: bool) {
-    let pretends = |name: &&hyper::header::HeaderName| {
+    let is_forged = |name: &&hyper::header::HeaderName| {
         // Some servers read underscores as hyphens.
         name.as_str().replace('_', "-") == account_header
     };
-    let pretending: Vec<_> = headers.keys().filter(pretends).cloned().collect();
-    for name in pretending {
+    let forged: Vec<_> = headers.keys().filter(is_forged).cloned().collect();
+    for name in forged {
         headers.remove(name);
     }
     if has_keys {
@@ -108,45 +113,47 @@
     }
 }
 
-/// Finds something in the bundle in force, or refuses by `code` once no newer bundle can be
-/// in force elsewhere.
-async fn find_or_refuse<T>(
+/// Looks something up in the active bundle. If it is not there, waits until the catalog
+/// is known to be fresh and then rejects with `code`; if that takes too long, with
+/// `CatalogStale`.
+async fn find_or_reject<T>(
     shared: &EdgeState,
-    asking: &AdmissionRequest<'_>,
+    request: &AdmissionRequest<'_>,
     code: ResultCode,
     find: impl Fn(&ActiveBundle) -> Option<T>,
 ) -> Result<T, RequestError> {
-    let until = asking.arrived + LONGEST_WAIT.min(asking.timeout / 2);
+    let wait_until = request.arrived + MAX_FRESHNESS_WAIT.min(request.timeout / 2);
     loop {
-        let in_force = shared.active_bundle();
-        let in_force = in_force.ok_or(RequestError::from_code(ResultCode::NotReady))?;
-        if let Some(found) = find(&in_force) {
+        let bundle = shared.active_bundle();
+        let bundle = bundle.ok_or(RequestError::from_code(ResultCode::NotReady))?;
+        if let Some(found) = find(&bundle) {
             return Ok(found);
         }
         let now = wingspur_clock::now();
         let age = shared.links.lock().watch_state().confirmed_age(now);
-        let is_vouched = age.is_some_and(|age| age <= VOUCHED_FOR);
-        if is_vouched || now >= until {
-            let code = if is_vouched {
+        let is_fresh = age.is_some_and(|age| age <= MAX_FRESH_AGE);
+        if is_fresh || now >= wait_until {
+            let code = if is_fresh {
                 code
             } else {
                 ResultCode::CatalogStale
             };
             tracing::info!(
-                id = asking.id,
+                id = request.id,
                 news_age_ms = age.map(|age| age.as_millis() as u64),
-                version = in_force.version(),
+                version = bundle.version(),
                 result = code.name(),
                 "admission: refused."
             );
             return Err(RequestError::from_code(code));
         }
-        wingspur_clock::sleep(LOOK_AGAIN).await;
+        wingspur_clock::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The digest of the one key that a request carries.
-fn key_of(headers: &HeaderMap) -> Option<KeyDigest> {
+/// Returns the digest of the request's bearer key; `None` unless it has exactly one
+/// authorization header, with a key.
+fn bearer_key(headers: &HeaderMap) -> Option<KeyDigest> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
     let (scheme, key) = value.as_bytes().split_first_chunk::<{ SCHEME.len() }>()?;
@@ -155,12 +162,14 @@
     (is_bearer && !key.is_empty()).then(|| KeyDigest::of(key))
 }
 
-/// How a caller gives its key.
+/// Authorization scheme by which a caller sends its key.
 const SCHEME: &[u8; 7] = b"Bearer ";
-/// News is no older than this, and one call of the store, while the store answers any box
-/// that this one hears of; changes need to be in force after two to three seconds.
-const VOUCHED_FOR: Duration = Duration::from_millis(1800);
-/// A box that has just started has its first fresh news within this: 0.8 s until it watches
-/// the store, and 0.65 s for the watch to end. One whose news is late reads the store sooner.
-const LONGEST_WAIT: Duration = Duration::from_millis(1500);
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// Catalog age up to which the catalog counts as fresh. While the store responds to any
+/// box that this box receives updates from, the age is at most this plus one store call.
+/// Changes have to be active after two to three seconds.
+const MAX_FRESH_AGE: Duration = Duration::from_millis(1800);
+/// Longest wait for a fresh catalog. A box that has just started has one within this
+/// time: it takes 0.8 s until it watches the store, and 0.65 s for the watch to end. A
+/// box whose catalog information is late reads the store sooner.
+const MAX_FRESHNESS_WAIT: Duration = Duration::from_millis(1500);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -1,4 +1,5 @@
-//! What servers say of themselves in their answers: heard, told, and kept to.
+//! Hints that servers give about themselves in response headers: applied here and sent to
+//! other boxes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -15,10 +16,12 @@
 use crate::edge_state::EdgeState;
 use crate::quota_leases::acquire_quota;
 
-/// Takes in what the head of an answer says of the server that was asked, whatever becomes
-/// of the answer.
+/// Applies the hints in a server's response head, regardless of what happens to the
+/// response afterwards, and returns them.
 ///
-/// All heads of servers' answers come by here, so that no path of a request can miss a word.
+/// Every response head from a server passes through here, so that no request path can
+/// miss a hint. If the head comes from another instance than the one the request was sent
+/// to, its other hints are not applied.
 pub fn observe_response(
     shared: &EdgeState,
     id: &str,
@@ -28,93 +31,103 @@
     let now = wingspur_clock::now();
     let hints = head.hints(&shared.header_names, SystemTime::now());
     if hints.is_other_instance {
-        // What it says of itself is not of the run that was asked.
-        receive_replaced(shared, id, server);
+        // The other hints are not about the instance that the request was sent to.
+        handle_replaced_instance(shared, id, server);
         return hints;
     }
-    note_unreadable(shared, id, server, &hints);
+    report_unreadable_hints(shared, id, server, &hints);
     if let Ok(per_s) = hints.limit_per_s {
-        receive_limit(shared, server, per_s, now);
+        handle_own_limit(shared, server, per_s, now);
     }
     if hints.draining == Ok(true) {
-        receive_leaving(shared, id, server, now);
+        handle_own_draining(shared, id, server, now);
     }
-    if let Ok(Some(rest)) = hints.backoff {
-        receive_backoff(shared, id, server, rest, now);
+    if let Ok(Some(backoff)) = hints.backoff {
+        handle_own_backoff(shared, id, server, backoff, now);
     }
     hints
 }
 
-/// Stops sending to a run whose address is another's now.
-fn receive_replaced(shared: &EdgeState, id: &str, server: &ServerRecord) {
+/// Stops sending to a server instance whose address another instance uses now.
+fn handle_replaced_instance(shared: &EdgeState, id: &str, server: &ServerRecord) {
     shared
         .announced_states
         .lock()
         .receive_replaced(server.key());
-    adopt(shared, server.key());
+    update_balancer(shared, server.key());
     shared.metrics.count_server_hint("replaced");
-    tracing::warn!(id, server = %server.id, address = %server.address, "server: its address is another's now.");
+    tracing::warn!(
+        id,
+        server = %server.id,
+        address = %server.address,
+        "server: its address is another's now."
+    );
 }
 
-fn note_unreadable(
+fn report_unreadable_hints(
     shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
     hints: &ServerHints,
 ) {
-    let note = |word: &str, error: &dyn std::fmt::Display| {
-        shared.metrics.count_server_hint(word);
+    let report = |hint: &str, error: &dyn std::fmt::Display| {
+        shared.metrics.count_server_hint(hint);
         tracing::info!(id, server = %server.id, %error, "server: a word is not read.");
     };
     if let Err(error) = &hints.draining {
-        note("unreadable_leaving", error);
+        report("unreadable_leaving", error);
     }
     if let Err(error) = &hints.backoff {
-        note("unreadable_rest", error);
+        report("unreadable_rest", error);
     }
     if let Err(error) = &hints.limit_per_s {
         shared.metrics.count_limit("unreadable");
-        note("unreadable_limit", error);
+        report("unreadable_limit", error);
     }
 }
 
-fn receive_limit(
+fn handle_own_limit(
     shared: &EdgeState,
     server: &ServerRecord,
     per_s: Option<f64>,
     at: Instant,
 ) {
-    let mut standings = shared.announced_states.lock();
-    let change = standings.limits.receive_answer(server.key(), per_s, at);
-    drop(standings);
+    let mut states = shared.announced_states.lock();
+    let change = states.limits.receive_answer(server.key(), per_s, at);
+    drop(states);
     if let Some(change) = change {
-        apply(shared, &change, "own", None);
+        apply_limit(shared, &change, "own", None);
     }
 }
 
-fn receive_leaving(shared: &EdgeState, id: &str, server: &ServerRecord, now: Instant) {
+fn handle_own_draining(
+    shared: &EdgeState,
+    id: &str,
+    server: &ServerRecord,
+    now: Instant,
+) {
     let is_new = shared
         .announced_states
         .lock()
         .record_draining(server.key(), now);
     if is_new {
-        apply_leaving(shared, id, server.key(), now, None);
+        apply_draining(shared, id, server.key(), now, None);
     }
 }
 
-fn receive_backoff(
+fn handle_own_backoff(
     shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
-    rest: Duration,
+    backoff: Duration,
     now: Instant,
 ) {
     let is_new = shared
         .announced_states
         .lock()
-        .receive_backoff(server.key(), now + rest);
+        .receive_backoff(server.key(), now + backoff);
     if is_new {
-        adopt(shared, server.key());
+        update_balancer(shared, server.key());
     }
     shared.metrics.count_server_hint("rest");
     let outcome = if is_new {
@@ -122,97 +135,99 @@
     } else {
         "asked for less"
     };
-    let rest_ms = rest.as_millis() as u64;
+    let rest_ms = backoff.as_millis() as u64;
     tracing::info!(id, server = %server.id, rest_ms, "rest: {outcome}.");
 }
 
-/// Takes in what another box tells of servers' limits.
+/// Applies server rate limits reported by another box and forwards changes.
 pub fn handle_limit_updates(
     shared: &EdgeState,
     link: LinkId,
-    notes: &[ServerLimitUpdate],
+    updates: &[ServerLimitUpdate],
 ) {
     let now = wingspur_clock::now();
-    for note in notes {
-        let age = Duration::from_millis(note.age_ms.into());
-        let told = shared.links.lock().observation_window(link, age, now);
-        let mut standings = shared.announced_states.lock();
-        let change = standings
+    for update in updates {
+        let age = Duration::from_millis(update.age_ms.into());
+        let window = shared.links.lock().observation_window(link, age, now);
+        let mut states = shared.announced_states.lock();
+        let change = states
             .limits
-            .receive_updates(note.server, note.per_s, told);
-        drop(standings);
+            .receive_updates(update.server, update.per_s, window);
+        drop(states);
         if let Some(change) = change {
-            apply(shared, &change, "peer", Some(link));
+            apply_limit(shared, &change, "peer", Some(link));
         }
     }
 }
 
-/// Takes in that other boxes have heard servers say that they leave.
+/// Applies another box's report that servers are draining and forwards what is new.
 pub fn handle_leaving_updates(
     shared: &EdgeState,
     link: LinkId,
-    notes: &[ServerDrainingUpdate],
+    updates: &[ServerDrainingUpdate],
 ) {
     let now = wingspur_clock::now();
-    for note in notes {
-        let age = Duration::from_millis(note.age_ms.into());
+    for update in updates {
+        let age = Duration::from_millis(update.age_ms.into());
         let (earliest, _) = shared.links.lock().observation_window(link, age, now);
         let is_new = shared
             .announced_states
             .lock()
-            .record_draining(note.server, earliest);
+            .record_draining(update.server, earliest);
         if is_new {
-            apply_leaving(shared, "", note.server, earliest, Some(link));
+            apply_draining(shared, "", update.server, earliest, Some(link));
         }
     }
 }
 
-/// Notes what the catalog says of servers before their services follow it: what they have
-/// said stands for as long as their run does, also while it is not announced.
+/// Updates the announced server states from catalog changes, before these are applied to
+/// the services. What a server has announced is kept for as long as its instance lives,
+/// also while the catalog does not list it.
 pub fn record_announcements(shared: &EdgeState, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
-    let mut standings = shared.announced_states.lock();
-    let mut note_put = |record: &ServerRecord| {
-        standings.announce(record.key());
+    let mut states = shared.announced_states.lock();
+    let mut record_listed = |record: &ServerRecord| {
+        states.announce(record.key());
         if record.leaving {
-            standings.record_catalog_draining(record.key(), now);
+            states.record_catalog_draining(record.key(), now);
         }
     };
     for change in changes {
         match change {
-            RegistryChange::Updated(record) => note_put(record),
-            RegistryChange::Restarted { record, .. } => note_put(record),
+            RegistryChange::Updated(record) => record_listed(record),
+            RegistryChange::Restarted { record, .. } => record_listed(record),
             RegistryChange::Removed(_) => {}
         }
     }
     for change in changes {
         match change {
             RegistryChange::Updated(_) => {}
-            RegistryChange::Restarted { before, .. } => standings.forget(before.key()),
-            RegistryChange::Removed(record) => standings.withdraw(record.key()),
+            RegistryChange::Restarted { before, .. } => states.forget(before.key()),
+            RegistryChange::Removed(record) => states.withdraw(record.key()),
         }
     }
-    standings.limits.evict_expired(now);
+    states.limits.evict_expired(now);
 }
 
-/// Lets this box's picks go by how a server stands now; the server, if it is announced.
-fn adopt(shared: &EdgeState, server: ServerKey) -> Option<Arc<ServerRecord>> {
+/// Applies a server's announced state to the balancer of its service. Returns the
+/// server's record; `None` if the catalog does not list it.
+fn update_balancer(shared: &EdgeState, server: ServerKey) -> Option<Arc<ServerRecord>> {
     let service = shared.services.of_server(server)?;
     let mut balancer = service.balancer.lock();
-    let standing = shared.announced_states.lock().state(server);
-    balancer.set_announced_state(server, standing);
+    let state = shared.announced_states.lock().state(server);
+    balancer.set_announced_state(server, state);
     balancer.record(server).cloned()
 }
 
-/// Lets this box's picks go by a server that leaves, and tells the others.
-fn apply_leaving(
+/// Applies to the balancer that a server is draining, and sends it to the other boxes.
+fn apply_draining(
     shared: &EdgeState,
     id: &str,
     key: ServerKey,
     since: Instant,
     from: Option<LinkId>,
 ) {
-    let record = adopt(shared, key);
+    let record = update_balancer(shared, key);
     shared.links.lock().broadcast_leaving(key, since, from);
     shared.pending_updates.notify();
     shared.metrics.count_server_hint("leaving");
@@ -226,14 +241,14 @@
     );
 }
 
-/// Lets this box's picks go by a changed limit, and tells the others.
-fn apply(
+/// Applies a changed rate limit to the balancer, and sends it to the other boxes.
+fn apply_limit(
     shared: &EdgeState,
     change: &ServerLimitChange,
     source: &str,
     from: Option<LinkId>,
 ) {
-    let record = adopt(shared, change.server);
+    let record = update_balancer(shared, change.server);
     shared.links.lock().broadcast_limit(change, from);
     shared.pending_updates.notify();
     let outcome = match (change.before, change.per_s) {
@@ -253,48 +268,59 @@
     );
 }
 
-/// Asks for a place at a server that takes so many requests only; none where it has none left,
-/// with when there should be one, if that is known.
+/// Acquires one unit of a backend server's declared rate limit before a request is sent
+/// to it.
+///
+/// The error says that none was available in time, with the time until one should be;
+/// `None` if that is not known.
 pub async fn acquire_server_quota(
     shared: &EdgeState,
     id: &str,
     server: &ServerRecord,
-    rank: Priority,
+    priority: Priority,
 ) -> Result<(), Option<Duration>> {
-    let began = wingspur_clock::now();
-    let of = LeasedResource::Server(server.key());
-    let outcome = acquire_quota(shared, of, reserve_of(rank), PLACE_PATIENCE).await;
-    let (told, more_in) = match outcome {
+    let started_at = wingspur_clock::now();
+    let resource = LeasedResource::Server(server.key());
+    let outcome = acquire_quota(
+        shared,
+        resource,
+        reserve_share(priority),
+        SERVER_QUOTA_TIMEOUT,
+    )
+    .await;
+    let (result, available_in) = match outcome {
         AcquireOutcome::Acquired => ("place taken", None),
-        AcquireOutcome::Refused(more_in) => ("no place", Some(more_in)),
+        AcquireOutcome::Refused(available_in) => ("no place", Some(available_in)),
         AcquireOutcome::Unknown | AcquireOutcome::Pending => ("nobody could tell", None),
     };
-    shared.metrics.count_limit(&told.replace(' ', "_"));
+    shared.metrics.count_limit(&result.replace(' ', "_"));
     tracing::info!(
         id,
         server = %server.id,
-        rank,
-        waited_ms = wingspur_clock::since(began).as_millis() as u64,
-        more_in_ms = more_in.map(|more_in| more_in.as_millis() as u64),
-        "limit: {told}."
+        rank = priority,
+        waited_ms = wingspur_clock::since(started_at).as_millis() as u64,
+        more_in_ms = available_in.map(|available_in| available_in.as_millis() as u64),
+        "limit: {result}."
     );
     match outcome {
         AcquireOutcome::Acquired => Ok(()),
         AcquireOutcome::Refused(_)
         | AcquireOutcome::Unknown
-        | AcquireOutcome::Pending => Err(more_in),
+        | AcquireOutcome::Pending => Err(available_in),
     }
 }
 
-/// The share of the room beyond one place that a request leaves to more urgent ones: places
-/// that come while there are none to spare go to those first, whoever asked before.
-fn reserve_of(rank: Priority) -> ReserveShare {
-    f32::from(rank.min(MAX_PRIORITY_LEVEL)) * RESERVE_PER_RANK
+/// Returns the share of the quota beyond one unit that a request leaves to more urgent
+/// ones. When the quota is scarce, more urgent requests get it first, even if they asked
+/// later.
+fn reserve_share(priority: Priority) -> ReserveShare {
+    f32::from(priority.min(MAX_PRIORITY_LEVEL)) * RESERVE_PER_PRIORITY_LEVEL
 }
 
-/// The holder of a server's limit answers within some milliseconds; meanwhile a request could
-/// go elsewhere.
-const PLACE_PATIENCE: Duration = Duration::from_millis(40);
-/// Ranks beyond this count as this one.
+/// Longest wait for a unit of a server's quota. Its allocator replies within some
+/// milliseconds, and the request could use another server meanwhile.
+const SERVER_QUOTA_TIMEOUT: Duration = Duration::from_millis(40);
+/// Highest (least urgent) priority level that is told apart; higher levels count as this
+/// one.
 pub const MAX_PRIORITY_LEVEL: Priority = 3;
-const RESERVE_PER_RANK: f32 = 0.25;
+const RESERVE_PER_PRIORITY_LEVEL: f32 = 0.25;
--- a/crates/wingspur-edge/src/services.rs
+++ b/crates/wingspur-edge/src/services.rs
@@ -1,4 +1,5 @@
-//! The services that this box sends work to, with what it knows of each.
+//! The services that this box sends requests to, with their servers, budgets and
+//! connections.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -14,20 +15,20 @@
 
 use crate::locks::{LockRank, RankedMutex};
 
-/// One service as this box sees it; outlives the bundles that name it.
+/// State that this box keeps for one service. It is kept across bundle versions.
 #[derive(Debug)]
 pub struct ServiceState {
-    /// The name.
+    /// Name of the service in the bundle.
     pub name: String,
-    /// Its backend servers.
+    /// Chooses among its backend servers.
     pub balancer: RankedMutex<Balancer>,
     /// Its retry budget.
     pub budget: RankedMutex<FleetRetryBudget>,
-    /// What refused callers were promised.
+    /// Retry times that were given to refused callers.
     pub retry_after_queue: RankedMutex<RetryAfterSchedule>,
 }
 
-/// All services, and the connections to their servers.
+/// All services of this box, and the connections to their servers.
 #[derive(Debug)]
 pub struct Services {
     home: DataCentreId,
@@ -37,12 +38,12 @@
     /// The service of each announced server.
     by_server: RankedMutex<HashMap<ServerKey, Arc<ServiceState>>>,
     backends: RankedMutex<HashMap<SocketAddr, Arc<BackendConnections>>>,
-    /// The data centres whose servers get nothing more.
+    /// Data centres whose servers are sent no further requests.
     evacuated: RankedMutex<Arc<BTreeSet<DataCentreId>>>,
 }
 
 impl Services {
-    /// No services yet.
+    /// Creates a registry without services, for a box in the data centre `home`.
     pub fn new(
         home: DataCentreId,
         regions: Regions,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A service by its name, made when it is first asked for.
+    /// Returns a service by its name; creates it on first use.
     pub fn get(&self, name: &str) -> Arc<ServiceState> {
         let mut services = self.by_name.lock();
         if let Some(service) = services.get(name) {
@@ -82,18 +83,19 @@
         service
     }
 
-    /// The data centres that are evacuated.
+    /// Returns the data centres that are evacuated.
     pub fn evacuated(&self) -> Arc<BTreeSet<DataCentreId>> {
         self.evacuated.lock().clone()
     }
 
-    /// Changes which data centres are evacuated: their servers get nothing more. Returns
-    /// which were before and which are now.
+    /// Changes the set of evacuated data centres, whose servers are sent no further
+    /// requests. Returns the sets before and after the change.
     pub fn change_evacuated(
         &self,
         change: impl FnOnce(&mut BTreeSet<DataCentreId>),
     ) -> (Arc<BTreeSet<DataCentreId>>, Arc<BTreeSet<DataCentreId>>) {
-        // Held throughout, so that a service that is made meanwhile has the change too.
+        // The lock is held throughout, so that a service created meanwhile gets the
+        // change too.
         let services = self.by_name.lock();
         let before = self.evacuated();
         let mut evacuated = (*before).clone();
@@ -109,7 +111,7 @@
         (before, evacuated)
     }
 
-    /// Takes up changed settings of the retry budget.
+    /// Applies changed retry budget settings to all services, present and future.
     pub fn set_budget(&self, settings: RetryBudgetSettings) {
         *self.budget.lock() = settings;
         for service in self.all() {
@@ -117,52 +119,53 @@
         }
     }
 
-    /// All services.
+    /// Returns all services, in no particular order.
     pub fn all(&self) -> Vec<Arc<ServiceState>> {
         self.by_name.lock().values().cloned().collect()
     }
 
-    /// The service of a server; none for a server that is not announced.
+    /// Returns the service of a server; `None` if the server is not announced.
     pub fn of_server(&self, key: ServerKey) -> Option<Arc<ServiceState>> {
         self.by_server.lock().get(&key).cloned()
     }
 
-    /// The connections to a server's address.
+    /// Returns the connection pool for a server's address; creates it on first use.
     pub fn backend(&self, address: SocketAddr) -> Arc<BackendConnections> {
         let mut backends = self.backends.lock();
-        let fresh = || Arc::new(BackendConnections::new(address));
-        backends.entry(address).or_insert_with(fresh).clone()
+        let create = || Arc::new(BackendConnections::new(address));
+        backends.entry(address).or_insert_with(create).clone()
     }
 
-    /// Takes in what became of servers, each with how it stands by what it has said.
+    /// Applies changes of the server directory to the balancers, with the announced state
+    /// of each server.
     pub fn apply_directory_changes(
         &self,
         changes: &[RegistryChange],
-        standings: &RankedMutex<AnnouncedStates>,
+        announced_states: &RankedMutex<AnnouncedStates>,
     ) {
         let now = wingspur_clock::now();
-        let put = |record: &ServerRecord| {
+        let upsert = |record: &ServerRecord| {
             let service = self.get(&record.service);
             let mut balancer = service.balancer.lock();
             balancer.upsert(record.clone(), now);
-            let standing = standings.lock().state(record.key());
-            balancer.set_announced_state(record.key(), standing);
+            let announced_state = announced_states.lock().state(record.key());
+            balancer.set_announced_state(record.key(), announced_state);
             drop(balancer);
             self.by_server.lock().insert(record.key(), service);
         };
         for change in changes {
             match change {
-                RegistryChange::Updated(record) => put(record),
+                RegistryChange::Updated(record) => upsert(record),
                 RegistryChange::Restarted { before, record } => {
                     self.forget(before);
-                    put(record);
+                    upsert(record);
                 }
                 RegistryChange::Removed(record) => self.forget(record),
             }
         }
     }
 
-    /// Forgets a run of a server, with the connections to it.
+    /// Removes a server instance and the connections to it.
     fn forget(&self, record: &ServerRecord) {
         let service = self.get(&record.service);
         service.balancer.lock().remove(record.key());
@@ -170,21 +173,22 @@
         self.backends.lock().remove(&record.address);
     }
 
-    /// Divides each service's connections and budget among the boxes.
-    pub fn apply_fleet_shares(&self, bundle: &Bundle, division: FleetSize) {
+    /// Sets this box's share of each service's connections and retry budget by the fleet
+    /// size, and the service's rate limit for servers that warm up.
+    pub fn apply_fleet_shares(&self, bundle: &Bundle, fleet_size: FleetSize) {
         for declared in &bundle.services {
             let service = self.get(&declared.name);
             let mut balancer = service.balancer.lock();
             if let Some(connections) = declared.server_connections {
-                balancer.set_connection_shares(connections, division.boxes);
+                balancer.set_connection_shares(connections, fleet_size.boxes);
             }
             balancer.set_warmup_rate_limit(declared.cold_requests_per_s);
             drop(balancer);
-            service.budget.lock().set_division(division);
+            service.budget.lock().set_division(fleet_size);
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_idle(&self, now: Instant) {
         let backends: Vec<_> = self.backends.lock().values().cloned().collect();
         for backend in backends {
