--- a/crates/wingspur-edge/src/in_flight_requests.rs
+++ b/crates/wingspur-edge/src/in_flight_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that a box has taken and not finished, for whoever asks why it waits.
+//! Registry of the requests in flight, which shows why a box is still waiting.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,14 +10,14 @@
 
 use crate::locks::{LockRank, RankedMutex};
 
-/// All requests that were taken and are not over.
+/// All requests that were accepted and have not finished.
 #[derive(Debug)]
 pub struct InFlightRequests {
-    rows: RankedMutex<BTreeMap<u64, InFlightRequest>>,
+    by_number: RankedMutex<BTreeMap<u64, InFlightRequest>>,
     next: AtomicU64,
 }
 
-/// One request's place among them, until the last holder lets go of it.
+/// A request's entry in the registry, which is removed when the last holder drops it.
 #[derive(Debug)]
 pub struct InFlightGuard {
     requests: Arc<InFlightRequests>,
@@ -25,47 +25,47 @@
     was_sent: AtomicBool,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Its body is still coming, or no server has been picked yet.
+    /// Its body is still being received, or no server has been chosen yet.
     Taken,
-    /// A server has it, or had it last.
+    /// It was sent to a server; that attempt may have ended since.
     Sent,
-    /// The beginning of the answer has been passed on.
+    /// The beginning of the response has been sent to the caller.
     Answering,
 }
 
-/// What is told of a request.
+/// Diagnostic details of one request in flight.
 #[derive(Debug, Clone)]
 pub struct InFlightRequest {
-    /// The caller's id for it; empty where there is none.
+    /// Id that the caller gave the request; empty if there is none.
     pub id: String,
-    /// Its route; empty before one was found.
+    /// Name of its route; empty until one is found.
     pub route: String,
-    /// The server that was sent it last; empty before that.
+    /// Id of the server that it was last sent to; empty until it is sent.
     pub server: String,
-    /// What tells it from other requests, once it was sent.
+    /// Fingerprint of the request; `None` until it is sent.
     pub fingerprint: Option<RequestFingerprint>,
-    /// How far it has come.
+    /// Progress of the request.
     pub stage: RequestStage,
-    /// When its head came.
+    /// When its head was received.
     pub began: Instant,
 }
 
 impl InFlightRequests {
-    /// No request yet.
+    /// Creates an empty registry.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
-            rows: RankedMutex::new(LockRank::RequestsOut, BTreeMap::new()),
+            by_number: RankedMutex::new(LockRank::RequestsOut, BTreeMap::new()),
             next: AtomicU64::new(0),
         })
     }
 
-    /// Notes a request whose head has come.
+    /// Registers a request whose head was received at `began`.
     pub fn register(self: &Arc<Self>, id: &str, began: Instant) -> Arc<InFlightGuard> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let row = InFlightRequest {
+        let details = InFlightRequest {
             id: id.to_owned(),
             route: String::new(),
             server: String::new(),
@@ -73,7 +73,7 @@
             stage: RequestStage::Taken,
             began,
         };
-        self.rows.lock().insert(number, row);
+        self.by_number.lock().insert(number, details);
         Arc::new(InFlightGuard {
             requests: self.clone(),
             number,
@@ -81,37 +81,43 @@
         })
     }
 
-    /// How many there are.
+    /// Returns the number of requests in flight.
     pub fn count(&self) -> usize {
-        self.rows.lock().len()
+        self.by_number.lock().len()
     }
 
-    /// The oldest few, oldest first.
-    pub fn oldest(&self, most: usize) -> Vec<InFlightRequest> {
-        self.rows.lock().values().take(most).cloned().collect()
+    /// Returns up to `limit` requests, oldest first.
+    pub fn oldest(&self, limit: usize) -> Vec<InFlightRequest> {
+        self.by_number
+            .lock()
+            .values()
+            .take(limit)
+            .cloned()
+            .collect()
     }
 
-    /// The requests that were sent to a server last, and are not over.
+    /// Returns the fingerprints of the requests in flight that were last sent to the
+    /// server with this id.
     pub fn sent_to(&self, server: &str) -> Vec<RequestFingerprint> {
-        let rows = self.rows.lock();
-        let there = rows
-            .values()
-            .filter(|row| row.server == server && row.stage != RequestStage::Taken);
-        there.filter_map(|row| row.fingerprint).collect()
+        let requests = self.by_number.lock();
+        let sent = requests.values().filter(|details| {
+            details.server == server && details.stage != RequestStage::Taken
+        });
+        sent.filter_map(|details| details.fingerprint).collect()
     }
 
-    /// The oldest few as one field of a log line.
+    /// Describes the oldest few requests as the value of one log field.
     pub fn oldest_text(&self, now: Instant) -> String {
         let mut text = String::new();
-        for row in self.oldest(MOST_IN_A_LINE) {
-            let age_ms = now.saturating_duration_since(row.began).as_millis();
+        for details in self.oldest(MAX_REQUESTS_IN_LOG_LINE) {
+            let age_ms = now.saturating_duration_since(details.began).as_millis();
             let InFlightRequest {
                 id,
                 route,
                 server,
                 stage,
                 ..
-            } = row;
+            } = details;
             // Writing to a string does not fail.
             let _ = write!(text, "{id} {route} {server} {stage:?} {age_ms} ms; ");
         }
@@ -120,50 +126,52 @@
 }
 
 impl InFlightGuard {
-    /// Notes the route.
+    /// Records the route.
     pub fn routed(&self, route: &str) {
-        self.change(|row| row.route = route.to_owned());
+        self.change(|details| details.route = route.to_owned());
     }
 
-    /// Notes that a server is sent the request.
+    /// Records that the request is sent to a server.
     pub fn sent(&self, server: &str, fingerprint: RequestFingerprint) {
         self.was_sent.store(true, Ordering::Release);
-        self.change(|row| {
-            row.stage = RequestStage::Sent;
-            row.fingerprint = Some(fingerprint);
-            row.server = server.to_owned();
+        self.change(|details| {
+            details.stage = RequestStage::Sent;
+            details.fingerprint = Some(fingerprint);
+            details.server = server.to_owned();
         });
     }
 
-    /// Notes that the answer is being passed on while it comes.
+    /// Records that the response is being forwarded while it is received.
     pub fn answering(&self) {
-        self.change(|row| row.stage = RequestStage::Answering);
+        self.change(|details| details.stage = RequestStage::Answering);
     }
 
-    /// Whether any server was sent the request, so that it may have run.
+    /// Whether the request was sent to any server, so that it may have run.
     pub fn was_sent(&self) -> bool {
         self.was_sent.load(Ordering::Acquire)
     }
 
-    /// The server that was sent it last; empty before that.
+    /// Returns the id of the server that the request was last sent to; empty until it is
+    /// sent.
     pub fn server(&self) -> String {
-        let rows = self.requests.rows.lock();
-        let row = rows.get(&self.number);
-        row.map_or(String::new(), |row| row.server.clone())
+        let requests = self.requests.by_number.lock();
+        let details = requests.get(&self.number);
+        details.map_or(String::new(), |details| details.server.clone())
     }
 
     fn change(&self, change: impl FnOnce(&mut InFlightRequest)) {
-        if let Some(row) = self.requests.rows.lock().get_mut(&self.number) {
-            change(row);
+        if let Some(details) = self.requests.by_number.lock().get_mut(&self.number) {
+            change(details);
         }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.requests.rows.lock().remove(&self.number);
+        self.requests.by_number.lock().remove(&self.number);
     }
 }
 
-/// A line names this many: the boxes of a played day had two at the most when they ended.
-const MOST_IN_A_LINE: usize = 4;
+/// Maximum number of requests named in one log line. Boxes in simulated days had at most
+/// two in flight when they stopped.
+const MAX_REQUESTS_IN_LOG_LINE: usize = 4;
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -1,7 +1,7 @@
-//! Requests in quarantine: who may send one, and what the store holds of them.
+//! Quarantined requests: permits to send one, and their records in the store.
 //!
-//! A box counts in the store each time that it lets such a request through, before it does; one
-//! that cannot have the store asks its hub.
+//! Before a box sends such a request, it counts the trial in the store. A box that cannot
+//! reach the store asks its hub for a permit.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,30 +23,33 @@
 use crate::quarantine_state::SendPermission;
 use crate::store_calls::call_store;
 
-/// Waits until a request may be sent, or it is known that it may not before `limit`.
+/// Waits until a request may be sent, or until it is known that it may not be before
+/// `deadline`.
 ///
-/// While another box tries it, the outcome is worth waiting for: a request that is well is
-/// answered in a third of a second, and all that wait go on. Where no try is left it is
-/// refused at once.
+/// While another box runs a trial of the request, this waits for the outcome: a harmless
+/// request is answered within a third of a second, and then all waiting requests proceed.
+/// If no trial is left, the request is refused at once.
 pub async fn wait_for_send_permit(
     shared: &Arc<EdgeState>,
     id: &str,
     request: RequestFingerprint,
-    limit: Instant,
+    deadline: Instant,
 ) -> SendPermission {
-    let began = wingspur_clock::now();
+    let started_at = wingspur_clock::now();
     loop {
         if !is_quarantined(shared, request) {
             return SendPermission::Free;
         }
-        let step = decide(shared, request).await;
+        let decision = decide_permit(shared, request).await;
         let now = wingspur_clock::now();
-        let left = limit.saturating_duration_since(now);
-        let permission = match step {
-            Step::Lend => SendPermission::Once,
-            Step::Later(after) if after >= left => SendPermission::Refused(after),
-            Step::Later(after) => {
-                wait_for_updates(shared, request, now + after).await;
+        let remaining = deadline.saturating_duration_since(now);
+        let permission = match decision {
+            PermitDecision::Granted => SendPermission::Once,
+            PermitDecision::RetryAfter(after) if after >= remaining => {
+                SendPermission::Refused(after)
+            }
+            PermitDecision::RetryAfter(after) => {
+                wait_until_cleared(shared, request, now + after).await;
                 continue;
             }
         };
@@ -55,38 +58,41 @@
             id,
             fingerprint = %request,
             outcome = ?permission,
-            waited_ms = wingspur_clock::since(began).as_millis() as u64,
-            left_ms = left.as_millis() as u64,
+            waited_ms = wingspur_clock::since(started_at).as_millis() as u64,
+            left_ms = remaining.as_millis() as u64,
             "quarantine: asked whether it may be sent."
         );
         return permission;
     }
 }
 
-/// Whether a request may be sent with a permit only.
+/// Whether a request is quarantined, so that it may be sent only with a permit.
 pub fn is_quarantined(shared: &EdgeState, request: RequestFingerprint) -> bool {
     let suspects = shared.suspect_requests.lock();
     !suspects.is_empty() && suspects.is_quarantined(request, wingspur_clock::now())
 }
 
-/// Writes to the store that a request is in quarantine, where this box is the hub of the one
-/// that has seen it, so that boxes that start know it.
+/// Writes to the store that a request is quarantined, so that boxes that start later know
+/// it.
+///
+/// Only a hub writes it, for events that it or one of its members has observed. The write
+/// runs in the background.
 pub fn store_quarantine(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     if shared.links.lock().own_hub().is_some() || !is_quarantined(shared, request) {
         return;
     }
     let known = shared.suspect_requests.lock().quarantine(request);
     let mut state = shared.quarantine.lock();
-    let due =
+    let trial =
         state
             .permits
             .begin_quarantine(request, known.as_ref(), wingspur_clock::now());
     drop(state);
-    let Some(count) = due else { return };
+    let Some(trial) = trial else { return };
     let shared = shared.clone();
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
-        let outcome = write(&shared, request, count).await;
+        let outcome = write_trial(&shared, request, trial).await;
         let mut state = shared.quarantine.lock();
         state
             .permits
@@ -94,9 +100,9 @@
     });
 }
 
-/// Takes in what the catalog says of a request in quarantine.
+/// Applies a quarantine record from the catalog.
 pub fn apply_quarantine(shared: &EdgeState, record: &QuarantineRecord) {
-    let known = known_at(record, wingspur_clock::now());
+    let known = stored_quarantine(record, wingspur_clock::now());
     shared
         .suspect_requests
         .lock()
@@ -109,28 +115,30 @@
     );
 }
 
-/// Takes in that a request is in quarantine no more.
+/// Ends the quarantine of a request on this box.
 pub fn end_quarantine(shared: &EdgeState, request: RequestFingerprint) {
     shared.suspect_requests.lock().remove_quarantine(request);
     shared.quarantine.lock().permits.forget(request);
     tracing::info!(fingerprint = %request, "quarantine: ended.");
 }
 
-/// Takes in all requests that are in quarantine, as a listing at a position has them.
+/// Replaces the known quarantines by those of a catalog snapshot at `position`. A
+/// snapshot of a newer store era is merged instead, because a restored store may have
+/// lost records.
 pub fn replace_quarantines(
     shared: &Arc<EdgeState>,
     position: StorePosition,
     records: &[QuarantineRecord],
 ) {
     if shared.links.lock().position().era() < position.era() {
-        return take_restored(shared, position.era(), records);
+        return merge_restored(shared, position.era(), records);
     }
-    let listed = |request: &RequestFingerprint| {
+    let is_listed = |request: &RequestFingerprint| {
         records.iter().any(|record| record.request == *request)
     };
     let known: Vec<_> = shared.suspect_requests.lock().quarantines().collect();
     for (request, _) in known {
-        if !listed(&request) {
+        if !is_listed(&request) {
             end_quarantine(shared, request);
         }
     }
@@ -139,20 +147,21 @@
     }
 }
 
-/// Takes in what a restored store holds; a hub writes again what it has lost.
-fn take_restored(shared: &Arc<EdgeState>, era: StoreEra, records: &[QuarantineRecord]) {
+/// Merges the quarantines of a restored store. A hub writes the lost ones again, in the
+/// background.
+fn merge_restored(shared: &Arc<EdgeState>, era: StoreEra, records: &[QuarantineRecord]) {
     let now = wingspur_clock::now();
-    let listed: Vec<_> = records
+    let stored: Vec<_> = records
         .iter()
-        .map(|r| (r.request, known_at(r, now)))
+        .map(|r| (r.request, stored_quarantine(r, now)))
         .collect();
     let lost = shared
         .suspect_requests
         .lock()
-        .reconcile_restored(era, &listed);
+        .reconcile_restored(era, &stored);
     tracing::info!(
         era,
-        listed = listed.len(),
+        listed = stored.len(),
         lost = lost.len(),
         "quarantine: read from a restored store."
     );
@@ -163,26 +172,29 @@
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
         for (request, known) in lost {
-            let count = TrialRecord {
+            let trial = TrialRecord {
                 tries: known.tries,
                 counted_by: known.counted_by,
                 expected_position: known.position,
             };
-            write(&shared, request, count).await;
+            write_trial(&shared, request, trial).await;
         }
     });
 }
 
-fn known_at(record: &QuarantineRecord, heard: Instant) -> StoredQuarantine {
+fn stored_quarantine(
+    record: &QuarantineRecord,
+    received_at: Instant,
+) -> StoredQuarantine {
     StoredQuarantine {
         position: record.position,
         tries: record.tries,
         counted_by: record.counted_by,
-        heard,
+        heard: received_at,
     }
 }
 
-/// All requests that are in quarantine, for a box that is behind.
+/// Returns the records of all quarantined requests, for a box whose catalog is behind.
 pub fn quarantine_records(shared: &EdgeState) -> Vec<QuarantineRecord> {
     let suspects = shared.suspect_requests.lock();
     let records = suspects
@@ -196,104 +208,116 @@
     records.collect()
 }
 
-/// Answers another box that asks whether it may send a request, once that is decided.
+/// Handles another box's request for a permit. The reply is sent in the background once
+/// the decision is made.
 pub fn handle_permit_request(
     shared: &Arc<EdgeState>,
     link: LinkId,
-    asked: &QuotaLeaseRequest,
+    permit_request: &QuotaLeaseRequest,
 ) {
-    let LeasedResource::Permit(request) = asked.resource else {
+    let LeasedResource::Permit(request) = permit_request.resource else {
         return;
     };
-    let (number, of) = (asked.request_id, asked.resource);
+    let (number, resource) = (permit_request.request_id, permit_request.resource);
     let shared = shared.clone();
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
-        let (urgent, more_in) = match decide_here(&shared, request, true).await {
+        let (granted, retry_after) = match decide_locally(&shared, request, true).await {
             TrialDecision::Lend => (1, Duration::ZERO),
             TrialDecision::Later(after) => (0, after),
-            TrialDecision::AskHub | TrialDecision::Count(_) => (0, ASK_AGAIN),
+            TrialDecision::AskHub | TrialDecision::Count(_) => (0, PERMIT_RETRY_DELAY),
         };
-        let answer = QuotaLeaseReply {
+        let reply = QuotaLeaseReply {
             request_id: number,
-            resource: of,
-            on_demand_granted: urgent,
+            resource,
+            on_demand_granted: granted,
             prefetch_granted: 0.0,
             renewed: false,
-            retry_after_ms: Some(more_in.as_millis() as u32),
+            retry_after_ms: Some(retry_after.as_millis() as u32),
         };
-        send_lease_messages(&shared, vec![QuotaMessage::reply(link, answer, true)]);
+        send_lease_messages(&shared, vec![QuotaMessage::reply(link, reply, true)]);
     });
 }
 
-/// Takes in the hub's answer to a question of this box.
-pub fn handle_permit_response(shared: &EdgeState, answer: &QuotaLeaseReply) {
-    let asked = shared.quarantine.lock().pending.remove(&answer.request_id);
-    if let Some(asked) = asked {
-        // One that has given up does not listen any more.
-        let _ = asked.try_send(*answer);
+/// Delivers the hub's reply to the task that waits for the permit.
+pub fn handle_permit_response(shared: &EdgeState, reply: &QuotaLeaseReply) {
+    let waiter = shared.quarantine.lock().pending.remove(&reply.request_id);
+    if let Some(waiter) = waiter {
+        // Sending fails if the waiting task has timed out, which needs no handling.
+        let _ = waiter.try_send(*reply);
     }
 }
 
-/// Ends in the store what whole answers have cleared, and forgets what is too old, until the
-/// box stops.
+/// Evicts expired suspect requests until the box stops. A hub also ends the stored
+/// quarantines of requests that were answered completely.
 pub async fn run_quarantine(shared: Arc<EdgeState>, stop: StopSignal) {
     while !stop.is_triggered() {
-        wingspur_clock::sleep(TIDY_EVERY).await;
+        wingspur_clock::sleep(EVICTION_INTERVAL).await;
         let now = wingspur_clock::now();
-        let outlived = tidy(&shared, now);
+        let cleared = evict_expired(&shared, now);
         if shared.links.lock().own_hub().is_some() {
             continue;
         }
-        for (request, known) in outlived {
-            end_in_store(&shared, request, known).await;
+        for (request, known) in cleared {
+            end_stored_quarantine(&shared, request, known).await;
         }
     }
 }
 
-/// Forgets what is too old; returns what the store still holds of cleared requests.
-fn tidy(shared: &EdgeState, now: Instant) -> Vec<(RequestFingerprint, StoredQuarantine)> {
+/// Evicts expired entries. Returns the quarantines that the store still holds although
+/// the requests are cleared.
+fn evict_expired(
+    shared: &EdgeState,
+    now: Instant,
+) -> Vec<(RequestFingerprint, StoredQuarantine)> {
     let mut suspects = shared.suspect_requests.lock();
     suspects.evict_expired(now);
-    let outlived = suspects.cleared_quarantines();
+    let cleared = suspects.cleared_quarantines();
     shared.metrics.suspects.set(suspects.len() as i64);
     drop(suspects);
     shared.quarantine.lock().permits.evict_idle(now);
-    outlived
+    cleared
 }
 
-/// What a box is told that asks.
-enum Step {
-    Lend,
-    Later(Duration),
+/// The decision on sending a quarantined request.
+enum PermitDecision {
+    Granted,
+    RetryAfter(Duration),
 }
 
-/// Decides here, after counting in the store what is let through; where the store cannot be
-/// had, the hub decides.
-async fn decide(shared: &Arc<EdgeState>, request: RequestFingerprint) -> Step {
+/// Decides locally whether a request may be sent, counting a trial in the store first. If
+/// the store is unavailable, asks the hub.
+async fn decide_permit(
+    shared: &Arc<EdgeState>,
+    request: RequestFingerprint,
+) -> PermitDecision {
     let hub = shared.links.lock().own_hub();
-    match (decide_here(shared, request, hub.is_none()).await, hub) {
-        (TrialDecision::Lend, _) => Step::Lend,
-        (TrialDecision::Later(after), _) => Step::Later(after),
-        (TrialDecision::AskHub, Some(hub)) => ask_hub(shared, request, hub).await,
-        (TrialDecision::AskHub | TrialDecision::Count(_), _) => Step::Later(ASK_AGAIN),
+    match (decide_locally(shared, request, hub.is_none()).await, hub) {
+        (TrialDecision::Lend, _) => PermitDecision::Granted,
+        (TrialDecision::Later(after), _) => PermitDecision::RetryAfter(after),
+        (TrialDecision::AskHub, Some(hub)) => {
+            request_permit_from_hub(shared, request, hub).await
+        }
+        (TrialDecision::AskHub | TrialDecision::Count(_), _) => {
+            PermitDecision::RetryAfter(PERMIT_RETRY_DELAY)
+        }
     }
 }
 
-async fn ask_hub(
+async fn request_permit_from_hub(
     shared: &Arc<EdgeState>,
     request: RequestFingerprint,
     hub: LinkId,
-) -> Step {
-    let (tell, told) = async_channel::bounded(1);
+) -> PermitDecision {
+    let (sender, receiver) = async_channel::bounded(1);
     let number = {
         let mut state = shared.quarantine.lock();
         state.last_number = state.last_number.wrapping_add(1);
         let number = state.last_number;
-        state.pending.insert(number, tell);
+        state.pending.insert(number, sender);
         number
     };
-    let question = QuotaLeaseRequest {
+    let permit_request = QuotaLeaseRequest {
         request_id: number,
         resource: LeasedResource::Permit(request),
         held: 0.0,
@@ -301,79 +325,82 @@
         reserve: 0.0,
         wanted: 0.0,
     };
-    send_lease_messages(shared, vec![QuotaMessage::request(hub, question)]);
-    let told = async { told.recv().await.ok() };
+    send_lease_messages(shared, vec![QuotaMessage::request(hub, permit_request)]);
+    let reply = async { receiver.recv().await.ok() };
     let expired = async {
-        wingspur_clock::sleep(ANSWER_LOST).await;
+        wingspur_clock::sleep(HUB_REPLY_TIMEOUT).await;
         None
     };
-    let answer = told.or(expired).await;
+    let reply = reply.or(expired).await;
     shared.quarantine.lock().pending.remove(&number);
-    match answer {
-        Some(answer) if answer.on_demand_granted > 0 => Step::Lend,
-        Some(answer) => {
-            let after = answer.retry_after_ms.unwrap_or_default();
-            Step::Later(Duration::from_millis(after.into()))
+    match reply {
+        Some(reply) if reply.on_demand_granted > 0 => PermitDecision::Granted,
+        Some(reply) => {
+            let after = reply.retry_after_ms.unwrap_or_default();
+            PermitDecision::RetryAfter(Duration::from_millis(after.into()))
         }
-        // The hub is lost: its successor is asked.
-        None => Step::Later(ASK_AGAIN),
+        // The hub seems to be lost. The next request goes to its successor.
+        None => PermitDecision::RetryAfter(PERMIT_RETRY_DELAY),
     }
 }
 
-/// Decides after counting in the store what is let through.
-async fn decide_here(
+/// Decides whether a request may be sent, counting a trial in the store first.
+/// `is_last_resort` says that no other box can be asked if the store is unavailable.
+async fn decide_locally(
     shared: &Arc<EdgeState>,
     request: RequestFingerprint,
-    nobody_else: bool,
+    is_last_resort: bool,
 ) -> TrialDecision {
     if !is_quarantined(shared, request) {
         return TrialDecision::Lend;
     }
-    let (known, step) = {
+    let (known, decision) = {
         let suspects = shared.suspect_requests.lock();
         let mut state = shared.quarantine.lock();
-        let step = state
-            .permits
-            .request_trial(request, &suspects, wingspur_clock::now());
-        (suspects.quarantine(request), step)
+        let decision =
+            state
+                .permits
+                .request_trial(request, &suspects, wingspur_clock::now());
+        (suspects.quarantine(request), decision)
     };
-    let step = match step {
-        TrialDecision::Count(count) => {
-            let outcome = write(shared, request, count).await;
+    let decision = match decision {
+        TrialDecision::Count(trial) => {
+            let outcome = write_trial(shared, request, trial).await;
             let mut state = shared.quarantine.lock();
             let now = wingspur_clock::now();
             state
                 .permits
-                .trial_recorded(request, outcome, nobody_else, now)
+                .trial_recorded(request, outcome, is_last_resort, now)
         }
-        step => step,
+        decision => decision,
     };
     tracing::info!(
         fingerprint = %request,
         tries = known.map(|known| known.tries),
         position = known.map(|known| known.position.to_string()),
-        outcome = ?step,
+        outcome = ?decision,
         "quarantine: decided."
     );
-    step
+    decision
 }
 
-/// Writes how often a request was let through, and takes in what stands then.
-async fn write(
+/// Writes the number of trials of a request to the store by a conditional write, and
+/// applies the record that the store holds afterwards.
+async fn write_trial(
     shared: &Arc<EdgeState>,
     request: RequestFingerprint,
-    count: TrialRecord,
+    trial: TrialRecord,
 ) -> RecordOutcome {
     let record = QuarantineRecord {
         request,
-        tries: count.tries,
-        counted_by: count.counted_by,
-        position: count.expected_position,
+        tries: trial.tries,
+        counted_by: trial.counted_by,
+        position: trial.expected_position,
     };
     let call = (shared.catalog.record_trial)(record, SUSPECT_RETENTION);
-    let written = call_store(shared, "quarantine", call).await;
-    log_write(&record, &written);
-    match written {
+    let result = call_store(shared, "quarantine", call).await;
+    log_write(&record, &result);
+    match result {
         Ok(ConditionalWriteResult::Written(position)) => {
             apply_quarantine(shared, &QuarantineRecord { position, ..record });
             RecordOutcome::Stands
@@ -386,13 +413,14 @@
             shared.suspect_requests.lock().remove_quarantine(request);
             RecordOutcome::Overtaken
         }
-        Err(_) => look_whether_written(shared, &record).await,
+        Err(_) => read_back_trial(shared, &record).await,
     }
 }
 
-/// What became of a write whose answer is lost: it may have been done, and a try that is
-/// counted but not made is one less for a request that is well.
-async fn look_whether_written(
+/// Reads back whether a write whose response was lost has taken effect.
+///
+/// A trial that is counted but not run would leave a harmless request one trial less.
+async fn read_back_trial(
     shared: &Arc<EdgeState>,
     record: &QuarantineRecord,
 ) -> RecordOutcome {
@@ -421,8 +449,8 @@
     }
 }
 
-/// Ends in the store the quarantine of a request that was answered whole.
-async fn end_in_store(
+/// Ends the stored quarantine of a request that was answered completely.
+async fn end_stored_quarantine(
     shared: &Arc<EdgeState>,
     request: RequestFingerprint,
     known: StoredQuarantine,
@@ -442,22 +470,22 @@
         ) => {
             end_quarantine(shared, request);
         }
-        // Someone else has written since: the catalog tells.
+        // Another box has written the record since; its version applies.
         Ok(ConditionalWriteResult::Conflict(Some(found))) => {
             apply_quarantine(shared, &found)
         }
-        // It is tried again with the next round.
+        // `run_quarantine` retries it in its next round.
         Err(_) => {}
     }
 }
 
 fn log_write(
     record: &QuarantineRecord,
-    written: &Result<ConditionalWriteResult, CatalogError>,
+    result: &Result<ConditionalWriteResult, CatalogError>,
 ) {
     let (fingerprint, tries) = (record.request, record.tries);
     let on = record.position;
-    match written {
+    match result {
         Ok(outcome) => {
             tracing::info!(%fingerprint, tries, %on, ?outcome, "quarantine: written.");
         }
@@ -467,22 +495,22 @@
     }
 }
 
-/// Waits until a request is cleared, at most until `until`.
-async fn wait_for_updates(
+/// Waits until a request is cleared or `deadline` is reached.
+async fn wait_until_cleared(
     shared: &EdgeState,
     request: RequestFingerprint,
-    until: Instant,
+    deadline: Instant,
 ) {
-    while wingspur_clock::now() < until && is_quarantined(shared, request) {
-        wingspur_clock::sleep(LOOK_AGAIN).await;
+    while wingspur_clock::now() < deadline && is_quarantined(shared, request) {
+        wingspur_clock::sleep(CLEARED_POLL_INTERVAL).await;
     }
 }
 
-/// The hub answers after one call of the store, which takes milliseconds, and a quarter of a
-/// second where it is slow.
-const ANSWER_LOST: Duration = Duration::from_millis(700);
-/// A member links with its next hub in less.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-/// How soon one that waits sees that the request is cleared.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-const TIDY_EVERY: Duration = Duration::from_secs(1);
+/// Time after which the hub's reply counts as lost. The hub replies after one store call,
+/// which takes milliseconds, or a quarter of a second if the store is slow.
+const HUB_REPLY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay before another permit request. A member links with its next hub in less time.
+const PERMIT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval at which a waiting request checks whether it has been cleared.
+const CLEARED_POLL_INTERVAL: Duration = Duration::from_millis(25);
+const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/wingspur-edge/src/quarantine_state.rs
+++ b/crates/wingspur-edge/src/quarantine_state.rs
@@ -1,4 +1,4 @@
-//! What a box knows of the permits for requests in quarantine.
+//! State of a box for the permits to send quarantined requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,19 +7,21 @@
 use wingspur_protocol::QuotaLeaseReply;
 use wingspur_state::{SourceId, StoreEra};
 
-/// This box's part in what is let through of requests in quarantine.
+/// Trials of quarantined requests and the permit requests of this box.
 #[derive(Debug)]
 pub struct QuarantineState {
-    /// Who may send, and when.
+    /// Decides when a quarantined request may be sent.
     pub permits: QuarantineRegistry,
-    /// This box's own questions, with who waits for each answer.
+    /// This box's unanswered permit requests by number, each with the channel of the task
+    /// that waits for the reply.
     pub pending: HashMap<u32, async_channel::Sender<QuotaLeaseReply>>,
-    /// The number of the last question.
+    /// Number of the last permit request.
     pub last_number: u32,
 }
 
 impl QuarantineState {
-    /// A box that starts now, and counts under a name of its own.
+    /// Creates the state of a box that starts now. `own` identifies the box in the trials
+    /// that it counts.
     pub fn new(own: SourceId) -> Self {
         Self {
             permits: QuarantineRegistry::new(own),
@@ -28,19 +30,19 @@
         }
     }
 
-    /// Notes the store's era.
+    /// Records the store's current era.
     pub fn note_era(&mut self, era: StoreEra) {
         self.permits.note_era(era);
     }
 }
 
-/// Whether a request may be sent now.
+/// Whether a request may be sent now, as decided by the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendPermission {
-    /// As any other: it is not in quarantine.
+    /// The request is not quarantined and is sent like any other.
     Free,
-    /// To one server.
+    /// The request may be sent once, to one server.
     Once,
-    /// No: there may be another permit after this.
+    /// The request may not be sent; there may be a permit after this time.
     Refused(Duration),
 }
--- a/crates/wingspur-edge/src/suspect_requests.rs
+++ b/crates/wingspur-edge/src/suspect_requests.rs
@@ -1,4 +1,5 @@
-//! What this box sees, tells and hears of requests under which servers end.
+//! Detects which requests were in flight when servers ended, and exchanges this with
+//! other boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,32 +14,36 @@
 use crate::edge_state::EdgeState;
 use crate::quarantine::{is_quarantined, store_quarantine};
 
-/// An attempt that broke off before its answer was whole.
+/// An attempt whose connection ended before the response was complete.
 pub struct InterruptedAttempt {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: RequestFingerprint,
-    /// The server.
+    /// The server that the request was sent to.
     pub server: Arc<ServerRecord>,
-    /// The connections to it.
+    /// The connections to the server, used to check whether it still listens.
     pub backend: Arc<BackendConnections>,
 }
 
-/// Finds out whether the server has ended under an attempt that broke off there: nobody
-/// listens at its address any more, or its entry goes within some seconds.
+/// Checks whether the server of an interrupted attempt has ended, and blames the request
+/// if so.
+///
+/// A server that refuses connections has ended. Otherwise the attempt is recorded, so
+/// that the request is blamed if the server's catalog entry is removed within some
+/// seconds.
 pub async fn check_for_server_crash(
     shared: &Arc<EdgeState>,
-    broken: &InterruptedAttempt,
+    attempt: &InterruptedAttempt,
 ) {
-    let (request, server) = (broken.request, broken.server.key());
+    let (request, server) = (attempt.request, attempt.server.key());
     let at = wingspur_clock::now();
-    let checked = broken.backend.check(CHECK_TIMEOUT).await;
+    let checked = attempt.backend.check(CHECK_TIMEOUT).await;
     let has_ended = checked
         .as_ref()
         .is_err_and(ConnectError::is_connection_refused);
     tracing::info!(
         fingerprint = %request,
-        server = %broken.server.id,
-        address = %broken.server.address,
+        server = %attempt.server.id,
+        address = %attempt.server.address,
         has_ended,
         error = checked.err().map(|error| error.to_string()),
         "server: looked for after an answer broke off."
@@ -50,11 +55,11 @@
             .record_broken_attempt(request, server, at);
     }
     let seen = SuspectEvent::ServerEnded(server);
-    take_in_own(shared, SuspectUpdate { request, seen, at });
+    apply_own_update(shared, SuspectUpdate { request, seen, at });
 }
 
-/// Notes that a request was answered whole, which clears it where servers have ended under
-/// it.
+/// Records that a request was answered completely, which clears it of suspicion if
+/// servers have ended while processing it.
 pub fn record_completed(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     let at = wingspur_clock::now();
     if !shared
@@ -65,66 +70,68 @@
         return;
     }
     let seen = SuspectEvent::AnsweredWhole;
-    take_in_own(shared, SuspectUpdate { request, seen, at });
+    apply_own_update(shared, SuspectUpdate { request, seen, at });
 }
 
-/// Takes in which servers have ended, as the catalog tells: what was out there, or broke off
-/// there a moment ago, was out when they did.
+/// Records that servers have ended according to the catalog. Blames the requests that are
+/// in flight at them or were interrupted there recently. Servers that were draining are
+/// ignored.
 pub fn record_server_crashes(shared: &Arc<EdgeState>, changes: &[RegistryChange]) {
     let now = wingspur_clock::now();
     for change in changes {
-        let ended = match change {
+        let record = match change {
             RegistryChange::Removed(record) => record,
             RegistryChange::Restarted { before, .. } => before,
             RegistryChange::Updated(_) => continue,
         };
-        if ended.leaving {
+        if record.leaving {
             continue;
         }
-        let server = ended.key();
+        let server = record.key();
         let mut updates = shared
             .suspect_requests
             .lock()
             .take_broken_attempts(server, now);
-        let out = shared.in_flight.sent_to(&ended.id);
-        updates.extend(out.into_iter().map(|request| SuspectUpdate {
+        let in_flight = shared.in_flight.sent_to(&record.id);
+        updates.extend(in_flight.into_iter().map(|request| SuspectUpdate {
             request,
             seen: SuspectEvent::ServerEnded(server),
             at: now,
         }));
-        for updates in updates {
-            take_in_own(shared, updates);
+        for update in updates {
+            apply_own_update(shared, update);
         }
     }
 }
 
-/// Takes in what another box tells, and passes on what was news here.
+/// Applies suspect updates of another box, and forwards those that were new here.
 pub fn handle_suspect_updates(
     shared: &Arc<EdgeState>,
     link: LinkId,
-    notes: &[SuspectMessage],
+    messages: &[SuspectMessage],
 ) {
     let now = wingspur_clock::now();
-    for note in notes {
-        let updates = note.to_update(now);
-        let was_quarantined = is_quarantined(shared, updates.request);
-        if !shared.suspect_requests.lock().apply_update(&updates, now) {
+    for message in messages {
+        let update = message.to_update(now);
+        let was_quarantined = is_quarantined(shared, update.request);
+        if !shared.suspect_requests.lock().apply_update(&update, now) {
             continue;
         }
-        if is_quarantined(shared, updates.request) != was_quarantined {
-            // Who has seen it tells of each: this box tells what it changes here.
-            log_update(shared, &updates, "peer");
+        if is_quarantined(shared, update.request) != was_quarantined {
+            // The box that observed an event logs each one. This box logs only those that
+            // change whether the request is quarantined here.
+            log_update(shared, &update, "peer");
         }
-        let is_members = shared.links.lock().broadcast_suspect(&updates, Some(link));
+        let is_members = shared.links.lock().broadcast_suspect(&update, Some(link));
         shared.pending_updates.notify();
         if is_members {
-            store_quarantine(shared, updates.request);
+            store_quarantine(shared, update.request);
         }
-        vouch_soon(shared, updates.request);
+        schedule_cleared_update(shared, update.request);
     }
 }
 
-/// What a box that has just linked with this one should hear.
+/// Returns the suspect updates for a newly linked box.
 pub fn initial_suspect_updates(shared: &EdgeState) -> Vec<SuspectUpdate> {
     shared
         .suspect_requests
@@ -132,27 +139,30 @@
         .initial_updates(wingspur_clock::now())
 }
 
-/// Takes in what this box has seen, and tells the others without delay.
-fn take_in_own(shared: &Arc<EdgeState>, updates: SuspectUpdate) {
+/// Applies an event that this box has observed, and sends it to the other boxes at once.
+fn apply_own_update(shared: &Arc<EdgeState>, update: SuspectUpdate) {
     let now = wingspur_clock::now();
-    if !shared.suspect_requests.lock().apply_update(&updates, now) {
+    if !shared.suspect_requests.lock().apply_update(&update, now) {
         return;
     }
-    shared.metrics.count_suspect(updates.seen);
-    log_update(shared, &updates, "own");
+    shared.metrics.count_suspect(update.seen);
+    log_update(shared, &update, "own");
     let mut links = shared.links.lock();
-    links.broadcast_suspect(&updates, None);
+    links.broadcast_suspect(&update, None);
     links.mark_urgent();
     drop(links);
     shared.urgent_updates.notify();
     shared.pending_updates.notify();
-    store_quarantine(shared, updates.request);
-    vouch_soon(shared, updates.request);
+    store_quarantine(shared, update.request);
+    schedule_cleared_update(shared, update.request);
 }
 
-/// Tells the others that this box has answered a request in quarantine a moment before, at
-/// some time in the next moments: where many boxes could, the first ones spare the rest.
-fn vouch_soon(shared: &Arc<EdgeState>, request: RequestFingerprint) {
+/// Tells the other boxes, after a random delay, that this box answered a request
+/// completely shortly before it was quarantined.
+///
+/// If many boxes could do so, the first updates clear the request, and the other boxes
+/// send none.
+fn schedule_cleared_update(shared: &Arc<EdgeState>, request: RequestFingerprint) {
     let due = shared
         .suspect_requests
         .lock()
@@ -163,31 +173,31 @@
     let shared = shared.clone();
     let spawner = shared.spawner.clone();
     spawner.detach(async move {
-        wingspur_clock::sleep(VOUCH_WITHIN.mul_f64(rand::random())).await;
-        let answered = shared
+        wingspur_clock::sleep(MAX_CLEARED_UPDATE_DELAY.mul_f64(rand::random())).await;
+        let answered_at = shared
             .suspect_requests
             .lock()
             .answered_before(request, wingspur_clock::now());
-        let Some(at) = answered else { return };
+        let Some(at) = answered_at else { return };
         let seen = SuspectEvent::AnsweredWhole;
-        take_in_own(&shared, SuspectUpdate { request, seen, at });
+        apply_own_update(&shared, SuspectUpdate { request, seen, at });
     });
 }
 
-fn log_update(shared: &EdgeState, updates: &SuspectUpdate, source: &str) {
+fn log_update(shared: &EdgeState, update: &SuspectUpdate, source: &str) {
     let now = wingspur_clock::now();
     let suspects = shared.suspect_requests.lock();
-    let endings = suspects.endings(updates.request, now);
-    let is_quarantined = suspects.is_quarantined(updates.request, now);
+    let endings = suspects.endings(update.request, now);
+    let is_quarantined = suspects.is_quarantined(update.request, now);
     let known = suspects.len();
     drop(suspects);
-    let age_ms = now.saturating_duration_since(updates.at).as_millis() as u64;
-    let outcome = match updates.seen {
+    let age_ms = now.saturating_duration_since(update.at).as_millis() as u64;
+    let outcome = match update.seen {
         SuspectEvent::ServerEnded(_) => "a server has ended under it",
         SuspectEvent::AnsweredWhole => "answered whole, cleared",
     };
     tracing::info!(
-        fingerprint = %updates.request,
+        fingerprint = %update.request,
         endings,
         is_quarantined,
         known,
@@ -197,7 +207,8 @@
     );
 }
 
-/// News of a box reaches most others within this.
-const VOUCH_WITHIN: Duration = Duration::from_millis(200);
-/// A server refuses in one trip if nobody listens there; longer tells of the way to it.
+/// Maximum random delay; a box's update reaches most other boxes within this time.
+const MAX_CLEARED_UPDATE_DELAY: Duration = Duration::from_millis(200);
+/// Timeout of the connection check. If nothing listens at the address, the connection is
+/// refused within one round trip; a longer delay points to the network.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
