--- a/tests/tests/data.rs
+++ b/tests/tests/data.rs
@@ -1,4 +1,4 @@
-//! Runs the data files under `tests/data`, one test a file.
+//! Runs the data files under `tests/data`, one test per file.
 
 mod cases;
 
--- a/tests/tests/fingerprints.rs
+++ b/tests/tests/fingerprints.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request.
+//! Which parts of a request determine its fingerprint, so that resends are recognised.
 
 use wingspur_state::{RequestFingerprint, RequestParts};
 
@@ -13,7 +13,7 @@
 
 #[test]
 fn each_part_of_a_request_tells_it_from_others() {
-    let others = [
+    let variants = [
         RequestParts {
             method: "PUT",
             ..REQUEST
@@ -47,7 +47,7 @@
     ];
     let own = RequestFingerprint::of(&REQUEST);
     assert_eq!(own, RequestFingerprint::of(&REQUEST));
-    for other in others {
-        assert_ne!(own, RequestFingerprint::of(&other), "{other:?}");
+    for variant in variants {
+        assert_ne!(own, RequestFingerprint::of(&variant), "{variant:?}");
     }
 }
--- a/tests/tests/kept_log/mod.rs
+++ b/tests/tests/kept_log/mod.rs
@@ -1,4 +1,4 @@
-//! Keeps what the process logs.
+//! Captures the log lines of the process.
 #![allow(dead_code, reason = "each suite uses a part")]
 
 use std::io::Write;
@@ -7,7 +7,8 @@
 use serde_json::Value;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Keeps what is logged; a process has one at the most.
+/// Captures log output. A process can have only one, because the log subscriber is
+/// global.
 #[derive(Clone, Default)]
 pub struct KeptLog(Arc<Mutex<Vec<u8>>>);
 
@@ -31,17 +32,17 @@
 }
 
 impl KeptLog {
-    /// Takes up all lines of the process from now on.
+    /// Starts capturing all log lines of the process.
     pub fn start() -> Self {
-        let kept = Self::default();
+        let log = Self::default();
         tracing_subscriber::fmt()
             .json()
-            .with_writer(kept.clone())
+            .with_writer(log.clone())
             .init();
-        kept
+        log
     }
 
-    /// All lines as their fields.
+    /// Returns the fields of each line, oldest first.
     pub fn lines(&self) -> Vec<Value> {
         let bytes = self.0.lock().unwrap().clone();
         let text = String::from_utf8(bytes).unwrap();
@@ -51,14 +52,14 @@
         lines.map(|line| line["fields"].clone()).collect()
     }
 
-    /// The lines that name a request.
+    /// Returns the lines whose `id` is the given request id.
     pub fn of_request(&self, id: &str) -> Vec<Value> {
         let mut lines = self.lines();
         lines.retain(|fields| fields["id"] == id);
         lines
     }
 
-    /// The lines with a message.
+    /// Returns the lines with the given message.
     pub fn with_message(&self, message: &str) -> Vec<Value> {
         let mut lines = self.lines();
         lines.retain(|fields| fields["message"] == message);
--- a/tests/tests/log_lines.rs
+++ b/tests/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a request: one outcome, and the decisions on the way to it.
+//! Log lines of a request: exactly one outcome, preceded by the decisions that led to it.
 
 mod edge;
 mod kept_log;
@@ -17,13 +17,15 @@
         .collect()
 }
 
-/// The one test of this file: the subscriber is the process's.
+/// The only test of this file, because a process has one log subscriber.
 #[test]
 fn each_request_has_one_outcome_in_the_log_and_its_decisions_before_it() {
-    let kept = KeptLog::start();
+    let log = KeptLog::start();
     let reply = Arc::new(Mutex::new(Reply::Whole));
-    let shown = reply.clone();
-    let servers = [BackendServer::start(move |_| *shown.lock().unwrap())];
+    let current_reply = reply.clone();
+    let servers = [BackendServer::start(move |_| {
+        *current_reply.lock().unwrap()
+    })];
     let short = Route {
         timeout_ms: 300,
         ..Route::new("once_only")
@@ -43,15 +45,24 @@
         ("once_only", Reply::Silent, 504, 3003, "request: refused."),
         ("nowhere", Reply::Whole, 404, 1001, "request: refused."),
     ];
-    for (n, (class, met, status, code, outcome)) in cases.into_iter().enumerate() {
-        *reply.lock().unwrap() = met;
+    for (n, (class, server_reply, status, code, outcome)) in cases.into_iter().enumerate()
+    {
+        *reply.lock().unwrap() = server_reply;
         let id = format!("id-{n}");
-        assert_eq!(deployment.call(class, &id).status, status, "{met:?}");
-        let lines = kept.of_request(&id);
-        let told = messages(&lines);
-        let outcomes = told.iter().filter(|told| **told == outcome).count();
-        assert_eq!(outcomes, 1, "{met:?}: {told:?}");
-        assert_eq!(told.last(), Some(&outcome), "{met:?}: {told:?}");
+        assert_eq!(
+            deployment.call(class, &id).status,
+            status,
+            "{server_reply:?}"
+        );
+        let lines = log.of_request(&id);
+        let logged = messages(&lines);
+        let outcomes = logged.iter().filter(|logged| **logged == outcome).count();
+        assert_eq!(outcomes, 1, "{server_reply:?}: {logged:?}");
+        assert_eq!(
+            logged.last(),
+            Some(&outcome),
+            "{server_reply:?}: {logged:?}"
+        );
         let last = lines.last().unwrap();
         assert_eq!(
             (&last["status"], &last["code"]),
@@ -60,18 +71,22 @@
         if code == 1001 {
             continue;
         }
-        assert_eq!(told[0], "attempt: sent.");
+        assert_eq!(logged[0], "attempt: sent.");
         assert_eq!(lines[0]["server"], "i-0");
         assert_eq!(last["version"], 1);
-        let failed = met != Reply::Whole;
+        let failed = server_reply != Reply::Whole;
         for line in ["attempt: failed.", "request: given up."] {
-            assert_eq!(told.contains(&line), failed, "{met:?}: {told:?}");
+            assert_eq!(
+                logged.contains(&line),
+                failed,
+                "{server_reply:?}: {logged:?}"
+            );
         }
-        let promised = told.contains(&"return: place promised.");
-        assert_eq!(promised, status == 503, "{met:?}: {told:?}");
+        let promised = logged.contains(&"return: place promised.");
+        assert_eq!(promised, status == 503, "{server_reply:?}: {logged:?}");
         assert!(
-            !told.contains(&"retry: sent again."),
-            "one server: {told:?}"
+            !logged.contains(&"retry: sent again."),
+            "retried with only one server: {logged:?}"
         );
     }
     deployment.close();
