--- a/crates/wingspur-coordination/src/announcement.rs
+++ b/crates/wingspur-coordination/src/announcement.rs
@@ -1,78 +1,88 @@
-//! Whether a box announces itself, and when.
+//! Decides whether and when a box announces itself in the store.
 
 use std::time::Duration;
 
-/// What a box knows when it decides whether to be announced.
+/// The inputs of the decision whether a box announces itself.
 #[derive(Debug, Clone, Copy)]
 pub struct AnnouncementInputs {
-    /// Announced boxes of its data centre that go before it as a hub.
+    /// Number of announced boxes of its data centre that rank ahead of it as hub.
     pub ranked_before: usize,
-    /// What it can carry for others, in shares of the least box that is planned for.
+    /// Its capacity as a hub, in multiples of the smallest supported box.
     pub capacity: u32,
-    /// Whether it is announced.
+    /// Whether the box is announced now.
     pub announced: bool,
 }
 
-/// What a box does about its announcement.
+/// The next action on a box's announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncementStep {
-    /// It stays as it is.
+    /// Makes no change.
     Keep,
-    /// It is announced, unless others are within this time.
+    /// Announces the box after a random delay of at most this, unless enough other boxes
+    /// are announced by then.
     AnnounceWithin(Duration),
-    /// Its lease may lapse: others stand before it.
+    /// Lets the announcement's lease expire, because enough announced boxes rank ahead.
     Lapse,
 }
 
 /// Decides whether a box announces itself.
 ///
-/// Only those are announced that may become the hub of their data centre; the others are
-/// found by nobody, and hear the hub that they link with. So calls of the store and the
-/// bytes of each listing grow with the data centres and not with the boxes: announcements,
-/// renewals and the watches that they ended were 3,500 of the 4,280 calls of 443 boxes on a
-/// quiet day of 50 s, and 443 of the 1,160 entries that each box had to list to start.
+/// Only boxes that may become the hub of their data centre are announced. The others
+/// cannot be looked up; they get their updates from the hub that they link with. Store
+/// calls and the size of a snapshot therefore grow with the number of data centres, not
+/// of boxes: with all 443 boxes of a fleet announced, announcements, renewals and the
+/// watches that they ended made 3,500 of 4,280 store calls in 50 s without faults, and
+/// 443 of the 1,160 entries that each box had to list at its start.
 ///
-/// Boxes that start together draw their time from a span that is shorter for the stronger
-/// ones, so that these are announced when the others ask themselves.
+/// The maximum delay is shorter for boxes with more capacity, so that of boxes that start
+/// together these are already announced when the others decide.
 pub fn announcement_step(inputs: &AnnouncementInputs) -> AnnouncementStep {
     if inputs.announced {
-        return match inputs.ranked_before < LAPSING_BEFORE {
+        return match inputs.ranked_before < LAPSE_RANK {
             true => AnnouncementStep::Keep,
             false => AnnouncementStep::Lapse,
         };
     }
-    let span = match inputs.ranked_before {
-        0 => SPAN_WITHOUT_ANY,
-        before if before < CANDIDATES => SPAN_WITH_SOME,
+    let max_delay = match inputs.ranked_before {
+        0 => MAX_DELAY_WITHOUT_HUB,
+        ranked_before if ranked_before < HUB_CANDIDATES => MAX_DELAY_WITH_HUB,
         _ => return AnnouncementStep::Keep,
     };
-    AnnouncementStep::AnnounceWithin(span / inputs.capacity.max(1))
+    AnnouncementStep::AnnounceWithin(max_delay / inputs.capacity.max(1))
 }
 
-/// Whether a box that starts lists the whole catalog at once, rather than wait for its hub
-/// to tell it: it may be the hub that others wait for. `was_announced` tells whether it
-/// still is from its last run, `before` how many boxes go before it as the hub.
-pub fn lists_catalog_at_start(was_announced: bool, before: usize) -> bool {
-    was_announced || before < CANDIDATES
+/// Returns whether a starting box lists the catalog from the store at once instead of
+/// waiting for its hub's snapshot: it may be the hub that others wait for.
+///
+/// `was_announced` is whether the announcement of its previous instance still exists,
+/// `ranked_before` how many announced boxes rank ahead of it as hub.
+pub fn lists_catalog_at_start(was_announced: bool, ranked_before: usize) -> bool {
+    was_announced || ranked_before < HUB_CANDIDATES
 }
 
-/// Whether a box that has just started waits for its hub's listing, rather than list the
-/// catalog itself: only for a hub that has one, and for a bounded time since its start. A
-/// hub may have just started too, or the store may turn it away.
+/// Returns whether a box that has just started waits for its hub's snapshot instead of
+/// listing the catalog itself.
+///
+/// It waits only for a hub that has a catalog, and for a limited time since its own
+/// start: the hub may have just started too, or the store may refuse its requests.
 pub fn waits_for_hub_snapshot(hub_has_catalog: bool, since_start: Duration) -> bool {
-    hub_has_catalog && since_start < LISTING_WAIT
+    hub_has_catalog && since_start < SNAPSHOT_WAIT
 }
 
-/// A hub sends listings one after the other: at 200 megabits a second some thirty a second
-/// before 10,000 servers.
-const LISTING_WAIT: Duration = Duration::from_secs(8);
-/// Boxes of a data centre that may become its hub: the loss of two at once still leaves one
-/// that the others know.
-const CANDIDATES: usize = 3;
-/// Twice as many are left announced: a lease that lapses and is missed costs two calls.
-const LAPSING_BEFORE: usize = 2 * CANDIDATES;
-/// With nobody to link with: news takes a quarter of a second to all, in which a sixth of
-/// the least boxes are announced.
-const SPAN_WITHOUT_ANY: Duration = Duration::from_millis(1500);
-/// With a hub there is time.
-const SPAN_WITH_SOME: Duration = Duration::from_secs(6);
+/// Maximum time since the start for which a box waits for its hub's snapshot. A hub sends
+/// snapshots one after the other: with 10,000 servers about 30 a second at 200 Mbit/s.
+const SNAPSHOT_WAIT: Duration = Duration::from_secs(8);
+/// Number of announced boxes per data centre that may become its hub. If two of them are
+/// lost at once, one that the other boxes know still remains.
+const HUB_CANDIDATES: usize = 3;
+/// Number of higher-ranked boxes from which on an announced box lets its lease expire. It
+/// is twice the number of candidates, because a lease that expires and is needed again
+/// costs two store calls.
+const LAPSE_RANK: usize = 2 * HUB_CANDIDATES;
+/// Maximum announcement delay of the smallest box while no box of its data centre is
+/// announced. An announcement reaches all boxes in 0.25 s, in which a sixth of the
+/// smallest boxes announce themselves too.
+const MAX_DELAY_WITHOUT_HUB: Duration = Duration::from_millis(1500);
+/// Maximum announcement delay of the smallest box while the data centre has an announced
+/// box that can be its hub. There is no hurry then.
+const MAX_DELAY_WITH_HUB: Duration = Duration::from_secs(6);
--- a/crates/wingspur-coordination/src/delegation.rs
+++ b/crates/wingspur-coordination/src/delegation.rs
@@ -1,64 +1,70 @@
-//! To which hub a box leaves its part of the fleet's allowances.
+//! Tracks the hub to which a box delegates its share of fleet-wide quotas.
 
 use std::time::{Duration, Instant};
 
 use crate::LinkId;
 
-/// A box's part is used by one at a time: the hub that it was left to last, or the box.
+/// Ensures that a box's quota share is used by only one at a time: by the hub that it was
+/// last delegated to, or by the box itself.
 ///
-/// A hub uses the part of a member for `DELEGATED_FOR` from the moment at which the member
-/// said so; the member says so with each frame. It says so to another hub, or uses its part
-/// itself, no sooner than that time after it last did, or once the hub has ended the link in
-/// order: it gives up the part first. A box that has just started waits as long, unless the
-/// whole fleet starts for the first time: what its former run said may still count.
+/// A hub may use a member's share for `DELEGATION_TTL` from the moment at which the
+/// member delegated it; the member renews the delegation with each frame. The member
+/// delegates to another hub, or uses its share itself, only when that time has passed
+/// since its last delegation, or when the hub has closed the link in order, since the hub
+/// releases the share before it does. A box that has just started waits as long, because
+/// a delegation of its previous instance may still be valid, unless the whole fleet
+/// starts for the first time.
 #[derive(Debug, Clone, Copy)]
 pub struct ShareDelegation {
-    to: Option<LinkId>,
-    /// From when on nobody else uses the part.
+    delegate: Option<LinkId>,
+    /// The time from which on no hub uses the share.
     free_from: Instant,
 }
 
 impl ShareDelegation {
-    /// A box that starts now.
+    /// Creates the state of a box that starts now.
     pub fn new(now: Instant) -> Self {
         Self {
-            to: None,
+            delegate: None,
             free_from: now + DELEGATION_TTL,
         }
     }
 
-    /// A box that starts now with the whole fleet, for the first time.
+    /// Creates the state of a box that starts now, together with the whole fleet and for
+    /// the first time.
     pub fn at_first_start(now: Instant) -> Self {
         Self {
-            to: None,
+            delegate: None,
             free_from: now,
         }
     }
 
-    /// Whether a frame that is sent now may leave the part to the hub at a link; notes it.
+    /// Delegates the share to the hub at a link, or renews the delegation, with a frame
+    /// that is sent now. Returns false, with no effect, while another hub may still use
+    /// the share.
     pub fn delegate_to(&mut self, link: LinkId, now: Instant) -> bool {
-        if self.to != Some(link) && !self.is_free(now) {
+        if self.delegate != Some(link) && !self.is_free(now) {
             return false;
         }
-        self.to = Some(link);
+        self.delegate = Some(link);
         self.free_from = now + DELEGATION_TTL;
         true
     }
 
-    /// Takes in that the hub at a link has given the part up.
+    /// Records that the hub at a link has released the share.
     pub fn release(&mut self, link: LinkId, now: Instant) {
-        if self.to == Some(link) {
+        if self.delegate == Some(link) {
             self.free_from = now;
         }
     }
 
-    /// Whether nobody else uses the part any more.
+    /// Returns whether no hub uses the share any more.
     pub fn is_free(&self, now: Instant) -> bool {
         now >= self.free_from
     }
 }
 
-/// For how long a hub uses a member's part without news of it: a sign of life each way takes
-/// up to 0.45 s, and more where boxes have a tenth of a core. The member's part earns nothing
-/// for as long when its hub is lost, or it has just started.
+/// Time for which a hub may use a member's share without a renewal. A heartbeat each way
+/// takes up to 0.45 s, and longer on boxes with a tenth of a core. The share grants
+/// nothing for this time after the member's hub is lost or the member has started.
 pub const DELEGATION_TTL: Duration = Duration::from_millis(800);
--- a/crates/wingspur-coordination/src/key_set.rs
+++ b/crates/wingspur-coordination/src/key_set.rs
@@ -1,11 +1,12 @@
-//! Sets of servers that take a bit a server: one stands for each link and source of updates.
+//! Sets of servers with one bit per server. There is a set for each link and source of
+//! updates.
 
 use std::collections::HashMap;
 
 use fixedbitset::FixedBitSet;
 use wingspur_state::ServerKey;
 
-/// Numbers the servers that sets are made of.
+/// Assigns each server the position that stands for it in a `KeySet`.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
     positions: HashMap<ServerKey, usize>,
@@ -20,7 +21,8 @@
 }
 
 impl KeyIndex {
-    /// The position of a server, which it keeps.
+    /// Returns the position of a server, assigning one at the first call. It never
+    /// changes.
     pub fn position(&mut self, key: ServerKey) -> usize {
         let next = self.keys.len();
         let position = *self.positions.entry(key).or_insert(next);
@@ -30,30 +32,32 @@
         position
     }
 
-    /// The server at a position that was given out.
+    /// Returns the server at a position.
+    ///
+    /// Panics if `position` was not returned by this index.
     pub fn key(&self, position: usize) -> ServerKey {
         self.keys[position]
     }
 }
 
 impl KeySet {
-    /// Whether it holds nothing.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Whether it holds a server.
+    /// Returns whether the set contains the server at a position.
     pub fn contains(&self, position: usize) -> bool {
         self.bits.contains(position)
     }
 
-    /// Adds a server.
+    /// Adds the server at a position.
     pub fn insert(&mut self, position: usize) {
         self.bits.grow(position + 1);
         self.length += usize::from(!self.bits.put(position));
     }
 
-    /// Removes a server.
+    /// Removes the server at a position.
     pub fn remove(&mut self, position: usize) {
         if self.bits.contains(position) {
             self.bits.set(position, false);
@@ -61,7 +65,7 @@
         }
     }
 
-    /// Removes all servers, and returns them.
+    /// Removes all servers and returns their positions.
     pub fn take(&mut self) -> Vec<usize> {
         let taken = self.bits.ones().collect();
         self.bits.clear();
@@ -69,15 +73,17 @@
         taken
     }
 
-    /// Removes at most so many servers, from the position `next` on and around, and returns
-    /// them; moves `next` behind them, so that each has its turn.
-    pub fn take_from(&mut self, next: &mut usize, most: usize) -> Vec<usize> {
-        if self.length <= most {
+    /// Removes at most `max_count` servers and returns their positions.
+    ///
+    /// Starts at the position `next` and wraps around. If servers remain in the set,
+    /// `next` moves past the last one taken, so that all servers are taken in turn.
+    pub fn take_from(&mut self, next: &mut usize, max_count: usize) -> Vec<usize> {
+        if self.length <= max_count {
             return self.take();
         }
-        let behind = self.bits.ones().skip_while(|position| position < next);
-        let before = self.bits.ones().take_while(|position| position < next);
-        let taken: Vec<usize> = behind.chain(before).take(most).collect();
+        let from_next = self.bits.ones().skip_while(|position| position < next);
+        let before_next = self.bits.ones().take_while(|position| position < next);
+        let taken: Vec<usize> = from_next.chain(before_next).take(max_count).collect();
         for position in &taken {
             self.remove(*position);
         }
--- a/crates/wingspur-coordination/src/lib.rs
+++ b/crates/wingspur-coordination/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the boxes of a fleet do together, as state machines without I/O.
+//! Coordination between the boxes of a fleet, as state machines without I/O.
 
 mod announcement;
 mod box_registry;
--- a/crates/wingspur-coordination/src/membership.rs
+++ b/crates/wingspur-coordination/src/membership.rs
@@ -1,10 +1,12 @@
-//! Which boxes live: the platform's lagging list joined with heartbeats.
+//! Tracks which boxes are live, from the platform's list of boxes, which lags, and from
+//! heartbeats.
 //!
-//! Each box sends heartbeats to a few boxes only: its successors on a ring, which it
-//! watches, and now and then one at random. A watched box that stays silent is suspected; the
-//! suspicion travels on heartbeats and lapses unless it is renewed. A box is down when
-//! two others suspect it. The cost for one box does not grow with the fleet, and a
-//! wrong view does no harm: roles are soft, or fenced by the store.
+//! Each box sends heartbeats to a few boxes only: to its successors on a ring, which it
+//! watches, and in every second round to a random one. A watched box that stays silent is
+//! suspected; suspicions are passed on with heartbeats and expire unless they are
+//! renewed. A box counts as down when two others suspect it. The cost for one box does
+//! not grow with the fleet. A wrong view does no harm, because a role either may have two
+//! owners for a while or is fenced by the store.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -21,25 +23,25 @@
 pub struct Membership {
     own: BoxId,
     settings: MembershipSettings,
-    /// The listed boxes but this one, by their place on the ring.
+    /// The listed boxes except this one, by their position on the ring.
     ring: BTreeMap<(u64, BoxId), ()>,
     peers: HashMap<BoxId, Peer>,
-    /// Who suspects whom, and until when.
+    /// When each suspicion expires, by suspect and observer.
     suspicions: HashMap<(BoxId, BoxId), Instant>,
     round: u64,
     watched: Vec<BoxId>,
-    /// The last answer of `live`, and when it was worked out; none after a change.
-    roster: Option<(Instant, Arc<RendezvousSet>)>,
+    /// The last result of `live_boxes` and when it was computed; `None` after a change.
+    live_boxes_cache: Option<(Instant, Arc<RendezvousSet>)>,
 }
 
-/// The times of membership.
+/// The intervals and timeouts of membership.
 #[derive(Debug, Clone, Copy)]
 pub struct MembershipSettings {
     /// Time between two rounds of heartbeats.
     pub heartbeat_every: Duration,
     /// Silence after which a watched box is suspected.
     pub suspect_after: Duration,
-    /// A suspicion lapses after this unless it is renewed.
+    /// Time after which a suspicion expires unless it is renewed.
     pub suspicion_ttl: Duration,
 }
 
@@ -56,24 +58,24 @@
 /// A listed box as this box sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerView {
-    /// The box.
+    /// The box's id.
     pub id: BoxId,
-    /// Where it hears its peers.
+    /// The address at which it receives messages of its peers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentreId,
 }
 
-/// Why a message's sender was refused.
+/// The reason why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageRejection {
     /// The box is not in the platform's list.
     #[error("the sender is not in the list of boxes")]
     Unlisted,
-    /// The message was heard before, or one after it was.
+    /// The message was received before, or is too old to tell.
     #[error("the message is a repeat")]
     Replayed,
-    /// The sender's place was taken by a later incarnation.
+    /// A message of a later incarnation of the sender was received.
     #[error("the sender has been replaced")]
     Replaced,
 }
@@ -83,17 +85,18 @@
     listed: ListedBox,
     hash: u64,
     incarnation: u64,
-    newest_sequence: u64,
-    /// Which of the last 64 sequences were heard: messages may overtake each other.
-    window: u64,
-    heard: Option<Instant>,
-    /// Since when it is watched without a sign of life.
+    highest_sequence: u64,
+    /// Bitmap of the last 64 sequence numbers that were received, the lowest bit being
+    /// the newest: messages may arrive out of order.
+    received_window: u64,
+    last_received: Option<Instant>,
+    /// Since when this box watches it; `None` if it does not.
     watched_since: Option<Instant>,
-    says_leaving: bool,
+    announced_leaving: bool,
 }
 
 impl Membership {
-    /// A view without peers.
+    /// Creates a view without peers.
     pub fn new(own: BoxId, settings: MembershipSettings) -> Self {
         Self {
             own,
@@ -103,16 +106,16 @@
             suspicions: HashMap::new(),
             round: 0,
             watched: Vec::new(),
-            roster: None,
+            live_boxes_cache: None,
         }
     }
 
-    /// Takes in the platform's list.
+    /// Applies the platform's list of boxes.
     pub fn update_listed(&mut self, list: &BoxList) {
         let others = list.boxes.iter().filter(|listed| listed.id != self.own);
         let listed: HashMap<&BoxId, &ListedBox> =
             others.map(|listed| (&listed.id, listed)).collect();
-        self.roster = None;
+        self.live_boxes_cache = None;
         self.peers.retain(|id, _| listed.contains_key(id));
         for (id, entry) in listed {
             match self.peers.get_mut(id) {
@@ -122,11 +125,13 @@
                 }
             }
         }
-        let placed = self.peers.keys().map(|id| ((hash_of(id), id.clone()), ()));
-        self.ring = placed.collect();
+        let by_position = self.peers.keys().map(|id| ((hash_of(id), id.clone()), ()));
+        self.ring = by_position.collect();
     }
 
-    /// Checks a message's sender and counts it as a sign of life.
+    /// Checks the sender of a message and counts the message as a sign of life. Fails if
+    /// the sender is not listed, the message is a repeat or its incarnation is an old
+    /// one.
     pub fn receive(
         &mut self,
         from: &BoxId,
@@ -136,32 +141,32 @@
     ) -> Result<(), MessageRejection> {
         let peer = self.peers.get_mut(from).ok_or(MessageRejection::Unlisted)?;
         peer.admit(incarnation, sequence)?;
-        peer.heard = Some(now);
+        peer.last_received = Some(now);
         self.suspicions.remove(&(from.clone(), self.own.clone()));
         Ok(())
     }
 
-    /// Counts an answer of a box as a sign of life.
+    /// Counts a box's reply as a sign of life.
     pub fn record_reply(&mut self, from: &BoxId, now: Instant) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.heard = Some(now);
+            peer.last_received = Some(now);
             self.suspicions.remove(&(from.clone(), self.own.clone()));
         }
     }
 
-    /// Notes that a box says it is leaving.
+    /// Records whether a box has announced that it is leaving.
     pub fn set_leaving(&mut self, id: &BoxId, leaving: bool) {
         if let Some(peer) = self.peers.get_mut(id)
-            && peer.says_leaving != leaving
+            && peer.announced_leaving != leaving
         {
-            peer.says_leaving = leaving;
-            self.roster = None;
+            peer.announced_leaving = leaving;
+            self.live_boxes_cache = None;
         }
     }
 
-    /// Takes in suspicions that came with a heartbeat.
+    /// Applies suspicions that were received with a heartbeat.
     pub fn receive_suspicions(&mut self, suspicions: &[Suspicion], now: Instant) {
-        for suspicion in suspicions.iter().take(MOST_SUSPICIONS) {
+        for suspicion in suspicions.iter().take(MAX_SUSPICIONS_PER_HEARTBEAT) {
             if suspicion.observer == self.own
                 || !self.peers.contains_key(&suspicion.suspect)
             {
@@ -170,28 +175,31 @@
             let ttl = Duration::from_millis(u64::from(suspicion.ttl_ms));
             let until = now + ttl.min(self.settings.suspicion_ttl);
             let key = (suspicion.suspect.clone(), suspicion.observer.clone());
-            let held = self.suspicions.entry(key).or_insert(until);
-            *held = (*held).max(until);
+            let expires = self.suspicions.entry(key).or_insert(until);
+            *expires = (*expires).max(until);
         }
     }
 
-    /// The suspicions to send along; they thin out as they age.
+    /// Returns the suspicions to send with a heartbeat: those that expire last, each with
+    /// its remaining TTL, so that a suspicion that is not renewed expires everywhere.
     pub fn suspicions(&self, now: Instant) -> Vec<Suspicion> {
-        let running = self.suspicions.iter().filter(|(_, until)| **until > now);
-        let mut running: Vec<Suspicion> = running
-            .map(|((of, by), until)| Suspicion {
-                suspect: of.clone(),
-                observer: by.clone(),
+        let current = self.suspicions.iter().filter(|(_, until)| **until > now);
+        let mut current: Vec<Suspicion> = current
+            .map(|((suspect, observer), until)| Suspicion {
+                suspect: suspect.clone(),
+                observer: observer.clone(),
                 ttl_ms: (*until - now).as_millis() as u32,
             })
             .collect();
-        running.sort_by_key(|suspicion| std::cmp::Reverse(suspicion.ttl_ms));
-        running.truncate(MOST_SUSPICIONS);
-        running
+        current.sort_by_key(|suspicion| std::cmp::Reverse(suspicion.ttl_ms));
+        current.truncate(MAX_SUSPICIONS_PER_HEARTBEAT);
+        current
     }
 
-    /// Starts a round: whom to send a heartbeat. `lot` picks the random one.
-    pub fn begin_round(&mut self, lot: u64, now: Instant) -> Vec<PeerView> {
+    /// Starts a round of heartbeats, suspects watched boxes that are silent, and returns
+    /// the boxes to send a heartbeat to. `sample` is a random number that selects the
+    /// random one.
+    pub fn begin_round(&mut self, sample: u64, now: Instant) -> Vec<PeerView> {
         self.round += 1;
         self.suspicions.retain(|_, until| *until > now);
         let watched: Vec<BoxId> = self.successors().cloned().collect();
@@ -207,19 +215,22 @@
                 continue;
             };
             let since = *peer.watched_since.get_or_insert(now);
-            let heard = peer.heard.map_or(since, |heard| heard.max(since));
-            if now.saturating_duration_since(heard) >= self.settings.suspect_after {
+            let last_received = peer
+                .last_received
+                .map_or(since, |last_received| last_received.max(since));
+            if now.saturating_duration_since(last_received) >= self.settings.suspect_after
+            {
                 let key = (id.clone(), self.own.clone());
                 self.suspicions
                     .insert(key, now + self.settings.suspicion_ttl);
-                self.roster = None;
+                self.live_boxes_cache = None;
             }
         }
         let mut targets = watched;
         let others = self.ring.len().max(1) as u64;
-        let drawn = self.ring.keys().nth((lot % others) as usize);
+        let drawn = self.ring.keys().nth((sample % others) as usize);
         if let Some((_, id)) = drawn
-            && self.round.is_multiple_of(RANDOM_EVERY)
+            && self.round.is_multiple_of(RANDOM_EVERY_ROUNDS)
             && !targets.contains(id)
         {
             targets.push(id.clone());
@@ -227,44 +238,46 @@
         targets.iter().filter_map(|id| self.view(id)).collect()
     }
 
-    /// Whether a listed box counts as living.
+    /// Returns whether a box counts as live; false if it is not listed.
     pub fn is_live(&self, id: &BoxId, now: Instant) -> bool {
         let listed = self.peers.get(id);
-        *id == self.own || listed.is_some_and(|peer| peer.stays(&self.down(now)))
+        *id == self.own || listed.is_some_and(|peer| peer.is_live(&self.down(now)))
     }
 
-    /// All boxes that count as living, this one included.
+    /// Returns all boxes that count as live, including this one.
     ///
-    /// Worked out anew at most once in `ROSTER_TTL`: the request path asks often.
+    /// While there are suspicions, the result is computed at most once in
+    /// `LIVE_BOXES_TTL` unless it is invalidated, because it is needed often while
+    /// requests are handled.
     pub fn live_boxes(&mut self, now: Instant) -> Arc<RendezvousSet> {
-        // While nobody is suspected, only the list and those who leave change it.
-        let quiet = self.suspicions.is_empty();
-        let fresh = |at: Instant| now.saturating_duration_since(at) < ROSTER_TTL;
-        if let Some((at, roster)) = &self.roster
-            && (quiet || fresh(*at))
+        // While no box is suspected, only the list and boxes that leave change the
+        // result.
+        let no_suspicions = self.suspicions.is_empty();
+        let is_fresh = |at: Instant| now.saturating_duration_since(at) < LIVE_BOXES_TTL;
+        if let Some((at, cached)) = &self.live_boxes_cache
+            && (no_suspicions || is_fresh(*at))
         {
-            return roster.clone();
+            return cached.clone();
         }
         let down = self.down(now);
-        let live = self.peers.values().filter(|peer| peer.stays(&down));
+        let live = self.peers.values().filter(|peer| peer.is_live(&down));
         let hashed = live.map(|peer| (peer.hash, peer.listed.id.clone()));
         let own = (hash_of(&self.own), self.own.clone());
-        let roster = Arc::new(RendezvousSet::from_hashed(hashed.chain([own])));
-        self.roster = Some((now, roster.clone()));
-        roster
+        let live_set = Arc::new(RendezvousSet::from_hashed(hashed.chain([own])));
+        self.live_boxes_cache = Some((now, live_set.clone()));
+        live_set
     }
 
-    /// Other boxes of one data centre that count as living.
+    /// Returns the other boxes of one data centre that count as live.
     pub fn live_in(&self, data_centre: &DataCentreId, now: Instant) -> Vec<PeerView> {
         let down = self.down(now);
-        let inside = self
-            .peers
-            .values()
-            .filter(|peer| peer.listed.data_centre == *data_centre && peer.stays(&down));
+        let inside = self.peers.values().filter(|peer| {
+            peer.listed.data_centre == *data_centre && peer.is_live(&down)
+        });
         inside.map(Peer::view).collect()
     }
 
-    /// The data centres of all listed boxes, and this box's own.
+    /// Returns the data centres of all listed boxes and this box's own, sorted.
     pub fn data_centres(&self, own: &DataCentreId) -> Vec<DataCentreId> {
         let listed = self.peers.values().map(|peer| &peer.listed.data_centre);
         let mut all: Vec<DataCentreId> = listed.chain([own]).cloned().collect();
@@ -273,12 +286,13 @@
         all
     }
 
-    /// A box by its id.
+    /// Returns another listed box by its id.
     pub fn view(&self, id: &BoxId) -> Option<PeerView> {
         self.peers.get(id).map(Peer::view)
     }
 
-    /// The boxes after this one on the ring: if every box tells its own, all are told.
+    /// Returns up to `count` of the boxes after this one on the ring, `WATCHED_BOXES` at
+    /// most. What every box forwards to these reaches all boxes.
     pub fn next_on_ring(&self, count: usize) -> Vec<PeerView> {
         self.successors()
             .take(count)
@@ -286,42 +300,48 @@
             .collect()
     }
 
-    /// The sequence last heard from a box, for echoing it back; 0 for none.
+    /// Returns the highest sequence number received from a box, to be echoed back to it;
+    /// 0 if there is none.
     pub fn heard_sequence(&self, id: &BoxId) -> u64 {
-        self.peers.get(id).map_or(0, |peer| peer.newest_sequence)
+        self.peers.get(id).map_or(0, |peer| peer.highest_sequence)
     }
 
-    /// The number of listed boxes, this one included.
+    /// Returns the number of listed boxes, including this one.
     pub fn size(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// The boxes that enough others suspect.
+    /// Returns the boxes that enough others suspect. One suspicion is enough in a fleet
+    /// of at most three boxes.
     fn down(&self, now: Instant) -> HashSet<&BoxId> {
         let needed = if self.peers.len() < 3 {
             1
         } else {
-            LEAST_SUSPECTING
+            MIN_SUSPECTING_BOXES
         };
         let mut counts: HashMap<&BoxId, usize> = HashMap::new();
-        for ((of, _), until) in &self.suspicions {
+        for ((suspect, _), until) in &self.suspicions {
             if *until > now {
-                *counts.entry(of).or_default() += 1;
+                *counts.entry(suspect).or_default() += 1;
             }
         }
         let down = counts.into_iter().filter(|(_, count)| *count >= needed);
         down.map(|(id, _)| id).collect()
     }
 
-    /// The boxes after this one on the ring, which it watches.
+    /// Returns the boxes after this one on the ring, which it watches.
     ///
-    /// Boxes that are down stay watched, and the ring goes on behind them, so that
-    /// everyone who lives always has two who watch.
+    /// Boxes that are down stay watched and keep their positions on the ring. Each box is
+    /// watched by `WATCHED_BOXES` others, so that one of these may be down and two still
+    /// watch.
     fn successors(&self) -> impl Iterator<Item = &BoxId> {
         let own = (hash_of(&self.own), self.own.clone());
         let after = self.ring.range(own.clone()..);
         let before = self.ring.range(..own);
-        after.chain(before).map(|((_, id), ())| id).take(WATCHED)
+        after
+            .chain(before)
+            .map(|((_, id), ())| id)
+            .take(WATCHED_BOXES)
     }
 }
 
@@ -331,17 +351,17 @@
             hash: hash_of(&listed.id),
             listed,
             incarnation: 0,
-            newest_sequence: 0,
-            window: 0,
-            heard: None,
+            highest_sequence: 0,
+            received_window: 0,
+            last_received: None,
             watched_since: None,
-            says_leaving: false,
+            announced_leaving: false,
         }
     }
 
-    fn stays(&self, down: &HashSet<&BoxId>) -> bool {
+    fn is_live(&self, down: &HashSet<&BoxId>) -> bool {
         self.listed.state == BoxState::Live
-            && !self.says_leaving
+            && !self.announced_leaving
             && !down.contains(&self.listed.id)
     }
 
@@ -353,39 +373,47 @@
         }
     }
 
-    /// Incarnations grow with the time of the start; an older one is a leftover.
+    /// Checks the incarnation and the sequence number of a message, and records them.
+    ///
+    /// A box that starts again has a higher incarnation, so that a message with a lower
+    /// one comes from an ended instance.
     fn admit(&mut self, incarnation: u64, sequence: u64) -> Result<(), MessageRejection> {
         if incarnation < self.incarnation {
             return Err(MessageRejection::Replaced);
         }
         if incarnation > self.incarnation {
             self.incarnation = incarnation;
-            self.newest_sequence = 0;
-            self.window = 0;
-            self.says_leaving = false;
+            self.highest_sequence = 0;
+            self.received_window = 0;
+            self.announced_leaving = false;
         }
-        if sequence > self.newest_sequence {
-            let ahead = sequence - self.newest_sequence;
-            self.window = self.window.checked_shl(ahead as u32).unwrap_or(0) | 1;
-            self.newest_sequence = sequence;
+        if sequence > self.highest_sequence {
+            let advance = sequence - self.highest_sequence;
+            self.received_window = self
+                .received_window
+                .checked_shl(advance as u32)
+                .unwrap_or(0)
+                | 1;
+            self.highest_sequence = sequence;
             return Ok(());
         }
-        let behind = self.newest_sequence - sequence;
-        if behind >= 64 || self.window >> behind & 1 == 1 {
+        let behind = self.highest_sequence - sequence;
+        if behind >= 64 || self.received_window >> behind & 1 == 1 {
             return Err(MessageRejection::Replayed);
         }
-        self.window |= 1 << behind;
+        self.received_window |= 1 << behind;
         Ok(())
     }
 }
 
-/// Boxes that each box watches.
-const WATCHED: usize = 3;
-/// In every so many rounds a heartbeat goes to a box at random as well.
-const RANDOM_EVERY: u64 = 2;
-/// Boxes that must agree before one counts as down.
-const LEAST_SUSPECTING: usize = 2;
-/// How long the roster of living boxes is used again.
-const ROSTER_TTL: Duration = Duration::from_millis(100);
-/// Suspicions on one heartbeat.
-const MOST_SUSPICIONS: usize = 8;
+/// Number of boxes that each box watches.
+const WATCHED_BOXES: usize = 3;
+/// Interval, in rounds, at which a heartbeat also goes to a random box.
+const RANDOM_EVERY_ROUNDS: u64 = 2;
+/// Number of boxes that must suspect a box before it counts as down.
+const MIN_SUSPECTING_BOXES: usize = 2;
+/// Time for which the computed set of live boxes is used again while there are
+/// suspicions.
+const LIVE_BOXES_TTL: Duration = Duration::from_millis(100);
+/// Maximum number of suspicions in one heartbeat.
+const MAX_SUSPICIONS_PER_HEARTBEAT: usize = 8;
--- a/crates/wingspur-coordination/src/quarantine_registry.rs
+++ b/crates/wingspur-coordination/src/quarantine_registry.rs
@@ -1,10 +1,11 @@
-//! Who may send a request that is in quarantine, and when.
+//! Decides which box may send a quarantined request, and when.
 //!
-//! A box lets one through only after it has counted that in the store, under the condition
-//! that nobody else has counted meanwhile. So all boxes together let through no more than
-//! `MOST_TRIES`, whatever became of the ones before and of the news between them: the store
-//! takes only one write for each revision of a key. A box that cannot have the store asks its
-//! hub, and only a hub lets something through on its own account while nobody has the store.
+//! A box permits a trial only after it has recorded it in the store, on condition that no
+//! other box has recorded one meanwhile. The store accepts only one write for each
+//! revision of a key, so all boxes together permit at most `MAX_TRIALS`, whatever the
+//! outcome of earlier trials and of the updates between boxes. A box that cannot reach
+//! the store asks its hub; only a hub permits trials without recording them while the
+//! store is unavailable.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,228 +15,243 @@
     StoredQuarantine, SuspectRequests,
 };
 
-/// What a box has let through of requests in quarantine.
+/// The trials of quarantined requests that a box has permitted or is recording.
 #[derive(Debug)]
 pub struct QuarantineRegistry {
-    /// Under which name this box counts.
+    /// The identity under which this box records trials.
     own: SourceId,
-    /// The store's era.
+    /// The current era of the store.
     era: StoreEra,
-    cases: HashMap<RequestFingerprint, Case>,
+    requests: HashMap<RequestFingerprint, RegisteredRequest>,
 }
 
-/// What is to be done about a request in quarantine.
+/// The next step for a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialDecision {
-    /// It may be sent to one server.
+    /// The request may be sent to one server.
     Lend,
-    /// That has to be counted in the store first.
+    /// The trial has to be recorded in the store first.
     Count(TrialRecord),
-    /// The store cannot be had: the hub is to be asked.
+    /// The store is unavailable to this box: the hub has to be asked.
     AskHub,
-    /// It may not, and may ask again after this.
+    /// The request may not be sent; the caller may ask again after this time.
     Later(Duration),
 }
 
-/// What is written to the store, and on top of what.
+/// A write to the store, with the position that it is conditional on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrialRecord {
-    /// How often the request has been let through then.
+    /// Number of trials of the request, including the one that is recorded.
     pub tries: u32,
-    /// Who counts.
+    /// The box that records it.
     pub counted_by: SourceId,
-    /// What it is written on top of.
+    /// The position that the request's key must still have in the store.
     pub expected_position: StorePosition,
 }
 
-/// What came of the write.
+/// The result of the write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// It stands.
+    /// The store holds the write.
     Stands,
-    /// Something else stands there: what is known was old.
+    /// The store holds something else: what this box knew was stale.
     Overtaken,
-    /// Nobody can tell: the store is away, for this box at least.
+    /// The result is unknown: the store is unavailable, at least to this box.
     Unknown,
 }
 
 #[derive(Debug)]
-struct Case {
-    /// Let through while the store could not be had.
-    uncounted: u32,
-    /// Since when this box knows that another may rather have ended the servers.
-    keeps_away: Option<Instant>,
-    /// What was written last; the store may hold it though its answer was lost.
-    last_count: Option<TrialRecord>,
-    is_counting: bool,
-    touched: Instant,
+struct RegisteredRequest {
+    /// Number of trials permitted without a record while the store was unavailable.
+    unrecorded_trials: u32,
+    /// Since when the request waits because another is more likely to have ended the
+    /// servers.
+    waiting_since: Option<Instant>,
+    /// The last write; the store may hold it even if its reply was lost.
+    last_write: Option<TrialRecord>,
+    is_writing: bool,
+    last_asked: Instant,
 }
 
 impl QuarantineRegistry {
-    /// The desk of a box that counts under a name of its own.
+    /// Creates the registry of a box; `own` is the identity under which it records
+    /// trials.
     pub fn new(own: SourceId) -> Self {
         Self {
             own,
             era: 0,
-            cases: HashMap::new(),
+            requests: HashMap::new(),
         }
     }
 
-    /// Notes the store's era: what was known of the one before is no condition to write on.
+    /// Sets the store's era. Positions of an earlier era cannot be a condition of a
+    /// write.
     pub fn note_era(&mut self, era: StoreEra) {
         self.era = era;
     }
 
     /// Decides on a request that is in quarantine.
     ///
-    /// One that only ran beside another keeps away from it: out at one server, the other would
-    /// end that under it again. Both are often let through at the same moment, when a server
-    /// comes back; so one waits for as long as news of the other takes.
+    /// A request that only ran beside a more likely culprit is not sent while that one
+    /// may be running, since it could end the server under it again. Both are often
+    /// permitted at the same moment, when a server returns; the less likely one therefore
+    /// waits for as long as updates about the other take to arrive.
     pub fn request_trial(
         &mut self,
         request: RequestFingerprint,
         suspects: &SuspectRequests,
         now: Instant,
     ) -> TrialDecision {
-        let known = suspects.quarantine(request);
+        let stored = suspects.quarantine(request);
         let likelier = suspects.likelier_culprits(request);
         let has_likelier = !likelier.is_empty();
-        let out_for = self.out_for(request, &likelier, suspects, now);
+        let in_flight_for = self.in_flight_for(request, &likelier, suspects, now);
         let (own, era) = (self.own, self.era);
-        let case = self.case(request, now);
-        if case.is_counting {
-            return TrialDecision::Later(COUNTING_TAKES);
+        let registered = self.registered(request, now);
+        if registered.is_writing {
+            return TrialDecision::Later(WRITE_RETRY_DELAY);
         }
-        if known.is_some_and(|known| known.position.era() != era) {
-            // What the restored store holds of it has yet to be read.
-            return TrialDecision::Later(LOOK_AGAIN);
+        if stored.is_some_and(|stored| stored.position.era() != era) {
+            // The restored store's record of it has not been read yet.
+            return TrialDecision::Later(OUTCOME_RECHECK_DELAY);
         }
-        case.note_counted(known.as_ref(), own);
-        let tries = known.map_or(0, |known| known.tries) + case.uncounted;
-        if !out_for.is_zero() {
-            // Also the last one may yet clear it.
-            return TrialDecision::Later(out_for.min(LOOK_AGAIN));
+        registered.reconcile_last_write(stored.as_ref(), own);
+        let trials =
+            stored.map_or(0, |stored| stored.tries) + registered.unrecorded_trials;
+        if !in_flight_for.is_zero() {
+            // A trial in flight, even the last one, may still clear the request.
+            return TrialDecision::Later(in_flight_for.min(OUTCOME_RECHECK_DELAY));
         }
-        if tries >= MAX_TRIALS {
-            return TrialDecision::Later(ends_in(known.as_ref(), now));
+        if trials >= MAX_TRIALS {
+            return TrialDecision::Later(quarantine_expires_in(stored.as_ref(), now));
         }
-        if has_likelier && !case.has_kept_away(now) {
-            return TrialDecision::Later(NEWS_TAKES);
+        if has_likelier && !registered.has_waited_for_updates(now) {
+            return TrialDecision::Later(UPDATE_DELAY);
         }
-        case.keeps_away = None;
-        let on = known.map_or(StorePosition::start_of(era), |known| known.position);
-        TrialDecision::Count(case.count(tries + 1, own, on))
+        registered.waiting_since = None;
+        let expected_position =
+            stored.map_or(StorePosition::start_of(era), |stored| stored.position);
+        TrialDecision::Count(registered.count(trials + 1, own, expected_position))
     }
 
-    /// Whether the quarantine of a request has to be written to the store, so that boxes that
-    /// start know of it; it is counted as being written from now on.
+    /// Returns the record to write to the store when a request enters quarantine, so that
+    /// boxes that start later know of it; `None` if it is there already or a write is in
+    /// progress. The write counts as in progress until `quarantine_recorded` is called.
     pub fn begin_quarantine(
         &mut self,
         request: RequestFingerprint,
         known: Option<&StoredQuarantine>,
         now: Instant,
     ) -> Option<TrialRecord> {
-        let (own, on) = (self.own, StorePosition::start_of(self.era));
-        let case = self.case(request, now);
-        if known.is_some() || case.is_counting {
+        let (own, expected_position) = (self.own, StorePosition::start_of(self.era));
+        let registered = self.registered(request, now);
+        if known.is_some() || registered.is_writing {
             return None;
         }
-        Some(case.count(case.uncounted, own, on))
+        Some(registered.count(registered.unrecorded_trials, own, expected_position))
     }
 
-    /// Takes in what came of the write that opens a quarantine.
+    /// Applies the result of the write that opens a quarantine.
     pub fn quarantine_recorded(
         &mut self,
         request: RequestFingerprint,
         outcome: RecordOutcome,
         now: Instant,
     ) {
-        let case = self.case(request, now);
-        case.is_counting = false;
+        let registered = self.registered(request, now);
+        registered.is_writing = false;
         if outcome == RecordOutcome::Stands {
-            case.uncounted = 0;
+            registered.unrecorded_trials = 0;
         }
     }
 
-    /// Takes in what came of the write that a request waits for; `nobody_else` where no other
-    /// box can be asked.
+    /// Applies the result of the write that a request waits for, and decides on the
+    /// request. `no_hub_to_ask` is whether no other box can be asked.
     pub fn trial_recorded(
         &mut self,
         request: RequestFingerprint,
         outcome: RecordOutcome,
-        nobody_else: bool,
+        no_hub_to_ask: bool,
         now: Instant,
     ) -> TrialDecision {
-        let case = self.case(request, now);
-        case.is_counting = false;
+        let registered = self.registered(request, now);
+        registered.is_writing = false;
         match outcome {
             RecordOutcome::Stands => {
-                case.uncounted = 0;
+                registered.unrecorded_trials = 0;
                 TrialDecision::Lend
             }
-            RecordOutcome::Overtaken => TrialDecision::Later(COUNTING_TAKES),
-            RecordOutcome::Unknown if !nobody_else => TrialDecision::AskHub,
-            RecordOutcome::Unknown if case.uncounted < MOST_UNCOUNTED => {
-                // Without it, a request that only ran beside the one that ends servers would
-                // be refused until the store is back.
-                case.uncounted += 1;
+            RecordOutcome::Overtaken => TrialDecision::Later(WRITE_RETRY_DELAY),
+            RecordOutcome::Unknown if !no_hub_to_ask => TrialDecision::AskHub,
+            RecordOutcome::Unknown
+                if registered.unrecorded_trials < MAX_UNRECORDED_TRIALS =>
+            {
+                // Without this, a request that only ran beside one that ends servers
+                // would be refused until the store recovers.
+                registered.unrecorded_trials += 1;
                 TrialDecision::Lend
             }
-            RecordOutcome::Unknown => TrialDecision::Later(STORE_AWAY),
+            RecordOutcome::Unknown => TrialDecision::Later(STORE_RETRY_DELAY),
         }
     }
 
-    /// Forgets a request that is in quarantine no more.
+    /// Removes a request that is no longer in quarantine.
     pub fn forget(&mut self, request: RequestFingerprint) {
-        self.cases.remove(&request);
+        self.requests.remove(&request);
     }
 
-    /// Forgets what nobody has asked for in a long time.
+    /// Removes requests that nobody has asked for within `SUSPECT_RETENTION`.
     pub fn evict_idle(&mut self, now: Instant) {
-        self.cases.retain(|_, case| {
-            now.saturating_duration_since(case.touched) < SUSPECT_RETENTION
-                || case.is_counting
+        self.requests.retain(|_, registered| {
+            now.saturating_duration_since(registered.last_asked) < SUSPECT_RETENTION
+                || registered.is_writing
         });
     }
 
-    /// For how long the request itself, or one that has likelier ended the servers that it
-    /// was out at, may still be out at one.
-    fn out_for(
+    /// Returns for how long the request itself, or one that is more likely to have ended
+    /// the same servers, may still be in flight; zero if none is.
+    fn in_flight_for(
         &self,
         request: RequestFingerprint,
         likelier: &[RequestFingerprint],
         suspects: &SuspectRequests,
         now: Instant,
     ) -> Duration {
-        let is_counting = |other: &RequestFingerprint| {
-            self.cases.get(other).is_some_and(|case| case.is_counting)
+        let is_writing = |other: &RequestFingerprint| {
+            self.requests
+                .get(other)
+                .is_some_and(|registered| registered.is_writing)
         };
-        if likelier.iter().any(is_counting) {
-            return COUNTING_TAKES;
+        if likelier.iter().any(is_writing) {
+            return WRITE_RETRY_DELAY;
         }
-        let others = likelier
-            .iter()
-            .filter_map(|other| suspects.permit_in_flight_until(*other, ENDS_SERVERS_IN));
+        let others = likelier.iter().filter_map(|other| {
+            suspects.permit_in_flight_until(*other, SERVER_END_TIMEOUT)
+        });
         let own = suspects.permit_in_flight_until(request, TRIAL_TIMEOUT);
         let until = others.chain(own).max();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    fn case(&mut self, request: RequestFingerprint, now: Instant) -> &mut Case {
-        let case = self.cases.entry(request).or_insert(Case {
-            uncounted: 0,
-            keeps_away: None,
-            last_count: None,
-            is_counting: false,
-            touched: now,
+    fn registered(
+        &mut self,
+        request: RequestFingerprint,
+        now: Instant,
+    ) -> &mut RegisteredRequest {
+        let registered = self.requests.entry(request).or_insert(RegisteredRequest {
+            unrecorded_trials: 0,
+            waiting_since: None,
+            last_write: None,
+            is_writing: false,
+            last_asked: now,
         });
-        case.touched = now;
-        case
+        registered.last_asked = now;
+        registered
     }
 }
 
-impl Case {
-    /// Begins to count on top of what the store holds.
+impl RegisteredRequest {
+    /// Starts a write that is conditional on the store's current position.
     fn count(
         &mut self,
         tries: u32,
@@ -247,52 +263,55 @@
             counted_by,
             expected_position: position,
         };
-        self.is_counting = true;
-        self.last_count = Some(count);
+        self.is_writing = true;
+        self.last_write = Some(count);
         count
     }
 
-    /// Whether it has kept away from another for as long as news takes.
-    fn has_kept_away(&mut self, now: Instant) -> bool {
-        let since = *self.keeps_away.get_or_insert(now);
-        now.saturating_duration_since(since) >= NEWS_TAKES
+    /// Returns whether the request has waited for as long as updates take to arrive. The
+    /// first call starts the wait.
+    fn has_waited_for_updates(&mut self, now: Instant) -> bool {
+        let since = *self.waiting_since.get_or_insert(now);
+        now.saturating_duration_since(since) >= UPDATE_DELAY
     }
 
-    /// Takes in that a write whose answer was lost stands in the store after all: what was
-    /// let through on it is counted there.
-    fn note_counted(&mut self, known: Option<&StoredQuarantine>, own: SourceId) {
-        let (Some(last), Some(known)) = (self.last_count, known) else {
+    /// Resets the trials without a record if the store holds the last write, whose reply
+    /// was lost: that record counts them.
+    fn reconcile_last_write(&mut self, known: Option<&StoredQuarantine>, own: SourceId) {
+        let (Some(last), Some(known)) = (self.last_write, known) else {
             return;
         };
         if known.counted_by == own && known.tries == last.tries {
-            self.uncounted = 0;
+            self.unrecorded_trials = 0;
         }
     }
 }
 
-/// When the store forgets a request in quarantine.
-fn ends_in(known: Option<&StoredQuarantine>, now: Instant) -> Duration {
+/// Returns the time until the quarantine of a request expires in the store.
+fn quarantine_expires_in(known: Option<&StoredQuarantine>, now: Instant) -> Duration {
     known.map_or(SUSPECT_RETENTION, |known| {
         (known.heard + SUSPECT_RETENTION).saturating_duration_since(now)
     })
 }
 
-/// How often a request in quarantine is let through over all boxes. A request that ran beside
-/// another is answered whole at the first; each that meets a server's end beyond that is one
-/// server more that the request may have ended.
+/// Maximum number of trials of a quarantined request over all boxes. A request that only
+/// ran beside another gets a complete response at its first trial; each further trial may
+/// cost one more server.
 pub const MAX_TRIALS: u32 = 3;
-/// What a hub lets through of one request on its own account while the store is away.
-const MOST_UNCOUNTED: u32 = 2;
-/// So long a request that was let through is taken to be out, if nothing is heard of it: it
-/// takes a third of a second where nothing waits.
+/// Maximum number of trials of one request that a hub permits without a record while the
+/// store is unavailable.
+const MAX_UNRECORDED_TRIALS: u32 = 2;
+/// Time for which a permitted request is assumed to be in flight if its outcome is not
+/// received. A trial takes a third of a second if it does not have to queue.
 pub const TRIAL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A server that runs a request which ends it does so within this.
-const ENDS_SERVERS_IN: Duration = Duration::from_millis(300);
-/// What the store holds is known to most boxes within this.
-const NEWS_TAKES: Duration = Duration::from_millis(150);
-/// A write takes some milliseconds.
-const COUNTING_TAKES: Duration = Duration::from_millis(25);
-/// How soon one that waits for an outcome asks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
-/// When to ask again while the store is away.
-const STORE_AWAY: Duration = Duration::from_secs(5);
+/// Time within which a request that ends servers ends the one that runs it.
+const SERVER_END_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time within which most boxes know a change in the store.
+const UPDATE_DELAY: Duration = Duration::from_millis(150);
+/// Delay before asking again while a write is in progress or was overtaken. A write takes
+/// a few milliseconds.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(25);
+/// Maximum delay before asking again while a trial's outcome is awaited.
+const OUTCOME_RECHECK_DELAY: Duration = Duration::from_millis(100);
+/// Delay before asking again while the store is unavailable.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(5);
--- a/crates/wingspur-coordination/src/quota_leases.rs
+++ b/crates/wingspur-coordination/src/quota_leases.rs
@@ -1,4 +1,4 @@
-//! What a box has lent and borrowed of the fleet's allowances.
+//! Leases of fleet-wide quotas between boxes, on the allocator's and the client's side.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,315 +13,344 @@
 
 use crate::LinkId;
 
-/// What this box has lent and borrowed.
+/// The quota that this box has leased to other boxes and from its hub.
 ///
-/// One class of allowances: a rate and a depth under a key, of which each box has a part that
-/// it leaves to its hub. They differ by their terms, and by which hub holds the parts.
+/// All quotas work alike: each has a key, a rate and a burst, and each box has a share of
+/// it that it delegates to its hub. Quotas differ in their terms and in which hubs
+/// allocate them.
 #[derive(Debug)]
 pub struct QuotaLeaseManager {
-    /// This box's part of allowances that each hub holds its own part of.
-    clock: ShareHistory,
-    /// Its parts of allowances that the hub of one data centre holds for all.
-    place_clocks: BTreeMap<DataCentreId, ShareHistory>,
+    /// History of this box's share of quotas that each hub allocates for its members.
+    share_history: ShareHistory,
+    /// History of its share of quotas that the hub of one data centre allocates for all
+    /// boxes.
+    data_centre_histories: BTreeMap<DataCentreId, ShareHistory>,
     pools: HashMap<LeasedResource, QuotaPool>,
-    borrowers: HashMap<LeasedResource, LeaseClient>,
-    /// Requests of callers that wait, the first first.
+    lease_clients: HashMap<LeasedResource, LeaseClient>,
+    /// Requests that wait for quota, in the order of their arrival.
     waiting: HashMap<LeasedResource, VecDeque<Waiting>>,
-    /// What this box has not enough of, and asks other hubs for; by the last question.
+    /// Searches for quota at other hubs, by the id of the last lease request.
     searches: HashMap<u32, Search>,
-    /// What other hubs had none of a moment ago.
-    quiet: HashMap<LeasedResource, Quiet>,
-    last_number: u32,
+    /// Resources of which the other hubs recently had no quota left.
+    recent_misses: HashMap<LeasedResource, SearchMiss>,
+    last_request_id: u32,
 }
 
-/// Who waits for one of an allowance.
+/// A request that waits for one unit of quota.
 #[derive(Debug)]
 struct Waiting {
-    tell: async_channel::Sender<AcquireOutcome>,
+    sender: async_channel::Sender<AcquireOutcome>,
     reserve: ReserveShare,
     since: Instant,
 }
 
 impl Waiting {
-    /// Whether it is worth its while to wait on for what comes after a time.
+    /// Returns whether the request may keep waiting for a unit that is expected after
+    /// `more_in`.
     fn may_wait_for(&self, more_in: Duration, is_first: bool, now: Instant) -> bool {
         let waited = now.saturating_duration_since(self.since);
-        let patience = if is_first { FIRST_WAITS } else { SOON };
-        comes_soon(more_in) && waited < patience
+        let max_wait = if is_first {
+            MAX_WAIT_OF_FIRST
+        } else {
+            MAX_WAIT
+        };
+        is_soon(more_in) && waited < max_wait
     }
 }
 
-/// Where somebody who waits is told what came of it.
+/// Receives the outcome for a request that waits for quota.
 pub type PendingGrant = async_channel::Receiver<AcquireOutcome>;
 
-/// The share of a pool's room beyond one that a less urgent request leaves to others.
+/// Share of a pool's capacity beyond one unit that a request of lower priority leaves to
+/// those of higher priority; the lower, the more urgent.
 pub type ReserveShare = f32;
 
-/// What other hubs are asked for, one after the other.
+/// A search for quota at other hubs, which are asked one after the other.
 #[derive(Debug)]
 struct Search {
-    of: LeasedResource,
-    /// The member that asked, with its question's number; none for this box's own requests.
-    asker: Option<(LinkId, u32)>,
-    found: u32,
+    resource: LeasedResource,
+    /// The member that asked, with the id of its request; `None` for this box's own
+    /// requests.
+    requester: Option<(LinkId, u32)>,
+    granted: u32,
     missing: u32,
     reserve: ReserveShare,
     hubs: Vec<LinkId>,
-    /// When the hubs that were asked should have more.
-    told: MoreIn,
-    /// Until when the last question may be answered.
-    until: Instant,
-    /// After this no more hubs are asked: who asked does not wait for longer.
-    ends: Instant,
+    /// When the hubs that were asked expect to have more.
+    next_available: NextAvailable,
+    /// Until when a reply to the last lease request is awaited.
+    reply_deadline: Instant,
+    /// After this no more hubs are asked, because the requester does not wait longer.
+    deadline: Instant,
 }
 
-/// That other hubs have none of an allowance.
+/// Records that the other hubs have no quota left for a resource.
 #[derive(Debug, Clone, Copy)]
-struct Quiet {
-    /// Until when it is of no use to ask them again.
+struct SearchMiss {
+    /// Until when they are not asked again.
     until: Instant,
-    /// When they should have more, from when they were asked.
-    told: MoreIn,
+    /// When they expect to have more, counted from when they were asked.
+    next_available: NextAvailable,
 }
 
-/// When there should be more of an allowance, by what several boxes say of their parts.
+/// When more of a quota is expected, by the replies of several boxes about their shares.
 #[derive(Debug, Clone, Copy, Default)]
-struct MoreIn {
+struct NextAvailable {
     soonest: Option<Duration>,
-    /// Whether one of them cannot tell, since its part is only coming.
-    is_open: bool,
+    /// Whether one of them cannot tell, since its share has changed recently.
+    is_unknown: bool,
 }
 
-impl MoreIn {
-    fn add(&mut self, told: Option<Duration>) {
-        let Some(told) = told else {
-            self.is_open = true;
+impl NextAvailable {
+    fn add(&mut self, more_in: Option<Duration>) {
+        let Some(more_in) = more_in else {
+            self.is_unknown = true;
             return;
         };
-        self.soonest = Some(self.soonest.map_or(told, |known| known.min(told)));
+        self.soonest = Some(self.soonest.map_or(more_in, |known| known.min(more_in)));
     }
 
     fn known(self) -> Option<Duration> {
-        self.soonest.filter(|_| !self.is_open)
+        self.soonest.filter(|_| !self.is_unknown)
     }
 }
 
-/// What is to be sent once the state is unlocked.
+/// Messages to be sent once the state is unlocked.
 pub type QuotaMessages = Vec<QuotaMessage>;
 
-/// What is asked of another box, or answered.
+/// A lease request to another box, or a reply.
 #[derive(Debug)]
 pub struct QuotaMessage {
-    /// Where it goes.
+    /// The link on which it is sent.
     pub link: LinkId,
-    /// What it says.
+    /// The lease requests and replies in it.
     pub lending: LeaseMessages,
-    /// Whether somebody waits for it; else it goes with the next frame.
+    /// Whether a request waits for it; otherwise it is sent with the next frame.
     pub urgent: bool,
 }
 
-/// What this box is among the others.
+/// This box's role and links in the allocation of quotas.
 #[derive(Debug, Default)]
 pub struct QuotaTopology {
-    /// The hub that it reports to.
+    /// The hub that it is a member of; `None` if it is a hub itself.
     pub own_hub: Option<LinkId>,
-    /// Whom it asks for what it has not enough of: the hubs of other data centres, or its own
-    /// hub, for boxes that take this one for a hub.
+    /// The links that it asks when its own share is used up: the hubs of other data
+    /// centres, or its own hub if other boxes use this one as a hub.
     pub allocators: Vec<LinkId>,
-    /// Its part of all allowances, with those that are left to it.
+    /// Its share of all quotas, including the shares delegated to it.
     pub share: f64,
-    /// How it stands with what the hub of one data centre holds for all.
+    /// Its shares of the quotas that the hub of one data centre allocates for all boxes.
     pub data_centres: Vec<DataCentreQuota>,
 }
 
-/// How a box stands with the allowances that the hub of one data centre holds for all.
+/// A box's share of the quotas that the hub of one data centre allocates for all boxes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DataCentreQuota {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// This box's part, with those that are left to it.
+    /// This box's share, including the shares delegated to it.
     pub share: f64,
-    /// The hub that holds them; none where this box does, or nobody that it hears.
+    /// The link to the hub that allocates them; `None` if this box does or that hub is
+    /// not connected.
     pub allocator: Option<LinkId>,
 }
 
-/// Which hubs hold the parts of an allowance.
+/// The hubs that allocate a quota.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuotaAllocator {
-    /// Each hub those of its members.
+    /// Each hub allocates the shares of its members.
     EachHub,
-    /// The hub of one data centre all of them.
+    /// The hub of one data centre allocates the shares of all boxes.
     DataCentreHub(DataCentreId),
 }
 
-/// An allowance as it is now: what it grants, and who holds it.
+/// The current terms of a quota and its allocator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Quota {
-    /// What it grants over all boxes.
+    /// The rate and burst over all boxes.
     pub terms: QuotaTerms,
-    /// Who holds its parts.
+    /// The hubs that allocate it.
     pub allocator: QuotaAllocator,
 }
 
-/// Finds an allowance; none where there is no such, or no such limit.
+/// Looks up the quota of a resource; returns `None` if the resource or its limit does not
+/// exist.
 pub type FindQuota<'a> = &'a dyn Fn(LeasedResource) -> Option<Quota>;
 
 impl QuotaLeaseManager {
-    /// A box that starts now.
+    /// Creates the state of a box that starts now.
     pub fn new(now: Instant) -> Self {
         Self {
-            clock: ShareHistory::new(now),
-            place_clocks: BTreeMap::new(),
+            share_history: ShareHistory::new(now),
+            data_centre_histories: BTreeMap::new(),
             pools: HashMap::new(),
-            borrowers: HashMap::new(),
+            lease_clients: HashMap::new(),
             waiting: HashMap::new(),
             searches: HashMap::new(),
-            quiet: HashMap::new(),
-            last_number: 0,
+            recent_misses: HashMap::new(),
+            last_request_id: 0,
         }
     }
 
-    /// Notes this box's parts from now on.
-    pub fn update_shares(&mut self, standing: &QuotaTopology, now: Instant) {
-        self.clock.record_share(standing.share, now);
-        for place in &standing.data_centres {
-            let name = &place.data_centre;
-            if !self.place_clocks.contains_key(name) {
-                self.place_clocks
+    /// Records this box's shares from now on.
+    pub fn update_shares(&mut self, topology: &QuotaTopology, now: Instant) {
+        self.share_history.record_share(topology.share, now);
+        for data_centre in &topology.data_centres {
+            let name = &data_centre.data_centre;
+            if !self.data_centre_histories.contains_key(name) {
+                self.data_centre_histories
                     .insert(name.clone(), ShareHistory::new(now));
             }
-            let clock = self.place_clocks.get_mut(name);
-            clock.expect("it is there").record_share(place.share, now);
+            let share_history = self.data_centre_histories.get_mut(name);
+            share_history
+                .expect("the history was inserted above")
+                .record_share(data_centre.share, now);
         }
     }
 
-    /// Whether questions to other hubs are out, or requests wait.
+    /// Returns whether searches are in progress or requests wait.
     pub fn has_pending(&self) -> bool {
         !self.searches.is_empty() || !self.waiting.is_empty()
     }
 
-    /// Wants one of an allowance: what came of it, or where that will be told.
+    /// Acquires one unit of quota. Returns the outcome, or a receiver for it if the
+    /// request has to wait, and the messages to send.
     pub fn acquire(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         reserve: ReserveShare,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
-        match standing.own_hub {
-            Some(hub) => self.want_of_hub(of, reserve, hub, now),
-            None => self.want_of_pool(of, reserve, standing, find, now),
+        match topology.own_hub {
+            Some(hub) => self.acquire_from_hub(resource, reserve, hub, now),
+            None => self.acquire_from_pool(resource, reserve, topology, find, now),
         }
     }
 
-    /// Wants one of an allowance, of the hub.
-    fn want_of_hub(
+    /// Acquires one unit from what the hub has leased to this box, or asks the hub for
+    /// more.
+    fn acquire_from_hub(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         reserve: ReserveShare,
         hub: LinkId,
         now: Instant,
     ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
-        let borrower = self.borrowers.entry(of).or_default();
-        let outcome = match borrower.try_acquire(now) {
+        let lease_client = self.lease_clients.entry(resource).or_default();
+        let outcome = match lease_client.try_acquire(now) {
             AcquireOutcome::Pending | AcquireOutcome::Unknown => {
-                Err(self.wait_for(of, reserve, now))
+                Err(self.enqueue(resource, reserve, now))
             }
-            AcquireOutcome::Refused(more_in) if comes_soon(more_in) => {
-                Err(self.wait_for(of, reserve, now))
+            AcquireOutcome::Refused(more_in) if is_soon(more_in) => {
+                Err(self.enqueue(resource, reserve, now))
             }
             outcome => Ok(outcome),
         };
-        (outcome, self.ask_hub(of, hub, now))
+        (outcome, self.ask_hub(resource, hub, now))
     }
 
-    /// Wants one of an allowance, of this box's own part or else of other hubs.
-    fn want_of_pool(
+    /// Acquires one unit from this box's own share, or asks other hubs if that is used
+    /// up.
+    fn acquire_from_pool(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         reserve: ReserveShare,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> (Result<AcquireOutcome, PendingGrant>, QuotaMessages) {
-        let found = find(of);
-        let lenders = found.as_ref().map(|found| standing.lenders_of(found));
-        let lenders = lenders.unwrap_or_default();
-        let ahead = self.waiting.get(&of).map_or(0, VecDeque::len);
-        let asked = (of, reserve, ahead);
-        let outcome = self.take_of_pool(asked, found.as_ref(), standing, now);
+        let quota = find(resource);
+        let allocators = quota.as_ref().map(|quota| topology.allocators_of(quota));
+        let allocators = allocators.unwrap_or_default();
+        let ahead = self.waiting.get(&resource).map_or(0, VecDeque::len);
+        let demand = (resource, reserve, ahead);
+        let outcome = self.take_from_pool(demand, quota.as_ref(), topology, now);
         if outcome == AcquireOutcome::Acquired {
             return (Ok(outcome), QuotaMessages::new());
         }
-        if lenders.is_empty() || self.is_quiet(of, now) {
-            let outcome = match self.with_quiet(of, outcome) {
-                AcquireOutcome::Refused(more_in) if !comes_soon(more_in) => Ok(outcome),
-                _ => Err(self.wait_for(of, reserve, now)),
+        if allocators.is_empty() || self.was_missed_recently(resource, now) {
+            let outcome = match self.with_recent_miss(resource, outcome) {
+                AcquireOutcome::Refused(more_in) if !is_soon(more_in) => Ok(outcome),
+                _ => Err(self.enqueue(resource, reserve, now)),
             };
             return (outcome, QuotaMessages::new());
         }
-        let told = self.wait_for(of, reserve, now);
-        let search = Search::new(of, None, (0, 1), reserve, now);
-        (Err(told), self.begin_search(search, lenders, now))
+        let pending = self.enqueue(resource, reserve, now);
+        let search = Search::new(resource, None, (0, 1), reserve, now);
+        (Err(pending), self.begin_search(search, allocators, now))
     }
 
-    /// Takes one of this box's own part, for who has so many waiting ahead; unknown where that
-    /// is empty since the box has had it for a moment only.
-    fn take_of_pool(
+    /// Takes one unit of this box's own share for a request with `ahead` others waiting
+    /// before it. The outcome is `Unknown` if the share is empty but has changed
+    /// recently, or if the box has none.
+    fn take_from_pool(
         &mut self,
-        (of, reserve, ahead): (LeasedResource, ReserveShare, usize),
-        found: Option<&Quota>,
-        standing: &QuotaTopology,
+        (resource, reserve, ahead): (LeasedResource, ReserveShare, usize),
+        quota: Option<&Quota>,
+        topology: &QuotaTopology,
         now: Instant,
     ) -> AcquireOutcome {
-        let (clock, places) = (&self.clock, &self.place_clocks);
-        let Some((found, clock)) = held(found, standing, clock, places) else {
+        let (share_history, histories) =
+            (&self.share_history, &self.data_centre_histories);
+        let Some((quota, share_history)) =
+            quota_with_history(quota, topology, share_history, histories)
+        else {
             return AcquireOutcome::Unknown;
         };
-        let pool = self.pools.entry(of).or_default();
-        if pool.lease_on_demand(1, reserve.into(), &found.terms, clock, now) == 1 {
+        let pool = self.pools.entry(resource).or_default();
+        if pool.lease_on_demand(1, reserve.into(), &quota.terms, share_history, now) == 1
+        {
             return AcquireOutcome::Acquired;
         }
-        match may_tell(found, clock) || is_behind_too_many(ahead, found, clock) {
+        match is_share_settled(quota, share_history)
+            || is_queue_too_long(ahead, quota, share_history)
+        {
             false => AcquireOutcome::Unknown,
-            true => AcquireOutcome::Refused(comes_in(pool, found, clock, ahead)),
+            true => {
+                AcquireOutcome::Refused(expected_wait(pool, quota, share_history, ahead))
+            }
         }
     }
 
-    /// Asks the hub for what is short.
+    /// Asks the hub for what this box lacks.
     fn ask_hub(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         hub: LinkId,
         now: Instant,
     ) -> QuotaMessages {
-        let waiting = self.waiting.get(&of);
+        let waiting = self.waiting.get(&resource);
         let count = waiting.map_or(0, |waiting| waiting.len() as u32);
         let reserve = waiting.and_then(|waiting| {
             let reserves = waiting.iter().map(|waiting| waiting.reserve);
             reserves.min_by(f32::total_cmp)
         });
         let mut messages = QuotaMessages::new();
-        // What is urgent first, then the stock.
+        // On-demand quota first, then prefetched quota.
         for count in [count, 0] {
-            let number = self.number();
-            let borrower = self.borrowers.entry(of).or_default();
-            let Some(ask) = borrower.next_request(number, count, may_be_stocked(of), now)
-            else {
+            let request_id = self.next_request_id();
+            let lease_client = self.lease_clients.entry(resource).or_default();
+            let Some(demand) = lease_client.next_request(
+                request_id,
+                count,
+                allows_prefetch(resource),
+                now,
+            ) else {
                 continue;
             };
             let request = QuotaLeaseRequest {
-                request_id: number,
-                resource: of,
+                request_id,
+                resource,
                 held: 0.0,
                 on_demand_count: 0,
                 reserve: reserve.unwrap_or_default(),
                 wanted: 0.0,
             };
-            let request = match ask {
-                LeaseDemand::OnDemand(urgent) => QuotaLeaseRequest {
-                    on_demand_count: urgent,
+            let request = match demand {
+                LeaseDemand::OnDemand(on_demand_count) => QuotaLeaseRequest {
+                    on_demand_count,
                     ..request
                 },
                 LeaseDemand::Prefetch { held, wanted } => QuotaLeaseRequest {
@@ -335,492 +364,525 @@
         messages
     }
 
-    /// Answers the question of another box, at once or after other hubs were asked.
+    /// Handles a lease request of another box. The reply is returned at once, or follows
+    /// after other hubs were asked.
     pub fn handle_request(
         &mut self,
         link: LinkId,
         request: &QuotaLeaseRequest,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let found = find(request.resource);
-        let found = found.as_ref();
+        let quota = find(request.resource);
+        let quota = quota.as_ref();
         if request.on_demand_count == 0 {
-            let answer = self.answer_for_stock(link, request, standing, found, now);
-            return vec![QuotaMessage::reply(link, answer, false)];
-        }
-        let answer = self.lend_at_once(request, standing, found, now);
-        let missing = request.on_demand_count - answer.on_demand_granted;
-        let is_hubs = standing.allocators.contains(&link);
-        let lenders = found.map(|found| standing.lenders_of(found));
-        let lenders = lenders.unwrap_or_default();
-        let may_search = !lenders.is_empty() && !self.is_quiet(request.resource, now);
-        if missing == 0 || is_hubs || !may_search {
-            return vec![QuotaMessage::reply(link, answer, true)];
-        }
-        let asker = Some((link, request.request_id));
-        let counts = (answer.on_demand_granted, missing);
-        let search = Search::new(request.resource, asker, counts, request.reserve, now);
-        self.begin_search(search, lenders, now)
-    }
-
-    /// Lends for a box's stock.
-    fn answer_for_stock(
+            let reply = self.grant_prefetch(link, request, topology, quota, now);
+            return vec![QuotaMessage::reply(link, reply, false)];
+        }
+        let reply = self.grant_on_demand(request, topology, quota, now);
+        let missing = request.on_demand_count - reply.on_demand_granted;
+        let is_from_allocator = topology.allocators.contains(&link);
+        let allocators = quota.map(|quota| topology.allocators_of(quota));
+        let allocators = allocators.unwrap_or_default();
+        let can_search =
+            !allocators.is_empty() && !self.was_missed_recently(request.resource, now);
+        if missing == 0 || is_from_allocator || !can_search {
+            return vec![QuotaMessage::reply(link, reply, true)];
+        }
+        let requester = Some((link, request.request_id));
+        let counts = (reply.on_demand_granted, missing);
+        let search =
+            Search::new(request.resource, requester, counts, request.reserve, now);
+        self.begin_search(search, allocators, now)
+    }
+
+    /// Leases quota that a box prefetches.
+    fn grant_prefetch(
         &mut self,
         link: LinkId,
         request: &QuotaLeaseRequest,
-        standing: &QuotaTopology,
-        found: Option<&Quota>,
+        topology: &QuotaTopology,
+        quota: Option<&Quota>,
         now: Instant,
     ) -> QuotaLeaseReply {
-        let answer = QuotaLeaseReply::denied(request);
-        let found = found.filter(|_| may_be_stocked(request.resource));
-        let (clock, places) = (&self.clock, &self.place_clocks);
-        let Some((found, clock)) = held(found, standing, clock, places) else {
-            return answer;
+        let denied = QuotaLeaseReply::denied(request);
+        let quota = quota.filter(|_| allows_prefetch(request.resource));
+        let (share_history, histories) =
+            (&self.share_history, &self.data_centre_histories);
+        let Some((quota, share_history)) =
+            quota_with_history(quota, topology, share_history, histories)
+        else {
+            return denied;
         };
-        let ask = PrefetchRequest {
+        let prefetch = PrefetchRequest {
             borrower: link,
             held: request.held,
             wanted: request.wanted,
         };
         let pool = self.pools.entry(request.resource).or_default();
-        let stocked = pool.lease_prefetch(&ask, &found.terms, clock, now);
+        let grant = pool.lease_prefetch(&prefetch, &quota.terms, share_history, now);
         QuotaLeaseReply {
-            prefetch_granted: stocked.amount,
-            renewed: stocked.renewed,
-            ..answer
+            prefetch_granted: grant.amount,
+            renewed: grant.renewed,
+            ..denied
         }
     }
 
-    /// Lends what a box spends at once, as far as this one's own part has it.
-    fn lend_at_once(
+    /// Leases quota that a box uses at once, as far as this box's own share allows.
+    fn grant_on_demand(
         &mut self,
         request: &QuotaLeaseRequest,
-        standing: &QuotaTopology,
-        found: Option<&Quota>,
+        topology: &QuotaTopology,
+        quota: Option<&Quota>,
         now: Instant,
     ) -> QuotaLeaseReply {
-        let answer = QuotaLeaseReply::denied(request);
-        let (clock, places) = (&self.clock, &self.place_clocks);
-        let Some((found, clock)) = held(found, standing, clock, places) else {
-            return answer;
+        let denied = QuotaLeaseReply::denied(request);
+        let (share_history, histories) =
+            (&self.share_history, &self.data_centre_histories);
+        let Some((quota, share_history)) =
+            quota_with_history(quota, topology, share_history, histories)
+        else {
+            return denied;
         };
-        let (urgent, reserve) = (request.on_demand_count, request.reserve.into());
+        let (on_demand, reserve) = (request.on_demand_count, request.reserve.into());
         let pool = self.pools.entry(request.resource).or_default();
-        let lent = pool.lease_on_demand(urgent, reserve, &found.terms, clock, now);
-        let missing = (urgent - lent) as usize;
-        let more_in = match is_behind_too_many(missing, found, clock) {
-            true => Some(millis(comes_in(pool, found, clock, missing))),
-            false if may_tell(found, clock) => {
-                Some(millis(comes_in(pool, found, clock, 0)))
+        let granted =
+            pool.lease_on_demand(on_demand, reserve, &quota.terms, share_history, now);
+        let missing = (on_demand - granted) as usize;
+        let more_in = match is_queue_too_long(missing, quota, share_history) {
+            true => Some(millis(expected_wait(pool, quota, share_history, missing))),
+            false if is_share_settled(quota, share_history) => {
+                Some(millis(expected_wait(pool, quota, share_history, 0)))
             }
             false => None,
         };
         QuotaLeaseReply {
-            on_demand_granted: lent,
+            on_demand_granted: granted,
             retry_after_ms: more_in,
-            ..answer
+            ..denied
         }
     }
 
-    /// How long until this box's part has one more; none where nobody can tell.
+    /// Returns the time until this box's share has one more unit; `None` if that is not
+    /// known.
     fn more_in(
         &mut self,
-        of: LeasedResource,
-        standing: &QuotaTopology,
-        found: Option<&Quota>,
+        resource: LeasedResource,
+        topology: &QuotaTopology,
+        quota: Option<&Quota>,
     ) -> Option<Duration> {
-        let (clock, places) = (&self.clock, &self.place_clocks);
-        let (found, clock) = held(found, standing, clock, places)?;
-        if !may_tell(found, clock) {
+        let (share_history, histories) =
+            (&self.share_history, &self.data_centre_histories);
+        let (quota, share_history) =
+            quota_with_history(quota, topology, share_history, histories)?;
+        if !is_share_settled(quota, share_history) {
             return None;
         }
-        let pool = self.pools.entry(of).or_default();
-        Some(pool.time_to_next_token(&found.terms, clock))
+        let pool = self.pools.entry(resource).or_default();
+        Some(pool.time_to_next_token(&quota.terms, share_history))
     }
 
-    /// Takes in the answer of another box.
+    /// Handles another box's reply to a lease request.
     pub fn handle_answer(
         &mut self,
-        answer: &QuotaLeaseReply,
-        standing: &QuotaTopology,
+        reply: &QuotaLeaseReply,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let of = answer.resource;
-        let more_in = answer
+        let resource = reply.resource;
+        let more_in = reply
             .retry_after_ms
             .map(|ms| Duration::from_millis(ms.into()));
-        if let Some(mut search) = self.searches.remove(&answer.request_id) {
-            search.take(answer.on_demand_granted);
-            search.told.add(more_in);
+        if let Some(mut search) = self.searches.remove(&reply.request_id) {
+            search.take(reply.on_demand_granted);
+            search.next_available.add(more_in);
             if search.missing == 0 {
-                return self.end_search(search, standing, find, now);
+                return self.end_search(search, topology, find, now);
             }
-            return self.search_on_or_end(search, standing, find, now);
+            return self.continue_or_end_search(search, topology, find, now);
         }
-        let Some(borrower) = self.borrowers.get_mut(&of) else {
+        let Some(lease_client) = self.lease_clients.get_mut(&resource) else {
             return QuotaMessages::new();
         };
-        let stocked = PrefetchGrant {
-            amount: answer.prefetch_granted,
-            renewed: answer.renewed,
+        let grant = PrefetchGrant {
+            amount: reply.prefetch_granted,
+            renewed: reply.renewed,
         };
-        borrower.apply_prefetch_grant(answer.request_id, &stocked, now);
-        let (number, urgent) = (answer.request_id, answer.on_demand_granted);
-        let granted = borrower.apply_on_demand_grant(number, urgent, more_in, now);
-        let refusal = borrower.refusal(now);
-        let (granted, ends) = granted.unwrap_or((0, now));
-        let spare = granted - self.tell_waiting(of, granted, refusal, now);
-        if spare > 0 {
-            let borrower = self.borrowers.entry(of).or_default();
-            borrower.retain_unused(spare, ends);
-        }
-        match standing.own_hub {
-            Some(hub) => self.ask_hub(of, hub, now),
+        lease_client.apply_prefetch_grant(reply.request_id, &grant, now);
+        let (request_id, on_demand) = (reply.request_id, reply.on_demand_granted);
+        let granted =
+            lease_client.apply_on_demand_grant(request_id, on_demand, more_in, now);
+        let refusal = lease_client.refusal(now);
+        let (granted, expires) = granted.unwrap_or((0, now));
+        let unused = granted - self.notify_waiting(resource, granted, refusal, now);
+        if unused > 0 {
+            let lease_client = self.lease_clients.entry(resource).or_default();
+            lease_client.retain_unused(unused, expires);
+        }
+        match topology.own_hub {
+            Some(hub) => self.ask_hub(resource, hub, now),
             None => QuotaMessages::new(),
         }
     }
 
-    /// Tells the most urgent ones that wait that they may go, and the others that they may
-    /// not, if that is known; returns how many may go.
-    fn tell_waiting(
+    /// Grants `granted` units to the most urgent waiting requests, and refuses the others
+    /// if a refusal is given and they may not wait for it. Returns the number of requests
+    /// granted.
+    fn notify_waiting(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         granted: u32,
-        rest: Option<AcquireOutcome>,
+        refusal: Option<AcquireOutcome>,
         now: Instant,
     ) -> u32 {
-        let Some(waiting) = self.waiting.get_mut(&of) else {
+        let Some(waiting) = self.waiting.get_mut(&resource) else {
             return 0;
         };
-        waiting.retain(|waiting| !waiting.tell.is_closed());
+        waiting.retain(|waiting| !waiting.sender.is_closed());
         let by_reserve =
             |one: &Waiting, other: &Waiting| one.reserve.total_cmp(&other.reserve);
         waiting.make_contiguous().sort_by(by_reserve);
         let granted = (granted as usize).min(waiting.len());
         for waiting in waiting.drain(..granted) {
-            // One that gives up at this moment does not listen: what it was lent is void.
-            let _ = waiting.tell.try_send(AcquireOutcome::Acquired);
+            // The send fails if the request has just given up; its unit is lost.
+            let _ = waiting.sender.try_send(AcquireOutcome::Acquired);
         }
-        if let Some(outcome @ AcquireOutcome::Refused(more_in)) = rest {
+        if let Some(outcome @ AcquireOutcome::Refused(more_in)) = refusal {
             let mut is_first = true;
             waiting.retain(|waiting| {
-                let waits_on = waiting.may_wait_for(more_in, is_first, now);
+                let keeps_waiting = waiting.may_wait_for(more_in, is_first, now);
                 is_first = false;
-                if !waits_on {
-                    let _ = waiting.tell.try_send(outcome);
+                if !keeps_waiting {
+                    let _ = waiting.sender.try_send(outcome);
                 }
-                waits_on
+                keeps_waiting
             });
         }
         if waiting.is_empty() {
-            self.waiting.remove(&of);
+            self.waiting.remove(&resource);
         }
         granted as u32
     }
 
-    /// A refusal with what other hubs said a moment ago of when they have more.
-    fn with_quiet(&self, of: LeasedResource, outcome: AcquireOutcome) -> AcquireOutcome {
-        let (AcquireOutcome::Refused(more_in), Some(quiet)) =
-            (outcome, self.quiet.get(&of))
+    /// Adds to a refusal what the other hubs recently replied about when they expect
+    /// more; it becomes `Unknown` if one of them could not tell.
+    fn with_recent_miss(
+        &self,
+        resource: LeasedResource,
+        outcome: AcquireOutcome,
+    ) -> AcquireOutcome {
+        let (AcquireOutcome::Refused(more_in), Some(miss)) =
+            (outcome, self.recent_misses.get(&resource))
         else {
             return outcome;
         };
-        let mut told = quiet.told;
-        told.add(Some(more_in));
-        told.known()
+        let mut next_available = miss.next_available;
+        next_available.add(Some(more_in));
+        next_available
+            .known()
             .map_or(AcquireOutcome::Unknown, AcquireOutcome::Refused)
     }
 
-    /// Whether other hubs were asked a moment ago, and had none.
-    fn is_quiet(&self, of: LeasedResource, now: Instant) -> bool {
-        self.quiet.get(&of).is_some_and(|quiet| quiet.until > now)
+    /// Returns whether the other hubs were asked recently and had none.
+    fn was_missed_recently(&self, resource: LeasedResource, now: Instant) -> bool {
+        self.recent_misses
+            .get(&resource)
+            .is_some_and(|miss| miss.until > now)
     }
 
-    /// Asks the first of some hubs for what is missing.
+    /// Starts a search by asking the first of some hubs.
     fn begin_search(
         &mut self,
         mut search: Search,
-        mut lenders: Vec<LinkId>,
+        mut allocators: Vec<LinkId>,
         now: Instant,
     ) -> QuotaMessages {
-        // Not always the same one first.
-        let first = self.last_number as usize % lenders.len().max(1);
-        lenders.rotate_left(first);
-        search.hubs = lenders;
-        self.search_on(search, now)
+        // Starts with a different hub each time.
+        let first = self.last_request_id as usize % allocators.len().max(1);
+        allocators.rotate_left(first);
+        search.hubs = allocators;
+        self.ask_next_hub(search, now)
     }
 
-    /// Asks the next hub.
-    fn search_on(&mut self, mut search: Search, now: Instant) -> QuotaMessages {
+    /// Asks the next hub for what is still missing.
+    fn ask_next_hub(&mut self, mut search: Search, now: Instant) -> QuotaMessages {
         let Some(hub) = search.hubs.pop() else {
             return QuotaMessages::new();
         };
-        let number = self.number();
-        search.until = now + HUB_ANSWER_LOST;
+        let request_id = self.next_request_id();
+        search.reply_deadline = now + HUB_REPLY_TIMEOUT;
         let request = QuotaLeaseRequest {
-            request_id: number,
-            resource: search.of,
+            request_id,
+            resource: search.resource,
             held: 0.0,
             on_demand_count: search.missing,
             reserve: search.reserve,
             wanted: 0.0,
         };
-        self.searches.insert(number, search);
+        self.searches.insert(request_id, search);
         vec![QuotaMessage::request(hub, request)]
     }
 
-    /// Asks the next hub, or ends a search in vain when there is none.
-    fn search_on_or_end(
+    /// Asks the next hub, or ends the search without success if no hub or no time is
+    /// left.
+    fn continue_or_end_search(
         &mut self,
         mut search: Search,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        search.hubs.retain(|hub| standing.hears_hub(*hub));
-        if search.hubs.is_empty() || search.ends <= now {
-            let quiet = Quiet {
-                until: now + QUIET_AFTER_NONE,
-                told: search.told,
+        search.hubs.retain(|hub| topology.is_allocator(*hub));
+        if search.hubs.is_empty() || search.deadline <= now {
+            let miss = SearchMiss {
+                until: now + SEARCH_MISS_TTL,
+                next_available: search.next_available,
             };
-            self.quiet.insert(search.of, quiet);
-            return self.end_search(search, standing, find, now);
+            self.recent_misses.insert(search.resource, miss);
+            return self.end_search(search, topology, find, now);
         }
-        self.search_on(search, now)
+        self.ask_next_hub(search, now)
     }
 
-    /// Tells who asked what was found.
+    /// Ends a search, and passes what was granted to the requester.
     fn end_search(
         &mut self,
         search: Search,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let of = search.of;
-        let found = find(of);
-        let has_part = found
+        let resource = search.resource;
+        let quota = find(resource);
+        let has_share = quota
             .as_ref()
-            .is_some_and(|found| standing.part_of(found) > 0.0);
-        let mut told = search.told;
-        if has_part {
-            told.add(self.more_in(of, standing, found.as_ref()));
-        }
-        let more_in = told.known();
-        let Some((link, number)) = search.asker else {
-            let rest = more_in.filter(|_| search.missing > 0);
-            let rest = rest.map(AcquireOutcome::Refused);
-            let told = self.tell_waiting(of, search.found, rest, now);
-            if search.found > told && found.is_some() {
-                let pool = self.pools.entry(of).or_default();
-                pool.return_unused(search.found - told);
+            .is_some_and(|quota| topology.share_of(quota) > 0.0);
+        let mut next_available = search.next_available;
+        if has_share {
+            next_available.add(self.more_in(resource, topology, quota.as_ref()));
+        }
+        let more_in = next_available.known();
+        let Some((link, request_id)) = search.requester else {
+            let refusal = more_in.filter(|_| search.missing > 0);
+            let refusal = refusal.map(AcquireOutcome::Refused);
+            let notified = self.notify_waiting(resource, search.granted, refusal, now);
+            if search.granted > notified && quota.is_some() {
+                let pool = self.pools.entry(resource).or_default();
+                pool.return_unused(search.granted - notified);
             }
             return QuotaMessages::new();
         };
-        let answer = QuotaLeaseReply {
-            request_id: number,
-            resource: of,
-            on_demand_granted: search.found,
+        let reply = QuotaLeaseReply {
+            request_id,
+            resource,
+            on_demand_granted: search.granted,
             prefetch_granted: 0.0,
             renewed: false,
             retry_after_ms: more_in.map(millis),
         };
-        vec![QuotaMessage::reply(link, answer, true)]
+        vec![QuotaMessage::reply(link, reply, true)]
     }
 
-    /// Goes on with what waits: searches whose last question was not answered, and requests
-    /// for which nobody could tell.
+    /// Continues searches whose last lease request got no reply in time, and serves
+    /// requests that still wait.
     pub fn poll(
         &mut self,
-        standing: &QuotaTopology,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let is_late = |_: &u32, search: &mut Search| search.until <= now;
-        let late: Vec<_> = self.searches.extract_if(is_late).collect();
+        let is_overdue = |_: &u32, search: &mut Search| search.reply_deadline <= now;
+        let overdue: Vec<_> = self.searches.extract_if(is_overdue).collect();
         let mut messages = QuotaMessages::new();
-        for (_, search) in late {
-            messages.extend(self.search_on_or_end(search, standing, find, now));
+        for (_, search) in overdue {
+            messages.extend(self.continue_or_end_search(search, topology, find, now));
         }
-        if let Some(hub) = standing.own_hub {
-            let borrowed: Vec<_> = self.borrowers.keys().copied().collect();
-            for of in borrowed {
-                messages.extend(self.ask_hub(of, hub, now));
+        if let Some(hub) = topology.own_hub {
+            let leased: Vec<_> = self.lease_clients.keys().copied().collect();
+            for resource in leased {
+                messages.extend(self.ask_hub(resource, hub, now));
             }
             return messages;
         }
         let waited_for: Vec<_> = self.waiting.keys().copied().collect();
-        for of in waited_for {
-            self.serve_waiting(of, standing, find, now);
-            messages.extend(self.search_for_waiting(of, standing, find, now));
+        for resource in waited_for {
+            self.serve_waiting(resource, topology, find, now);
+            messages.extend(self.search_for_waiting(resource, topology, find, now));
         }
         messages
     }
 
-    /// Lets those go on that wait for this box's own part, as far as that has any by now.
+    /// Serves the requests that wait for this box's own share, as far as it has refilled.
     fn serve_waiting(
         &mut self,
-        of: LeasedResource,
-        standing: &QuotaTopology,
+        resource: LeasedResource,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) {
-        let found = find(of);
-        let reserves = self.waiting.get(&of).into_iter().flatten();
+        let quota = find(resource);
+        let reserves = self.waiting.get(&resource).into_iter().flatten();
         let mut reserves: Vec<_> = reserves.map(|waiting| waiting.reserve).collect();
         reserves.sort_by(f32::total_cmp);
         for reserve in reserves {
-            let asked = (of, reserve, 0);
-            match self.take_of_pool(asked, found.as_ref(), standing, now) {
+            let demand = (resource, reserve, 0);
+            match self.take_from_pool(demand, quota.as_ref(), topology, now) {
                 AcquireOutcome::Acquired => {
-                    self.tell_waiting(of, 1, None, now);
+                    self.notify_waiting(resource, 1, None, now);
                 }
                 outcome => {
-                    let outcome = self.with_quiet(of, outcome);
-                    self.tell_waiting(of, 0, Some(outcome), now);
+                    let outcome = self.with_recent_miss(resource, outcome);
+                    self.notify_waiting(resource, 0, Some(outcome), now);
                     return;
                 }
             }
         }
     }
 
-    /// Asks other hubs anew for those that wait for this box's own part.
+    /// Starts another search for the requests that wait for this box's own share, unless
+    /// one is in progress or the other hubs had none recently.
     fn search_for_waiting(
         &mut self,
-        of: LeasedResource,
-        standing: &QuotaTopology,
+        resource: LeasedResource,
+        topology: &QuotaTopology,
         find: FindQuota<'_>,
         now: Instant,
     ) -> QuotaMessages {
-        let is_own = |search: &Search| search.of == of && search.asker.is_none();
+        let is_own =
+            |search: &Search| search.resource == resource && search.requester.is_none();
         let is_asked = self.searches.values().any(is_own);
-        let Some(waiting) = self.waiting.get(&of).filter(|_| !is_asked) else {
+        let Some(waiting) = self.waiting.get(&resource).filter(|_| !is_asked) else {
             return QuotaMessages::new();
         };
         let missing = waiting.len() as u32;
         let reserves = waiting.iter().map(|waiting| waiting.reserve);
         let reserve = reserves.min_by(f32::total_cmp).unwrap_or_default();
-        let lenders = find(of).map(|found| standing.lenders_of(&found));
-        let lenders = lenders.unwrap_or_default();
-        if lenders.is_empty() || self.is_quiet(of, now) {
+        let allocators = find(resource).map(|quota| topology.allocators_of(&quota));
+        let allocators = allocators.unwrap_or_default();
+        if allocators.is_empty() || self.was_missed_recently(resource, now) {
             return QuotaMessages::new();
         }
-        let search = Search::new(of, None, (0, missing), reserve, now);
-        self.begin_search(search, lenders, now)
+        let search = Search::new(resource, None, (0, missing), reserve, now);
+        self.begin_search(search, allocators, now)
     }
 
-    /// Forgets what says nothing any more.
+    /// Evicts idle lease clients, expired search results, full pools and waiting requests
+    /// that were given up.
     pub fn evict_idle(&mut self, find: FindQuota<'_>, now: Instant) {
-        self.borrowers.retain(|_, borrower| !borrower.is_idle(now));
-        self.quiet.retain(|_, quiet| quiet.until > now);
-        let (clock, place_clocks) = (&self.clock, &self.place_clocks);
-        self.pools.retain(|of, pool| {
-            find(*of).is_some_and(|found| {
-                let clock = clock_of(clock, place_clocks, &found.allocator);
-                !pool.is_full(&found.terms, clock, now)
+        self.lease_clients
+            .retain(|_, lease_client| !lease_client.is_idle(now));
+        self.recent_misses.retain(|_, miss| miss.until > now);
+        let (share_history, data_centre_histories) =
+            (&self.share_history, &self.data_centre_histories);
+        self.pools.retain(|resource, pool| {
+            find(*resource).is_some_and(|quota| {
+                let share_history =
+                    history_of(share_history, data_centre_histories, &quota.allocator);
+                !pool.is_full(&quota.terms, share_history, now)
             })
         });
         self.waiting.retain(|_, waiting| {
-            waiting.retain(|waiting| !waiting.tell.is_closed());
+            waiting.retain(|waiting| !waiting.sender.is_closed());
             !waiting.is_empty()
         });
     }
 
-    fn wait_for(
+    fn enqueue(
         &mut self,
-        of: LeasedResource,
+        resource: LeasedResource,
         reserve: ReserveShare,
         now: Instant,
     ) -> PendingGrant {
-        let (tell, told) = async_channel::bounded(1);
-        let waiting = self.waiting.entry(of).or_default();
-        waiting.retain(|waiting| !waiting.tell.is_closed());
+        let (sender, receiver) = async_channel::bounded(1);
+        let waiting = self.waiting.entry(resource).or_default();
+        waiting.retain(|waiting| !waiting.sender.is_closed());
         waiting.push_back(Waiting {
-            tell,
+            sender,
             reserve,
             since: now,
         });
-        told
+        receiver
     }
 
-    fn number(&mut self) -> u32 {
-        self.last_number = self.last_number.wrapping_add(1);
-        self.last_number
+    fn next_request_id(&mut self) -> u32 {
+        self.last_request_id = self.last_request_id.wrapping_add(1);
+        self.last_request_id
     }
 }
 
 impl QuotaTopology {
-    /// This box's part of an allowance.
-    fn part_of(&self, allowance: &Quota) -> f64 {
-        match &allowance.allocator {
+    /// Returns this box's share of a quota.
+    fn share_of(&self, quota: &Quota) -> f64 {
+        match &quota.allocator {
             QuotaAllocator::EachHub => self.share,
-            QuotaAllocator::DataCentreHub(name) => {
-                self.place(name).map_or(self.share, |place| place.share)
-            }
+            QuotaAllocator::DataCentreHub(name) => self
+                .data_centre(name)
+                .map_or(self.share, |data_centre| data_centre.share),
         }
     }
 
-    /// The hubs that may have what this box lacks of an allowance.
-    fn lenders_of(&self, allowance: &Quota) -> Vec<LinkId> {
-        match &allowance.allocator {
+    /// Returns the hubs that this box may ask for more of a quota.
+    fn allocators_of(&self, quota: &Quota) -> Vec<LinkId> {
+        match &quota.allocator {
             QuotaAllocator::EachHub => self.allocators.clone(),
             QuotaAllocator::DataCentreHub(name) => {
-                let place = self.place(name);
-                place
-                    .and_then(|place| place.allocator)
+                let data_centre = self.data_centre(name);
+                data_centre
+                    .and_then(|data_centre| data_centre.allocator)
                     .into_iter()
                     .collect()
             }
         }
     }
 
-    fn place(&self, name: &DataCentreId) -> Option<&DataCentreQuota> {
+    fn data_centre(&self, name: &DataCentreId) -> Option<&DataCentreQuota> {
         self.data_centres
             .iter()
-            .find(|place| place.data_centre == *name)
+            .find(|data_centre| data_centre.data_centre == *name)
     }
 
-    fn hears_hub(&self, link: LinkId) -> bool {
-        let holders = self.data_centres.iter().filter_map(|place| place.allocator);
+    fn is_allocator(&self, link: LinkId) -> bool {
+        let allocators = self
+            .data_centres
+            .iter()
+            .filter_map(|data_centre| data_centre.allocator);
         self.allocators.contains(&link)
-            || holders.into_iter().any(|holder| holder == link)
+            || allocators.into_iter().any(|allocator| allocator == link)
     }
 }
 
 impl Search {
     fn new(
-        of: LeasedResource,
-        asker: Option<(LinkId, u32)>,
-        (found, missing): (u32, u32),
+        resource: LeasedResource,
+        requester: Option<(LinkId, u32)>,
+        (granted, missing): (u32, u32),
         reserve: ReserveShare,
         now: Instant,
     ) -> Self {
         Self {
-            of,
-            asker,
-            found,
+            resource,
+            requester,
+            granted,
             missing,
             reserve,
             hubs: Vec::new(),
-            told: MoreIn::default(),
-            until: now,
-            ends: now + SEARCH_LASTS,
+            next_available: NextAvailable::default(),
+            reply_deadline: now,
+            deadline: now + SEARCH_TIMEOUT,
         }
     }
 
-    fn take(&mut self, found: u32) {
-        let found = found.min(self.missing);
-        self.found += found;
-        self.missing -= found;
+    fn take(&mut self, granted: u32) {
+        let granted = granted.min(self.missing);
+        self.granted += granted;
+        self.missing -= granted;
     }
 }
 
 impl QuotaMessage {
-    /// A question.
+    /// Creates a message with a lease request.
     pub fn request(link: LinkId, request: QuotaLeaseRequest) -> Self {
         let lending = LeaseMessages {
             requests: vec![request],
@@ -833,10 +895,10 @@
         }
     }
 
-    /// The answer to a question.
-    pub fn reply(link: LinkId, answer: QuotaLeaseReply, urgent: bool) -> Self {
+    /// Creates a message with the reply to a lease request.
+    pub fn reply(link: LinkId, reply: QuotaLeaseReply, urgent: bool) -> Self {
         let lending = LeaseMessages {
-            replies: vec![answer],
+            replies: vec![reply],
             ..LeaseMessages::default()
         };
         Self {
@@ -847,96 +909,116 @@
     }
 }
 
-/// An allowance that this box holds a part of, with the clock by which the part earns.
-fn held<'a>(
-    found: Option<&'a Quota>,
-    standing: &QuotaTopology,
-    clock: &'a ShareHistory,
-    place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
+/// Returns a quota with the history of this box's share of it; `None` if it has no share.
+fn quota_with_history<'a>(
+    quota: Option<&'a Quota>,
+    topology: &QuotaTopology,
+    share_history: &'a ShareHistory,
+    data_centre_histories: &'a BTreeMap<DataCentreId, ShareHistory>,
 ) -> Option<(&'a Quota, &'a ShareHistory)> {
-    let found = found.filter(|found| standing.part_of(found) > 0.0)?;
-    Some((found, clock_of(clock, place_clocks, &found.allocator)))
+    let quota = quota.filter(|quota| topology.share_of(quota) > 0.0)?;
+    Some((
+        quota,
+        history_of(share_history, data_centre_histories, &quota.allocator),
+    ))
 }
 
-/// The clock by which the parts of an allowance earn.
-fn clock_of<'a>(
-    clock: &'a ShareHistory,
-    place_clocks: &'a BTreeMap<DataCentreId, ShareHistory>,
-    held_by: &QuotaAllocator,
+/// Returns the history of this box's share of quotas with an allocator.
+fn history_of<'a>(
+    share_history: &'a ShareHistory,
+    data_centre_histories: &'a BTreeMap<DataCentreId, ShareHistory>,
+    allocator: &QuotaAllocator,
 ) -> &'a ShareHistory {
-    match held_by {
-        QuotaAllocator::EachHub => clock,
-        // Where no hub stands for a data centre, each hub keeps its own part.
-        QuotaAllocator::DataCentreHub(name) => place_clocks.get(name).unwrap_or(clock),
+    match allocator {
+        QuotaAllocator::EachHub => share_history,
+        // Without a history for the data centre, each hub allocates its own share.
+        QuotaAllocator::DataCentreHub(name) => {
+            data_centre_histories.get(name).unwrap_or(share_history)
+        }
     }
 }
 
-/// Whether an empty pool tells that the account has used what it may: not while parts are
-/// under way, as after losses of boxes. Who asks then waits for what comes with them.
-fn may_tell(found: &Quota, clock: &ShareHistory) -> bool {
-    !clock.has_grown_recently(&found.terms) && !clock.has_shrunk_recently(&found.terms)
+/// Returns whether an empty pool means that the quota is used up. It does not while
+/// shares are moving between boxes, for example after boxes were lost; requests then wait
+/// for what the new share brings.
+fn is_share_settled(quota: &Quota, share_history: &ShareHistory) -> bool {
+    !share_history.has_grown_recently(&quota.terms)
+        && !share_history.has_shrunk_recently(&quota.terms)
 }
 
-/// When there should be one for who comes behind so many others.
-fn comes_in(
+/// Returns the expected time until there is a unit for a request behind `ahead` others.
+fn expected_wait(
     pool: &QuotaPool,
-    found: &Quota,
-    clock: &ShareHistory,
+    quota: &Quota,
+    share_history: &ShareHistory,
     ahead: usize,
 ) -> Duration {
-    let next_in = pool.time_to_next_token(&found.terms, clock);
-    let minted_per_s = found.terms.per_s * clock.share();
-    let queue_s = ahead as f64 / minted_per_s.max(LEAST_MINTED_PER_S);
-    next_in + Duration::from_secs_f64(queue_s).min(LONGEST_QUEUE)
+    let next_in = pool.time_to_next_token(&quota.terms, share_history);
+    let refill_per_s = quota.terms.per_s * share_history.share();
+    let queue_s = ahead as f64 / refill_per_s.max(MIN_REFILL_PER_S);
+    next_in + Duration::from_secs_f64(queue_s).min(MAX_REPORTED_WAIT)
 }
 
-/// Whether what is there after a time is worth a wait rather than a refusal: parts mint moment
-/// by moment, and hubs divide them unevenly for as long.
-fn comes_soon(more_in: Duration) -> bool {
-    more_in <= SOON
+/// Returns whether a request waits for a unit that is expected after `more_in` instead of
+/// being refused. Shares refill continuously, and for about this time hubs may divide
+/// them unevenly.
+fn is_soon(more_in: Duration) -> bool {
+    more_in <= MAX_WAIT
 }
 
-/// Whether more wait than a part mints while who waits is patient: the last of them are
-/// refused at once, whatever the account has used before.
+/// Returns whether more requests wait than the share refills while they may wait. The
+/// last ones are then refused at once, however much of the quota was used before.
 ///
-/// A part that is only coming, as after losses of boxes, says little of what it will mint:
-/// then those of an account beneath its limit may all wait.
-fn is_behind_too_many(waiting: usize, found: &Quota, clock: &ShareHistory) -> bool {
-    let part = match may_tell(found, clock) {
-        true => clock.share(),
-        false => clock.max_recent_share().max(PART_TO_COME),
+/// A share that has changed recently, for example after boxes were lost, says little
+/// about how fast it will refill. At least `ASSUMED_SHARE` is assumed then, so that the
+/// requests of an account below its limit may all wait.
+fn is_queue_too_long(
+    waiting: usize,
+    quota: &Quota,
+    share_history: &ShareHistory,
+) -> bool {
+    let assumed_share = match is_share_settled(quota, share_history) {
+        true => share_history.share(),
+        false => share_history.max_recent_share().max(ASSUMED_SHARE),
     };
-    let minted = found.terms.per_s * part * PATIENCE.as_secs_f64();
-    waiting as f64 >= minted.max(1.0)
+    let refill = quota.terms.per_s * assumed_share * QUEUE_WINDOW.as_secs_f64();
+    waiting as f64 >= refill.max(1.0)
 }
 
-/// Whether boxes hold some of it in advance. What servers take is a few requests a second, so
-/// that one which a box holds for none of its own is one that no other box can use.
-fn may_be_stocked(of: LeasedResource) -> bool {
-    matches!(of, LeasedResource::Account(_))
+/// Returns whether boxes may prefetch quota of a resource. Servers take only a few
+/// requests a second, so a unit that a box holds unused would be missing at the others.
+fn allows_prefetch(resource: LeasedResource) -> bool {
+    matches!(resource, LeasedResource::Account(_))
 }
 
 fn millis(span: Duration) -> u32 {
     span.as_millis().min(u128::from(u32::MAX)) as u32
 }
 
-/// Another data centre's hub answers within some milliseconds, or some tens where it is busy;
-/// what comes later is lost to the allowance.
-const HUB_ANSWER_LOST: Duration = Duration::from_millis(60);
-/// A request waits so long for one that is sure to come, a small part of the time in which
-/// an answer is wanted; a caller over its limit is refused no later.
-const SOON: Duration = Duration::from_millis(250);
-/// Who is first in line waits for so long: the next one that comes is its own.
-const FIRST_WAITS: Duration = Duration::from_millis(600);
-/// A part that mints less than this is no part to wait for.
-const LEAST_MINTED_PER_S: f64 = 0.01;
-/// Nobody waits for longer; the figure is told only.
-const LONGEST_QUEUE: Duration = Duration::from_secs(10);
-/// The part that a hub may come to have, of a few data centres.
-const PART_TO_COME: f64 = 0.5;
-/// Who waits for an account's allowance does so a little longer than this.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// What is found is void where it comes later than `URGENT_LASTS` after it was asked for.
-const SEARCH_LASTS: Duration = Duration::from_millis(120);
-/// For how long it is not asked anew what no hub had.
-const QUIET_AFTER_NONE: Duration = Duration::from_millis(100);
+/// Time for which a hub's reply is awaited. A hub in another data centre replies within a
+/// few milliseconds, or a few tens if it is busy. What a later reply grants is lost to
+/// the quota.
+const HUB_REPLY_TIMEOUT: Duration = Duration::from_millis(60);
+/// Maximum time for which a request waits for a unit that is sure to come. It is a small
+/// part of the time in which a response is wanted, and a caller over its limit is refused
+/// within it.
+const MAX_WAIT: Duration = Duration::from_millis(250);
+/// Maximum time for which the first waiting request waits: the next unit is its own.
+const MAX_WAIT_OF_FIRST: Duration = Duration::from_millis(600);
+/// Minimum refill rate, in units per second, that is assumed for the expected wait.
+const MIN_REFILL_PER_S: f64 = 0.01;
+/// Upper bound on the expected wait in the queue. It is only reported: no request waits
+/// as long.
+const MAX_REPORTED_WAIT: Duration = Duration::from_secs(10);
+/// Share that a hub may get in a fleet with few data centres, assumed for a share that
+/// has changed recently.
+const ASSUMED_SHARE: f64 = 0.5;
+/// Time over which the refill is compared with the number of waiting requests. A request
+/// that waits for an account's quota waits a little longer than this.
+const QUEUE_WINDOW: Duration = Duration::from_secs(1);
+/// Maximum duration of a search. What it finds is void if it arrives later than
+/// `ON_DEMAND_LEASE_TTL` after it was requested.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time for which the other hubs are not asked again after none of them had any quota
+/// left.
+const SEARCH_MISS_TTL: Duration = Duration::from_millis(100);
--- a/crates/wingspur-coordination/src/rendezvous.rs
+++ b/crates/wingspur-coordination/src/rendezvous.rs
@@ -1,28 +1,29 @@
-//! Rendezvous hashing: which box holds a role, by every box's own reckoning.
+//! Rendezvous hashing: each box computes by itself which box owns a role.
 
 use sha2::{Digest, Sha256};
 use wingspur_state::BoxId;
 
-/// Boxes with their hashes, ready for many placements.
+/// A set of boxes with their hashes precomputed, to find the owners of many roles.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RendezvousSet {
     boxes: Vec<(u64, BoxId)>,
 }
 
 impl RendezvousSet {
-    /// A roster of these boxes.
+    /// Creates a set of boxes, computing their hashes.
     pub fn new(boxes: impl IntoIterator<Item = BoxId>) -> Self {
         Self::from_hashed(boxes.into_iter().map(|id| (hash_of(&id), id)))
     }
 
-    /// A roster of boxes whose hashes, by `hash_of`, are known.
+    /// Creates a set of boxes from their hashes by `hash_of`.
     pub fn from_hashed(boxes: impl IntoIterator<Item = (u64, BoxId)>) -> Self {
         Self {
             boxes: boxes.into_iter().collect(),
         }
     }
 
-    /// The box that holds a role; the role moves only when its holder goes.
+    /// Returns the box that owns a role, or `None` if the set is empty. Removing any
+    /// other box from the set does not move the role.
     pub fn owner(&self, role: &str) -> Option<&BoxId> {
         let role = hash_of(role);
         let best = self
@@ -32,24 +33,25 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a box is among the first `count` for a role.
+    /// Returns whether a box is among the first `count` candidates for a role.
     pub fn is_in_top(&self, role: &str, count: usize, id: &BoxId) -> bool {
         let role = hash_of(role);
         let own = mix(hash_of(id) ^ role);
-        let before = self.boxes.iter().filter(|(hash, other)| {
+        let ranked_before = self.boxes.iter().filter(|(hash, other)| {
             let weight = mix(*hash ^ role);
             weight > own || (weight == own && other > id)
         });
-        before.count() < count
+        ranked_before.count() < count
     }
 
-    /// The boxes.
+    /// Returns the boxes of the set.
     pub fn ids(&self) -> impl ExactSizeIterator<Item = &BoxId> {
         self.boxes.iter().map(|(_, id)| id)
     }
 }
 
-/// The first 64 bits of a text's SHA-256: the same on every box and in every release.
+/// Returns the first 64 bits of a text's SHA-256, which are the same on every box and in
+/// every release.
 pub fn hash_of(text: &str) -> u64 {
     let digest = Sha256::digest(text.as_bytes());
     let mut start = [0; 8];
--- a/crates/wingspur-coordination/src/shard_log.rs
+++ b/crates/wingspur-coordination/src/shard_log.rs
@@ -1,12 +1,13 @@
-//! The owner of a once-only shard: claims are recorded before anything is sent.
+//! The log of a once-only shard on the box that owns it: a claim is recorded in the store
+//! before its request is sent to a server.
 //!
-//! The log is a run of numbered segments in the store. Whoever becomes owner first
-//! moves the shard's owner key by compare-and-swap, and only then reads the log; each
-//! segment is put on condition that the owner key has not moved since. A paused former
-//! owner's next write therefore fails, whatever its clock or lease says, also when the
-//! numbers it knew have been merged away. What a segment says is joined in any order:
-//! the end of a claim outweighs its beginning, and claims stand side by side, told
-//! apart by their nonces.
+//! The log is a sequence of numbered segments in the store. A new owner first moves the
+//! shard's owner key by compare-and-swap and only then reads the log; each segment is
+//! put on condition that the owner key has not moved since. The next write of a paused
+//! former owner therefore fails, whatever its clock or lease says, even if the segment
+//! numbers that it knew have been merged and deleted. Entries may be applied in any
+//! order: the end of a claim overrides its start, and several claims of one operation
+//! are kept beside each other, identified by their nonces.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,10 +18,10 @@
 };
 use wingspur_state::BoxId;
 
-/// Stands for a claim that waits for its answer.
+/// Identifies a claim that waits for its reply.
 pub type ClaimTicket = u64;
 
-/// One shard's log as its owner holds it.
+/// One shard's log, as its owner holds it in memory.
 #[derive(Debug, Clone)]
 pub struct ShardLog {
     writer: (BoxId, u64),
@@ -28,23 +29,24 @@
     state: LogState,
     operations: BTreeMap<OperationId, Vec<Claim>>,
     pending_claims: Vec<PendingClaim>,
-    pending_notes: Vec<LogEntry>,
-    writes: u64,
+    pending_outcomes: Vec<LogEntry>,
+    write_count: u64,
     last_write: Option<Instant>,
-    /// Small segments that follow each other, with what they say.
-    recent: Vec<(u64, Vec<LogEntry>)>,
-    /// Segments that a merged one has replaced.
-    replaced: Option<(u64, u64)>,
+    /// Consecutive small segments, by number, with their entries.
+    small_segments: Vec<(u64, Vec<LogEntry>)>,
+    /// The range of segments, without its end, that a merged one has replaced and that is
+    /// to be deleted.
+    replaced_segments: Option<(u64, u64)>,
 }
 
-/// The times and sizes of a shard's log.
+/// The intervals and limits of a shard's log.
 #[derive(Debug, Clone, Copy)]
 pub struct ShardLogSettings {
-    /// Least time between two writes, so that claims share them.
+    /// Minimum time between two writes, so that several claims share one.
     pub commit_every: Duration,
-    /// How long an operation is remembered.
+    /// Time for which an operation is remembered after its claim.
     pub retention: Duration,
-    /// Small segments that are merged into one.
+    /// Number of consecutive small segments from which on they are merged into one.
     pub merge_after: usize,
 }
 
@@ -58,51 +60,54 @@
     }
 }
 
-/// What the owner wants of the store next.
+/// The next store operation that the caller is to run for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogCommand {
-    /// Move the owner key to this box; answer by `took` or `failed`.
+    /// Move the owner key to this box; report by `ownership_acquired` or `open_failed`.
     TakeOwnership,
-    /// Read the whole log; answer by `loaded` or `failed`.
+    /// Read the whole log; report by `loaded` or `open_failed`.
     Load,
-    /// Put a segment; answer by `written`, `deposed` or `unanswered`.
+    /// Put a segment; report by `written`, `ownership_lost` or `write_timed_out`.
     Write(SegmentWrite),
-    /// Delete the segments from the first number up to and without the second.
+    /// Delete the segments from the first number up to, but not including, the second.
     Delete(u64, u64),
 }
 
-/// A segment to be put on condition that this box is owner still.
+/// A segment to be put on condition that this box is still the owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SegmentWrite {
-    /// The segment's number, which must be free.
+    /// The segment's number, which must not exist yet.
     pub number: u64,
-    /// The store's revision when this box became owner: the owner key's must be the
-    /// same still.
+    /// The store's revision at which this box became owner. The owner key must still have
+    /// it.
     pub owner_revision: i64,
-    /// What is put.
+    /// The segment's content.
     pub segment: LogSegment,
 }
 
-/// The answer to a waiting claim.
+/// The reply to a waiting claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimResult {
-    /// The claim.
+    /// The ticket under which the claim was made.
     pub ticket: ClaimTicket,
-    /// Its answer.
+    /// The reply to it.
     pub reply: ClaimReply,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 enum LogState {
-    /// Not owner, or not yet.
+    /// This box is not the owner and has not tried to become it.
     Closed,
-    /// Moving the owner key.
+    /// The owner key is being moved to this box.
     Taking,
-    /// Owner, reading the log.
-    Loading { owner_revision: i64, asked: bool },
-    /// Owner as of the last write.
+    /// This box is the owner and reads the log.
+    Loading {
+        owner_revision: i64,
+        requested: bool,
+    },
+    /// This box was the owner at its last write or load.
     Open { owner_revision: i64, next: u64 },
-    /// A write is under way; it is repeated to the letter until its fate is known.
+    /// A write is in progress. It is repeated unchanged until its result is known.
     Writing {
         write: SegmentWrite,
         sent: bool,
@@ -115,7 +120,7 @@
     ticket: Option<ClaimTicket>,
     request: ClaimRequest,
     expires: Instant,
-    /// Whether it is part of the write under way.
+    /// Whether it is part of the write in progress.
     in_write: bool,
 }
 
@@ -125,7 +130,8 @@
     nonce: u64,
     phase: Phase,
     at_unix_ms: u64,
-    /// Until when the operation may be running; none for claims of a former owner.
+    /// Until when the operation may be running; `None` if the claim was read from the
+    /// log, where a former owner wrote it, or expired before it was written.
     runs_until: Option<Instant>,
 }
 
@@ -136,7 +142,7 @@
 }
 
 impl ShardLog {
-    /// A closed log; `writer` is the box and its incarnation.
+    /// Creates a closed log; `writer` is the box and its incarnation.
     pub fn new(writer: (BoxId, u64), settings: ShardLogSettings) -> Self {
         Self {
             writer,
@@ -144,36 +150,36 @@
             state: LogState::Closed,
             operations: BTreeMap::new(),
             pending_claims: Vec::new(),
-            pending_notes: Vec::new(),
-            writes: 0,
+            pending_outcomes: Vec::new(),
+            write_count: 0,
             last_write: None,
-            recent: Vec::new(),
-            replaced: None,
+            small_segments: Vec::new(),
+            replaced_segments: None,
         }
     }
 
-    /// Whether this box is owner as of its last write.
+    /// Returns whether this box was the owner at its last write or load.
     pub fn is_open(&self) -> bool {
         matches!(self.state, LogState::Open { .. } | LogState::Writing { .. })
     }
 
-    /// Whether something waits for a write, or for its answer.
+    /// Returns whether claims or outcomes wait for a write or its result.
     pub fn has_pending(&self) -> bool {
-        !self.pending_claims.is_empty() || !self.pending_notes.is_empty()
+        !self.pending_claims.is_empty() || !self.pending_outcomes.is_empty()
     }
 
-    /// Operations that are remembered.
+    /// Returns the number of operations that are remembered.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
-    /// Whether no operation is remembered.
+    /// Returns whether no operation is remembered.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
 
-    /// Asks for leave; none means that the answer comes later under `ticket`, at the
-    /// latest at `expires`.
+    /// Claims the right to run an operation. `None` means that the reply follows later
+    /// under `ticket`, at the latest when `expire` is called after `expires`.
     pub fn claim(
         &mut self,
         request: ClaimRequest,
@@ -182,20 +188,21 @@
         now: Instant,
     ) -> Option<ClaimReply> {
         if self.is_open()
-            && let Some(reply) = self.known(&request, now)
+            && let Some(reply) = self.known_reply(&request, now)
         {
             return Some(reply);
         }
-        let waiting = self.pending_claims.iter();
-        if let Some(other) = waiting.clone().find(|c| same_operation(c, &request)) {
-            // A repeat of the message itself waits no longer than the first.
-            let repeated = other.request.nonce == request.nonce;
-            return Some(match repeated {
+        let pending = self.pending_claims.iter();
+        if let Some(other) = pending.clone().find(|c| same_operation(c, &request)) {
+            // A repeat of the same message is refused as unavailable; the first one keeps
+            // its place and gets its reply.
+            let is_repeat = other.request.nonce == request.nonce;
+            return Some(match is_repeat {
                 true => ClaimReply::Unavailable,
                 false => ClaimReply::InProgress,
             });
         }
-        if self.pending_claims.len() >= MOST_PENDING {
+        if self.pending_claims.len() >= MAX_PENDING {
             return Some(ClaimReply::Unavailable);
         }
         let ticket = Some(ticket);
@@ -208,43 +215,44 @@
         None
     }
 
-    /// Takes in how an operation ended; it is recorded with the next write.
-    pub fn record_outcome(&mut self, note: &OutcomeReport) {
-        let claims = self.operations.get_mut(&note.operation);
-        let claim = claims.and_then(|c| c.iter_mut().find(|c| c.nonce == note.nonce));
-        let waiting = |pending: &PendingClaim| pending.request.nonce == note.nonce;
-        if claim.is_none() && !self.pending_claims.iter().any(waiting) {
-            // Never recorded: there is nothing to end.
+    /// Queues the outcome of an operation for the next write. Outcomes of unknown claims
+    /// are ignored, and outcomes beyond `MAX_PENDING` are dropped.
+    pub fn record_outcome(&mut self, report: &OutcomeReport) {
+        let claims = self.operations.get_mut(&report.operation);
+        let claim = claims.and_then(|c| c.iter_mut().find(|c| c.nonce == report.nonce));
+        let is_pending = |pending: &PendingClaim| pending.request.nonce == report.nonce;
+        if claim.is_none() && !self.pending_claims.iter().any(is_pending) {
+            // The claim was never recorded, so there is nothing to end.
             return;
         }
-        if self.pending_notes.len() >= MOST_PENDING {
+        if self.pending_outcomes.len() >= MAX_PENDING {
             return;
         }
-        self.pending_notes.push(LogEntry::Ended {
-            operation: note.operation,
-            nonce: note.nonce,
-            outcome: note.outcome,
+        self.pending_outcomes.push(LogEntry::Ended {
+            operation: report.operation,
+            nonce: report.nonce,
+            outcome: report.outcome,
         });
         if let Some(claim) = claim
-            && note.outcome != OperationOutcome::NotRun
+            && report.outcome != OperationOutcome::NotRun
         {
-            // Known at once to those who ask here; only leave to run again must wait
-            // until it is written.
-            claim.phase = Phase::Ended(note.outcome);
+            // Applies to later claims at once. Only `NotRun`, which allows another run,
+            // has to be written first.
+            claim.phase = Phase::Ended(report.outcome);
         }
     }
 
-    /// Gives up claims that have waited too long.
+    /// Refuses claims that have waited past their `expires` time.
     ///
-    /// One that is part of a write may yet be recorded; it will not run, and that is
-    /// recorded after it.
+    /// A claim that is part of the write in progress may still be recorded. Its operation
+    /// does not run, and that outcome is recorded after it.
     pub fn expire(&mut self, now: Instant) -> Vec<ClaimResult> {
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for claim in &mut self.pending_claims {
             if claim.expires <= now
                 && let Some(ticket) = claim.ticket.take()
             {
-                verdicts.push(ClaimResult {
+                results.push(ClaimResult {
                     ticket,
                     reply: ClaimReply::Unavailable,
                 });
@@ -252,23 +260,23 @@
         }
         self.pending_claims
             .retain(|claim| claim.ticket.is_some() || claim.in_write);
-        verdicts
+        results
     }
 
-    /// What the store shall do next, if anything.
+    /// Returns the next store operation, or `None` if there is none to run now.
     pub fn next_command(&mut self, now: Instant, unix_ms: u64) -> Option<LogCommand> {
-        if let Some((from, to)) = self.replaced.take() {
+        if let Some((from, to)) = self.replaced_segments.take() {
             return Some(LogCommand::Delete(from, to));
         }
         match &mut self.state {
             LogState::Closed => {
-                let wanted = !self.pending_claims.is_empty();
-                wanted.then(|| self.state = LogState::Taking)?;
+                let is_wanted = !self.pending_claims.is_empty();
+                is_wanted.then(|| self.state = LogState::Taking)?;
                 Some(LogCommand::TakeOwnership)
             }
             LogState::Taking => None,
-            LogState::Loading { asked, .. } => {
-                (!std::mem::replace(asked, true)).then_some(LogCommand::Load)
+            LogState::Loading { requested, .. } => {
+                (!std::mem::replace(requested, true)).then_some(LogCommand::Load)
             }
             LogState::Writing { write, sent, .. } => {
                 (!std::mem::replace(sent, true)).then(|| LogCommand::Write(write.clone()))
@@ -278,14 +286,14 @@
                 next,
             } => {
                 let (owner_revision, next) = (*owner_revision, *next);
-                let due = self.last_write.is_none_or(|last| {
+                let is_due = self.last_write.is_none_or(|last| {
                     now.saturating_duration_since(last) >= self.settings.commit_every
                 });
-                let merge = self.recent.len() >= self.settings.merge_after;
-                let work = !self.pending_claims.is_empty()
-                    || !self.pending_notes.is_empty()
-                    || merge;
-                if !due || !work {
+                let merges = self.small_segments.len() >= self.settings.merge_after;
+                let has_work = !self.pending_claims.is_empty()
+                    || !self.pending_outcomes.is_empty()
+                    || merges;
+                if !is_due || !has_work {
                     return None;
                 }
                 Some(self.begin_write(owner_revision, next, now, unix_ms))
@@ -293,34 +301,35 @@
         }
     }
 
-    /// The owner key is this box's, as of the store's revision.
+    /// Records that the owner key has moved to this box at a revision of the store.
     pub fn ownership_acquired(&mut self, owner_revision: i64) {
         self.state = LogState::Loading {
             owner_revision,
-            asked: false,
+            requested: false,
         };
     }
 
-    /// The log was read; segments in the order of their numbers.
+    /// Applies the log that was read; `segments` is sorted by number.
     pub fn loaded(&mut self, segments: Vec<(u64, LogSegment)>, unix_ms: u64) {
         let LogState::Loading { owner_revision, .. } = self.state else {
             return;
         };
         self.operations.clear();
-        self.recent.clear();
+        self.small_segments.clear();
         let next = segments.last().map_or(1, |(number, _)| number + 1);
         for (_, segment) in &segments {
             for entry in &segment.entries {
                 self.join(entry, None);
             }
         }
-        self.forget_before(self.oldest(unix_ms));
-        self.replaced = self.outdated(&segments);
+        self.evict_before(self.retention_start_ms(unix_ms));
+        self.replaced_segments = self.unretained_prefix(&segments);
         for (number, segment) in segments {
-            // A large segment stays; what came before it is not merged across it.
-            match segment.entries.len() < MERGED_ENTRIES {
-                true => self.recent.push((number, segment.entries)),
-                false => self.recent.clear(),
+            // A large segment is not merged, and neither are the ones before it with the
+            // ones after it.
+            match segment.entries.len() < NOT_MERGED_FROM_ENTRIES {
+                true => self.small_segments.push((number, segment.entries)),
+                false => self.small_segments.clear(),
             }
         }
         self.state = LogState::Open {
@@ -329,13 +338,14 @@
         };
     }
 
-    /// Ownership or the log could not be had: nothing was recorded, nothing will run.
+    /// Closes the log after it failed to become the owner or to read the log, and refuses
+    /// all pending claims. None of them was recorded, so none runs.
     pub fn open_failed(&mut self) -> Vec<ClaimResult> {
         self.state = LogState::Closed;
         self.refuse_pending()
     }
 
-    /// The write took effect.
+    /// Applies a write that took effect, and returns the replies to its claims.
     pub fn written(&mut self, now: Instant) -> Vec<ClaimResult> {
         let LogState::Writing {
             write, replaces, ..
@@ -354,49 +364,51 @@
         };
         self.last_write = Some(now);
         if let Some((_, end)) = replaces {
-            self.recent.retain(|(number, _)| *number >= end);
+            self.small_segments.retain(|(number, _)| *number >= end);
         }
-        self.replaced = replaces;
-        if segment.entries.len() < MERGED_ENTRIES {
-            self.recent.push((number, segment.entries.clone()));
+        self.replaced_segments = replaces;
+        if segment.entries.len() < NOT_MERGED_FROM_ENTRIES {
+            self.small_segments.push((number, segment.entries.clone()));
         } else {
-            self.recent.clear();
+            self.small_segments.clear();
         }
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         let pending = std::mem::take(&mut self.pending_claims);
         for claim in pending {
             if !claim.in_write {
-                self.recheck(claim, &mut verdicts, now);
+                self.recheck(claim, &mut results, now);
                 continue;
             }
-            self.grant(claim, &segment, &mut verdicts, now);
+            self.grant(claim, &segment, &mut results, now);
         }
         for entry in &segment.entries {
             self.join(entry, None);
         }
-        verdicts
+        results
     }
 
-    /// Another box is owner now; what was to be written never will be.
+    /// Closes the log because another box is the owner now, and refuses all pending
+    /// claims. The write in progress can no longer take effect.
     pub fn ownership_lost(&mut self) -> Vec<ClaimResult> {
         self.state = LogState::Closed;
         self.operations.clear();
-        self.recent.clear();
-        self.replaced = None;
+        self.small_segments.clear();
+        self.replaced_segments = None;
         self.refuse_pending()
     }
 
-    /// No answer: the write may have taken effect, now or later. It is repeated to
-    /// the letter, so that whichever try lands, it is the same one.
+    /// Has a write without a reply repeated. It may have taken effect or do so later; it
+    /// is repeated unchanged, so that it makes no difference which attempt takes effect.
     pub fn write_timed_out(&mut self) {
         if let LogState::Writing { sent, .. } = &mut self.state {
             *sent = false;
         }
     }
 
-    /// The notes that wait for a write, for the owner that follows.
+    /// Removes and returns the outcomes that wait for a write, to pass them to the next
+    /// owner.
     pub fn take_notes(&mut self) -> Vec<LogEntry> {
-        std::mem::take(&mut self.pending_notes)
+        std::mem::take(&mut self.pending_outcomes)
     }
 
     fn begin_write(
@@ -407,13 +419,13 @@
         unix_ms: u64,
     ) -> LogCommand {
         self.last_write = Some(now);
-        let merge = self.recent.len() >= self.settings.merge_after;
-        let (entries, replaces) = match merge {
+        let merges = self.small_segments.len() >= self.settings.merge_after;
+        let (entries, replaces) = match merges {
             true => self.merged(unix_ms),
             false => (self.take_batch(now, unix_ms), None),
         };
-        self.writes += 1;
-        let writer = (self.writer.0.clone(), self.writer.1, self.writes);
+        self.write_count += 1;
+        let writer = (self.writer.0.clone(), self.writer.1, self.write_count);
         let segment = LogSegment { writer, entries };
         let write = SegmentWrite {
             number,
@@ -428,14 +440,15 @@
         LogCommand::Write(write)
     }
 
-    /// The claims and notes of the next write.
+    /// Returns the entries of the next write: pending outcomes, then pending claims.
     fn take_batch(&mut self, now: Instant, unix_ms: u64) -> Vec<LogEntry> {
-        let notes = self.pending_notes.len().min(MOST_BATCH);
-        let mut entries: Vec<LogEntry> = self.pending_notes.drain(..notes).collect();
-        for index in 0..self.pending_claims.len().min(MOST_BATCH) {
+        let outcome_count = self.pending_outcomes.len().min(MAX_BATCH_ENTRIES);
+        let mut entries: Vec<LogEntry> =
+            self.pending_outcomes.drain(..outcome_count).collect();
+        for index in 0..self.pending_claims.len().min(MAX_BATCH_ENTRIES) {
             let request = self.pending_claims[index].request.clone();
             if self.pending_claims[index].expires <= now
-                || self.known(&request, now).is_some()
+                || self.known_reply(&request, now).is_some()
             {
                 continue;
             }
@@ -449,18 +462,19 @@
         entries
     }
 
-    /// What the oldest small segments say, and the numbers that this replaces.
+    /// Returns the retained entries of the oldest small segments, and the range of
+    /// segment numbers, without its end, that they replace.
     fn merged(&mut self, unix_ms: u64) -> (Vec<LogEntry>, Option<(u64, u64)>) {
-        self.forget_before(self.oldest(unix_ms));
-        let Some(&(first, _)) = self.recent.first() else {
+        self.evict_before(self.retention_start_ms(unix_ms));
+        let Some(&(first, _)) = self.small_segments.first() else {
             return (Vec::new(), None);
         };
         let mut entries = Vec::new();
         let mut end = first;
-        for (number, segment) in &self.recent {
-            let kept = segment.iter().filter(|entry| self.still_holds(entry));
+        for (number, segment) in &self.small_segments {
+            let kept = segment.iter().filter(|entry| self.is_retained(entry));
             let kept: Vec<LogEntry> = kept.copied().collect();
-            if !entries.is_empty() && entries.len() + kept.len() > MOST_MERGED {
+            if !entries.is_empty() && entries.len() + kept.len() > MAX_MERGED_ENTRIES {
                 break;
             }
             entries.extend(kept);
@@ -469,37 +483,38 @@
         (entries, Some((first, end)))
     }
 
-    /// The leading segments of which nothing is remembered any more.
-    fn outdated(&self, segments: &[(u64, LogSegment)]) -> Option<(u64, u64)> {
-        let gone = |segment: &LogSegment| {
-            !segment.entries.iter().any(|entry| self.still_holds(entry))
+    /// Returns the range of leading segments, without its end, of which no entry is
+    /// retained; `None` if there is none.
+    fn unretained_prefix(&self, segments: &[(u64, LogSegment)]) -> Option<(u64, u64)> {
+        let is_unretained = |segment: &LogSegment| {
+            !segment.entries.iter().any(|entry| self.is_retained(entry))
         };
         let count = segments
             .iter()
-            .take_while(|(_, segment)| gone(segment))
+            .take_while(|(_, segment)| is_unretained(segment))
             .count();
-        // The last one stays, so that the numbers go on.
+        // The last segment is kept, so that numbering continues after it.
         let count = count.min(segments.len().saturating_sub(1));
         let (first, last) = (segments.first()?.0, segments.get(count)?.0);
         (count > 0).then_some((first, last))
     }
 
-    fn still_holds(&self, entry: &LogEntry) -> bool {
+    fn is_retained(&self, entry: &LogEntry) -> bool {
         match entry {
             LogEntry::Claimed {
                 operation, nonce, ..
-            } => self.holds(*operation, *nonce),
+            } => self.has_claim(*operation, *nonce),
             LogEntry::Ended {
                 operation, nonce, ..
-            } => self.holds(*operation, *nonce),
+            } => self.has_claim(*operation, *nonce),
         }
     }
 
-    fn oldest(&self, unix_ms: u64) -> u64 {
+    fn retention_start_ms(&self, unix_ms: u64) -> u64 {
         unix_ms.saturating_sub(self.settings.retention.as_millis() as u64)
     }
 
-    fn holds(&self, operation: OperationId, nonce: u64) -> bool {
+    fn has_claim(&self, operation: OperationId, nonce: u64) -> bool {
         let claims = self.operations.get(&operation);
         claims.is_some_and(|claims| claims.iter().any(|claim| claim.nonce == nonce))
     }
@@ -508,7 +523,7 @@
         &mut self,
         claim: PendingClaim,
         segment: &LogSegment,
-        verdicts: &mut Vec<ClaimResult>,
+        results: &mut Vec<ClaimResult>,
         now: Instant,
     ) {
         let ClaimRequest {
@@ -517,9 +532,9 @@
             deadline_ms,
         } = claim.request;
         let Some(ticket) = claim.ticket else {
-            // Given up while it was written: it never runs.
+            // The claim expired while it was written, so its operation never runs.
             let outcome = OperationOutcome::NotRun;
-            self.pending_notes.push(LogEntry::Ended {
+            self.pending_outcomes.push(LogEntry::Ended {
                 operation,
                 nonce,
                 outcome,
@@ -532,21 +547,22 @@
                 self.join(entry, Some(runs_until));
             }
         }
-        verdicts.push(ClaimResult {
+        results.push(ClaimResult {
             ticket,
             reply: ClaimReply::Granted,
         });
     }
 
-    /// Answers a claim that waited through a write, if it can be answered now.
+    /// Replies to a claim that was not part of the write, if its reply is known now;
+    /// otherwise keeps it pending.
     fn recheck(
         &mut self,
         claim: PendingClaim,
-        verdicts: &mut Vec<ClaimResult>,
+        results: &mut Vec<ClaimResult>,
         now: Instant,
     ) {
-        match (self.known(&claim.request, now), claim.ticket) {
-            (Some(reply), Some(ticket)) => verdicts.push(ClaimResult { ticket, reply }),
+        match (self.known_reply(&claim.request, now), claim.ticket) {
+            (Some(reply), Some(ticket)) => results.push(ClaimResult { ticket, reply }),
             (Some(_), None) => {}
             (None, _) => self.pending_claims.push(claim),
         }
@@ -562,8 +578,9 @@
         tickets.map(refuse).collect()
     }
 
-    /// What is known of an operation; none means that it may be claimed.
-    fn known(&self, request: &ClaimRequest, now: Instant) -> Option<ClaimReply> {
+    /// Returns the reply that the known claims of an operation imply; `None` if it may be
+    /// claimed.
+    fn known_reply(&self, request: &ClaimRequest, now: Instant) -> Option<ClaimReply> {
         let claims = self.operations.get(&request.operation)?;
         let mut worst = None;
         for claim in claims {
@@ -585,7 +602,8 @@
         worst
     }
 
-    /// Joins an entry into what is known; order and repeats do not matter.
+    /// Applies an entry to the known operations. Order and repeats of entries do not
+    /// matter.
     fn join(&mut self, entry: &LogEntry, runs_until: Option<Instant>) {
         let (operation, nonce) = match entry {
             LogEntry::Claimed {
@@ -617,9 +635,9 @@
         }
     }
 
-    fn forget_before(&mut self, oldest_unix_ms: u64) {
+    fn evict_before(&mut self, retention_start_ms: u64) {
         self.operations.retain(|_, claims| {
-            claims.retain(|claim| claim.at_unix_ms >= oldest_unix_ms);
+            claims.retain(|claim| claim.at_unix_ms >= retention_start_ms);
             !claims.is_empty()
         });
     }
@@ -629,11 +647,15 @@
     claim.request.operation == request.operation
 }
 
-/// An operation may be running for so long past its deadline.
+/// Time past its deadline for which an operation is assumed to be still running.
 const RUN_GRACE: Duration = Duration::from_millis(500);
-const MOST_PENDING: usize = 20_000;
-/// Entries of one write: 80 bytes each at most, well under a megabyte.
-const MOST_BATCH: usize = 4_000;
-const MOST_MERGED: usize = 8_000;
-/// A segment with so many entries is not merged again.
-const MERGED_ENTRIES: usize = 2_000;
+/// Maximum number of pending claims, and of pending outcomes.
+const MAX_PENDING: usize = 20_000;
+/// Maximum number of claims, and of outcomes, in one write. An entry has at most 80
+/// bytes, so that a write stays well under a megabyte.
+const MAX_BATCH_ENTRIES: usize = 4_000;
+/// Maximum number of entries of a merged segment, unless its first segment alone has
+/// more.
+const MAX_MERGED_ENTRIES: usize = 8_000;
+/// Number of entries from which on a segment is not merged.
+const NOT_MERGED_FROM_ENTRIES: usize = 2_000;
