--- a/tests/tests/ending_requests.rs
+++ b/tests/tests/ending_requests.rs
@@ -1,11 +1,7 @@
-//! A request that ends each server which begins to run it, sent again and again.
-//!
-//! Its caller got a 502 and asked again, at whichever box. A box counted the servers of one
-//! try only, and judged servers, not requests: `attempt: failed. end=InDoubt reason="the answer
-//! broke off: unexpected end of file"` at one server and 56 ms later at the next, then the same
-//! at other boxes under new ids. After three servers had ended, the request was sent to 13
-//! servers more; 28 of a service of nine ended in 15 seconds, and what was out at them, up to
-//! 13 requests at a time, was lost with them.
+//! Guards against a request that ends every server which runs it. Its caller got a 502
+//! and repeated it; boxes judged only servers and tried the next one 56 ms later. Sent to
+//! 13 more after the third, it ended 28 in 15 s in a service of nine, with up to 13
+//! requests each.
 
 mod edge;
 
@@ -17,7 +13,7 @@
 use wingspur_tests::{Answer, Head, MortalServer, PlatformStore, call};
 use wingspur_transport::Workers;
 
-/// Some boxes before some servers that end by the request to `FATAL`.
+/// Boxes in front of servers that end when they run the request to `FATAL`.
 struct Fleet {
     store: PlatformStore,
     boxes: Vec<EdgeBox>,
@@ -41,8 +37,8 @@
         for running in &boxes {
             wait_until("all boxes are ready", || running.is_ready());
         }
-        // Boxes that start together are linked within two seconds.
-        thread::sleep(LINKED_AFTER);
+        // Waits until the boxes, which start together, are linked.
+        thread::sleep(LINK_TIME);
         Self {
             store,
             boxes,
@@ -51,33 +47,36 @@
         }
     }
 
-    /// Brings back the servers that have ended, as new ones.
-    fn bring_back(&self) {
+    /// Restarts the servers that have ended, as new instances.
+    fn restart_ended(&self) {
         for (n, server) in self.servers.iter().enumerate() {
             if server.has_ended() {
-                let gone = server.runs().len() - 1;
-                self.store.remove(&format!("servers/i-{n}-{gone}"));
+                let ended_instance = server.runs().len() - 1;
+                self.store
+                    .remove(&format!("servers/i-{n}-{ended_instance}"));
                 server.start_again();
                 announce(&self.store, n, server);
             }
         }
         let version = self.boxes[0].bundle_version() + 1;
-        let told = configuration(version, &[Route::new("read")]);
-        self.store.put("op/config", &told);
-        let heard = |running: &EdgeBox| running.bundle_version() >= version;
-        wait_until("all have heard", || self.boxes.iter().all(heard));
+        let bundle = configuration(version, &[Route::new("read")]);
+        self.store.put("op/config", &bundle);
+        let has_bundle = |running: &EdgeBox| running.bundle_version() >= version;
+        wait_until("all boxes have the new bundle", || {
+            self.boxes.iter().all(has_bundle)
+        });
     }
 
-    /// Asks one of the boxes, in turn.
+    /// Sends a request to one of the boxes, in turn.
     fn ask(&self, turn: usize, path: &str) -> Answer {
         let running = &self.boxes[turn % self.boxes.len()];
         ask(running, path, &format!("id-{turn}-{path}"))
     }
 
-    /// When requests to a path arrived at servers, the first first.
+    /// Returns when requests to a path arrived at servers, sorted.
     fn arrivals(&self, path: &str) -> Vec<Instant> {
         let runs = self.servers.iter().flat_map(MortalServer::runs);
-        let arrivals = runs.flat_map(|run| run.arrivals);
+        let arrivals = runs.flat_map(|instance| instance.arrivals);
         let wanted = arrivals.filter(|(_, head)| head.path == path);
         let mut at: Vec<_> = wanted.map(|(at, _)| at).collect();
         at.sort();
@@ -86,7 +85,7 @@
 
     fn ended(&self) -> usize {
         let runs = self.servers.iter().flat_map(MortalServer::runs);
-        runs.filter(|run| run.ended).count()
+        runs.filter(|instance| instance.ended).count()
     }
 
     fn close(self) {
@@ -99,9 +98,9 @@
 
 fn announce(store: &PlatformStore, n: usize, server: &MortalServer) {
     let runs = server.runs();
-    let run = runs.last().expect("it has started");
+    let instance = runs.last().expect("it has started");
     let key = format!("servers/i-{n}-{}", runs.len() - 1);
-    store.put(&key, &server_entry(run.address, "ready"));
+    store.put(&key, &server_entry(instance.address, "ready"));
 }
 
 fn ask(running: &EdgeBox, path: &str, id: &str) -> Answer {
@@ -124,28 +123,32 @@
     while fleet.ended() < 3 {
         fleet.ask(turn, FATAL);
         turn += 1;
-        fleet.bring_back();
+        fleet.restart_ended();
     }
-    // All boxes may have heard of it after this, and must have.
-    thread::sleep(HEARD_WITHIN);
+    // By then all boxes must have received the update.
+    thread::sleep(UPDATE_TIME);
     let before = fleet.arrivals(FATAL).len();
-    for _ in 0..TRIES {
+    for _ in 0..REPEATS {
         let answer = fleet.ask(turn, FATAL);
         assert_ne!(answer.status, 200);
-        let well = fleet.ask(turn, &format!("/read/{turn}"));
-        assert_eq!(well.status, 200, "others are served meanwhile");
+        let other = fleet.ask(turn, &format!("/read/{turn}"));
+        assert_eq!(other.status, 200, "other requests are served meanwhile");
         turn += 1;
-        fleet.bring_back();
+        fleet.restart_ended();
     }
     let more = fleet.arrivals(FATAL).len() - before;
-    assert!(more <= 3, "{more} servers more were sent it");
+    assert!(more <= 3, "it was sent to {more} more servers");
     let refused = fleet.ask(turn, FATAL);
-    assert_eq!(refused.status, 503, "it is told that it has not run");
+    assert_eq!(
+        refused.status, 503,
+        "the caller learns that the request has not run"
+    );
     fleet.close();
 }
 
-/// What is out at a server that ends is broken off with the request that ends it, time and
-/// again; but it is answered whole as soon as it runs beside no such request.
+/// A harmless request is interrupted each time it runs beside one that ends the server.
+/// It must not be quarantined for good: it gets a complete response once it runs without
+/// the other.
 #[test]
 fn a_request_that_ran_beside_one_that_ends_servers_is_still_served() {
     let fleet = Fleet::start(3, 1);
@@ -155,10 +158,12 @@
         let arrived = fleet.arrivals(beside).len();
         thread::scope(|scope| {
             scope.spawn(|| ask(running, beside, &format!("beside-{turn}")));
-            wait_until("it is out", || fleet.arrivals(beside).len() > arrived);
+            wait_until("the request is in flight", || {
+                fleet.arrivals(beside).len() > arrived
+            });
             fleet.ask(turn, FATAL);
         });
-        fleet.bring_back();
+        fleet.restart_ended();
     }
     for turn in 0..fleet.boxes.len() {
         assert_eq!(fleet.ask(turn, beside).status, 200, "at box {turn}");
@@ -168,9 +173,9 @@
     fleet.close();
 }
 
-/// Servers end for other reasons as well. With four in a row under one request, all that is
-/// known of it is what is known of one that ends servers, and it has been let through twice
-/// since; at the third time it is answered, and that clears it everywhere.
+/// A harmless request is in flight at four servers in a row that end for other reasons,
+/// and so looks like one that ends servers. Its third trial gets a complete response,
+/// which clears it on all boxes.
 #[test]
 fn a_request_that_was_out_at_servers_that_ended_is_still_served() {
     let fleet = Fleet::start(3, 1);
@@ -180,10 +185,12 @@
         let arrived = fleet.arrivals(unlucky).len();
         thread::scope(|scope| {
             scope.spawn(|| ask(running, unlucky, &format!("unlucky-{turn}")));
-            wait_until("it is out", || fleet.arrivals(unlucky).len() > arrived);
+            wait_until("the request is in flight", || {
+                fleet.arrivals(unlucky).len() > arrived
+            });
             fleet.servers[0].end();
         });
-        fleet.bring_back();
+        fleet.restart_ended();
     }
     for turn in 0..2 * fleet.boxes.len() {
         let answer = fleet.ask(turn, unlucky);
@@ -201,7 +208,7 @@
     while !is_known() {
         fleet.ask(turn, FATAL);
         turn += 1;
-        fleet.bring_back();
+        fleet.restart_ended();
     }
     fleet.store.restore(&copy);
     for (n, server) in fleet.servers.iter().enumerate() {
@@ -213,11 +220,11 @@
 
 /// The request that ends servers.
 const FATAL: &str = "/read/fatal";
-/// How long a server takes for a request.
+/// Time that a server takes for a request.
 const WORK: Duration = Duration::from_millis(200);
-/// Boxes are linked by then.
-const LINKED_AFTER: Duration = Duration::from_secs(2);
-/// What one box has seen, all others have heard.
-const HEARD_WITHIN: Duration = Duration::from_secs(3);
-/// How often its caller comes again afterwards.
-const TRIES: usize = 12;
+/// Time within which boxes that start together are linked.
+const LINK_TIME: Duration = Duration::from_secs(2);
+/// Time within which all boxes receive what one box has observed.
+const UPDATE_TIME: Duration = Duration::from_secs(3);
+/// Number of times that the caller repeats the request afterwards.
+const REPEATS: usize = 12;
--- a/tests/tests/lending_desk.rs
+++ b/tests/tests/lending_desk.rs
@@ -1,4 +1,4 @@
-//! What a box lends, borrows and refuses, decision by decision.
+//! Tests the single decisions of `QuotaLeaseManager`: leases, waits and refusals.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +6,11 @@
 use wingspur_protocol::{LeasedResource, QuotaLeaseRequest};
 use wingspur_state::{AcquireOutcome, ClientAccount, QuotaTerms, QuotaTolerance};
 
-const OF: LeasedResource = LeasedResource::Account(1);
+const ACCOUNT: LeasedResource = LeasedResource::Account(1);
 const SERVER: LeasedResource = LeasedResource::Server(2);
 
-/// An account that may ask for ten a second, or a server that takes as much.
-fn allowance(of: LeasedResource) -> Option<Quota> {
+/// The quota of an account or of a server that may have ten requests a second.
+fn quota_of(resource: LeasedResource) -> Option<Quota> {
     let account = ClientAccount {
         name: "school".into(),
         keys_sha256: Vec::new(),
@@ -18,11 +18,11 @@
         requests_per_s: 10.0,
         burst: 5.0,
     };
-    let (terms, held_by) = match of {
+    let (terms, allocator) = match resource {
         LeasedResource::Account(_) => {
-            let quota = QuotaTolerance::default();
+            let tolerance = QuotaTolerance::default();
             (
-                QuotaTerms::of_account(&account, &quota),
+                QuotaTerms::of_account(&account, &tolerance),
                 QuotaAllocator::EachHub,
             )
         }
@@ -31,13 +31,10 @@
             QuotaAllocator::DataCentreHub("dc-1".into()),
         ),
     };
-    Some(Quota {
-        terms,
-        allocator: held_by,
-    })
+    Some(Quota { terms, allocator })
 }
 
-/// A hub that holds all parts.
+/// A hub that holds the shares of all boxes.
 fn hub() -> QuotaTopology {
     QuotaTopology {
         share: 1.0,
@@ -45,45 +42,50 @@
     }
 }
 
-/// A desk whose box has held all parts from a moment on.
-fn desk_since(start: Instant, until: Instant) -> QuotaLeaseManager {
-    let mut desk = QuotaLeaseManager::new(start);
+/// A manager whose box has held all shares since `start`.
+fn manager_since(start: Instant, until: Instant) -> QuotaLeaseManager {
+    let mut manager = QuotaLeaseManager::new(start);
     let mut now = start;
     while now <= until {
-        desk.update_shares(&hub(), now);
+        manager.update_shares(&hub(), now);
         now += Duration::from_millis(100);
     }
-    desk
+    manager
 }
 
-/// After a loss of all boxes nobody can tell for three seconds what an account has used. Callers
-/// of one at ten times its limit all waited 1.2 s then, for places that were minted a tenth as fast.
+/// For three seconds after all boxes were lost it is not known what an account has used.
+/// The callers of an account at ten times its limit then all waited 1.2 s for quota that
+/// refilled a tenth as fast.
 #[test]
 fn who_comes_behind_more_than_is_minted_meanwhile_is_refused_at_once() {
     let start = Instant::now();
     let now = start + Duration::from_millis(500);
-    let mut desk = desk_since(start, now);
-    let mut told = Vec::new();
+    let mut manager = manager_since(start, now);
+    let mut pending = Vec::new();
     let mut refused = 0;
     for _ in 0..100 {
-        match desk.acquire(OF, 0.0, &hub(), &allowance, now).0 {
+        match manager.acquire(ACCOUNT, 0.0, &hub(), &quota_of, now).0 {
             Ok(AcquireOutcome::Refused(_)) => refused += 1,
             Ok(_) => {}
-            Err(waits) => told.push(waits),
+            Err(receiver) => pending.push(receiver),
         }
     }
-    assert!((8..=12).contains(&told.len()), "{} wait", told.len());
-    assert!(refused >= 80, "{refused} refused");
-    // Those that wait are let through as places come.
+    assert!(
+        (8..=12).contains(&pending.len()),
+        "{} requests wait",
+        pending.len()
+    );
+    assert!(refused >= 80, "{refused} requests refused");
+    // The waiting requests are granted as the share refills.
     let mut later = now;
     for _ in 0..12 {
         later += Duration::from_millis(100);
-        desk.update_shares(&hub(), later);
-        desk.poll(&hub(), &allowance, later);
+        manager.update_shares(&hub(), later);
+        manager.poll(&hub(), &quota_of, later);
     }
-    let taken = told
+    let taken = pending
         .iter()
-        .filter(|told| told.try_recv() == Ok(AcquireOutcome::Acquired));
+        .filter(|pending| pending.try_recv() == Ok(AcquireOutcome::Acquired));
     assert!(taken.count() >= 8);
 }
 
@@ -91,34 +93,40 @@
 fn a_member_with_more_waiting_than_is_minted_is_told_so() {
     let start = Instant::now();
     let now = start + Duration::from_millis(500);
-    let mut desk = desk_since(start, now);
-    let ask = |urgent| QuotaLeaseRequest {
+    let mut manager = manager_since(start, now);
+    let ask = |on_demand_count| QuotaLeaseRequest {
         request_id: 1,
-        resource: OF,
+        resource: ACCOUNT,
         held: 0.0,
-        on_demand_count: urgent,
+        on_demand_count,
         reserve: 0.0,
         wanted: 0.0,
     };
-    for (urgent, is_told) in [(9, false), (50, true)] {
-        let messages = desk.handle_request(7, &ask(urgent), &hub(), &allowance, now);
-        let answer = messages[0].lending.replies[0];
-        assert_eq!(answer.retry_after_ms.is_some(), is_told, "{urgent}");
+    for (on_demand_count, has_retry_after) in [(9, false), (50, true)] {
+        let messages =
+            manager.handle_request(7, &ask(on_demand_count), &hub(), &quota_of, now);
+        let reply = messages[0].lending.replies[0];
+        assert_eq!(
+            reply.retry_after_ms.is_some(),
+            has_retry_after,
+            "{on_demand_count} requested"
+        );
     }
 }
 
-/// The share of a rank is what is beyond one place: the last one goes to the most urgent.
+/// The reserve of a priority applies beyond one unit: the last unit is left to the most
+/// urgent requests.
 #[test]
 fn less_urgent_requests_leave_room_to_the_more_urgent() {
     let start = Instant::now();
     let now = start + Duration::from_secs(10);
-    let mut desk = desk_since(start, now);
-    let mut takes = |reserve| {
-        let (outcome, _) = desk.acquire(SERVER, reserve, &hub(), &allowance, now);
+    let mut manager = manager_since(start, now);
+    let mut acquires = |reserve| {
+        let (outcome, _) = manager.acquire(SERVER, reserve, &hub(), &quota_of, now);
         matches!(outcome, Ok(AcquireOutcome::Acquired))
     };
-    // A server that takes ten a second may be sent five at once.
-    let less_urgent = (0..10).filter(|_| takes(0.75)).count();
-    let urgent = (0..10).filter(|_| takes(0.0)).count();
+    // A server that takes ten requests a second may be sent five at once.
+    let less_urgent = (0..10).filter(|_| acquires(0.75)).count();
+    let urgent = (0..10).filter(|_| acquires(0.0)).count();
     assert_eq!((less_urgent, urgent), (2, 3));
 }
--- a/tests/tests/membership.rs
+++ b/tests/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: who may speak, who lives, and what a wrong view may cost.
+//! Tests membership: which senders are accepted, which boxes count as live, and which box
+//! owns a role.
 
 use std::time::{Duration, Instant};
 
@@ -46,7 +47,7 @@
     assert_eq!(
         member.receive(&known, 7, 2, now),
         Ok(()),
-        "messages may overtake"
+        "messages may arrive out of order"
     );
     assert_eq!(
         member.receive(&known, 7, 2, now),
@@ -64,7 +65,7 @@
     assert_eq!(
         member.receive(&known, 8, 1, now),
         Ok(()),
-        "a replacement starts anew"
+        "a new incarnation starts its own sequence"
     );
 }
 
@@ -73,21 +74,21 @@
     let mut member = member(0, 8);
     let now = Instant::now();
     let suspected = "box-5".to_owned();
-    let by = |by: &str| Suspicion {
+    let observed_by = |observer: &str| Suspicion {
         suspect: suspected.clone(),
-        observer: by.to_owned(),
+        observer: observer.to_owned(),
         ttl_ms: u32::MAX,
     };
-    member.receive_suspicions(&[by("box-3")], now);
+    member.receive_suspicions(&[observed_by("box-3")], now);
     assert!(member.is_live(&suspected, now));
-    member.receive_suspicions(&[by("box-4")], now);
+    member.receive_suspicions(&[observed_by("box-4")], now);
     assert!(!member.is_live(&suspected, now));
-    let roster = member.live_boxes(now);
-    assert!(!roster.ids().any(|id| *id == suspected));
+    let live = member.live_boxes(now);
+    assert!(!live.ids().any(|id| *id == suspected));
     let later = now + MembershipSettings::default().suspicion_ttl;
     assert!(
         member.is_live(&suspected, later),
-        "a suspicion lapses unless renewed"
+        "a suspicion expires unless it is renewed"
     );
 }
 
@@ -105,7 +106,11 @@
         .into_iter()
         .map(|suspicion| suspicion.suspect)
         .collect();
-    assert_eq!(suspected.len(), 3, "the three that it watches");
+    assert_eq!(
+        suspected.len(),
+        3,
+        "exactly the three watched boxes are suspected"
+    );
     assert!(watched.iter().all(|peer| suspected.contains(&peer.id)));
     member.record_reply(&watched[0].id, now);
     assert_eq!(member.suspicions(now).len(), 2);
@@ -125,28 +130,28 @@
 }
 
 proptest! {
-    /// A role moves only when its holder goes.
+    /// A role moves only when its owner is removed.
     #[test]
-    fn a_role_stays_where_it_is(role in "[a-z]{1,12}", gone in 0..40usize) {
+    fn a_role_stays_where_it_is(role in "[a-z]{1,12}", removed in 0..40usize) {
         let ids = |skip: Option<usize>| {
             (0..40).filter(move |index| Some(*index) != skip).map(|index| format!("box-{index}"))
         };
         let all = RendezvousSet::new(ids(None));
-        let fewer = RendezvousSet::new(ids(Some(gone)));
-        let holder = all.owner(&role).unwrap();
-        if *holder != format!("box-{gone}") {
-            prop_assert_eq!(fewer.owner(&role).unwrap(), holder);
+        let remaining = RendezvousSet::new(ids(Some(removed)));
+        let owner_id = all.owner(&role).unwrap();
+        if *owner_id != format!("box-{removed}") {
+            prop_assert_eq!(remaining.owner(&role).unwrap(), owner_id);
         }
     }
 
-    /// Bytes that are no message are refused, never a panic.
+    /// Bytes that are no message are refused without a panic.
     #[test]
     fn no_bytes_upset_the_reader(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode_peer(&bytes, "zagreb");
     }
 
-    /// A message that was cut short or changed in one byte is refused, or is some other
-    /// message; it is never a panic.
+    /// A message that is truncated or changed in one byte is refused or read as another
+    /// message, without a panic.
     #[test]
     fn damaged_messages_do_not_upset_the_reader(at in 0..200usize, byte in any::<u8>()) {
         let mut bytes = encode_peer(&envelope(PEER_PROTOCOL_VERSION, "zagreb"));
--- a/tests/tests/once_only_explorer.rs
+++ b/tests/tests/once_only_explorer.rs
@@ -1,10 +1,7 @@
-//! Explores the once-only protocol exhaustively at small size, on the real code.
-//!
-//! Two boxes can own the shard, three callers ask for the same operation, and the store
-//! is a small model. Every step of every party may come at any moment: requests and
-//! replies are lost, late copies of writes take effect long after, owners pause while
-//! another takes over, segments are merged and deleted. In every state that can be
-//! reached the operation has run at most once.
+//! Guards against an operation that runs twice: explores the states of the real
+//! `ShardLog` with two boxes, three callers of one operation and a model of the store.
+//! Messages are lost, writes take effect late, owners pause and are replaced, and
+//! segments are merged and deleted.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -21,10 +18,10 @@
 struct World {
     logs: Vec<ShardLog>,
     store: Store,
-    /// The command that each box waits for.
+    /// The command whose reply each box waits for.
     waiting: Vec<Option<Waiting>>,
-    /// Copies of writes that were given up and may take effect later.
-    late: Vec<SegmentWrite>,
+    /// Writes whose replies are no longer awaited and that may still take effect.
+    late_writes: Vec<SegmentWrite>,
     callers: Vec<Caller>,
     runs: u32,
     faults_left: u32,
@@ -33,7 +30,7 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     command: LogCommand,
-    /// What the store answered, once it has.
+    /// The store's reply; `None` until it has received the command.
     reply: Option<Reply>,
 }
 
@@ -51,10 +48,10 @@
     Idle,
     Asked(usize),
     Refused,
-    Ran { owner: usize, told: bool },
+    Ran { owner: usize, reported: bool },
 }
 
-/// The store: an owner key with its revision, and segments.
+/// The modelled store: the revision of the owner key, and segments.
 #[derive(Debug, Clone, Default)]
 struct Store {
     revision: i64,
@@ -83,8 +80,8 @@
     }
 
     fn write(&mut self, write: &SegmentWrite) -> Reply {
-        if let Some(present) = self.segments.get(&write.number) {
-            let own = *present == write.segment;
+        if let Some(existing) = self.segments.get(&write.number) {
+            let own = *existing == write.segment;
             return if own { Reply::Written } else { Reply::Refused };
         }
         if write.owner_revision != self.owner_revision {
@@ -108,14 +105,14 @@
             logs: (0..BOXES).map(log).collect(),
             store: Store::default(),
             waiting: vec![None; BOXES],
-            late: Vec::new(),
+            late_writes: Vec::new(),
             callers: vec![Caller::Idle; 3],
             runs: 0,
             faults_left: faults,
         }
     }
 
-    /// All worlds that one step leads to.
+    /// Returns all worlds that are one step away.
     fn steps(&self, now: Instant) -> Vec<World> {
         let mut next = Vec::new();
         for caller in 0..self.callers.len() {
@@ -124,9 +121,9 @@
         for index in 0..BOXES {
             self.box_steps(index, now, &mut next);
         }
-        for index in 0..self.late.len() {
+        for index in 0..self.late_writes.len() {
             let mut world = self.clone();
-            let write = world.late.remove(index);
+            let write = world.late_writes.remove(index);
             world.store.write(&write);
             next.push(world);
         }
@@ -136,7 +133,8 @@
     fn caller_steps(&self, caller: usize, now: Instant, next: &mut Vec<World>) {
         match self.callers[caller] {
             Caller::Idle => {
-                // Callers come in order, to spare mirror images.
+                // Callers start in order, so that symmetric worlds are not explored
+                // twice.
                 if caller > 0 && self.callers[caller - 1] == Caller::Idle {
                     return;
                 }
@@ -157,18 +155,24 @@
                     next.push(world);
                 }
             }
-            Caller::Ran { owner, told: false } => {
+            Caller::Ran {
+                owner,
+                reported: false,
+            } => {
                 for outcome in [OperationOutcome::Ran, OperationOutcome::Unknown] {
                     let mut world = self.clone();
-                    world.callers[caller] = Caller::Ran { owner, told: true };
+                    world.callers[caller] = Caller::Ran {
+                        owner,
+                        reported: true,
+                    };
                     let operation = OperationId(7);
                     let nonce = caller as u64;
-                    let note = OutcomeReport {
+                    let report = OutcomeReport {
                         operation,
                         nonce,
                         outcome,
                     };
-                    world.logs[owner].record_outcome(&note);
+                    world.logs[owner].record_outcome(&report);
                     next.push(world);
                 }
             }
@@ -189,7 +193,7 @@
             return;
         };
         if waiting.reply.is_none() {
-            // The store hears the command.
+            // The store receives the command.
             let mut world = self.clone();
             let reply = world.store.apply(&waiting.command);
             world.waiting[index] = Some(Waiting {
@@ -205,7 +209,7 @@
             next.push(world);
         }
         if self.faults_left > 0 {
-            // The request, or its reply, is lost; a lost write may come late.
+            // The request or its reply is lost; a lost write may still take effect later.
             let mut world = self.clone();
             world.faults_left -= 1;
             let lost = world.waiting[index].take();
@@ -214,7 +218,7 @@
                 reply: None,
             }) = lost
             {
-                world.late.push(write);
+                world.late_writes.push(write);
             }
             world.lose(index, &waiting.command);
             next.push(world);
@@ -223,7 +227,7 @@
 
     fn deliver(&mut self, index: usize, reply: Reply, now: Instant) {
         let log = &mut self.logs[index];
-        let verdicts = match reply {
+        let results = match reply {
             Reply::Took(revision) => {
                 log.ownership_acquired(revision);
                 Vec::new()
@@ -236,13 +240,13 @@
             Reply::Refused => log.ownership_lost(),
             Reply::Deleted => Vec::new(),
         };
-        for verdict in verdicts {
-            self.answer(verdict.ticket as usize, verdict.reply);
+        for result in results {
+            self.answer(result.ticket as usize, result.reply);
         }
     }
 
     fn lose(&mut self, index: usize, command: &LogCommand) {
-        let verdicts = match command {
+        let results = match command {
             LogCommand::TakeOwnership | LogCommand::Load => {
                 self.logs[index].open_failed()
             }
@@ -252,8 +256,8 @@
             }
             LogCommand::Delete(..) => Vec::new(),
         };
-        for verdict in verdicts {
-            self.answer(verdict.ticket as usize, verdict.reply);
+        for result in results {
+            self.answer(result.ticket as usize, result.reply);
         }
     }
 
@@ -263,16 +267,19 @@
         };
         if reply == ClaimReply::Granted {
             self.runs += 1;
-            self.callers[caller] = Caller::Ran { owner, told: false };
+            self.callers[caller] = Caller::Ran {
+                owner,
+                reported: false,
+            };
         } else {
             self.callers[caller] = Caller::Refused;
         }
     }
 }
 
-/// Walks through all worlds in breadth, up to a number; gives how many were seen and
-/// whether that was all of them.
-fn explore(faults: u32, most: usize) -> (usize, bool) {
+/// Explores worlds breadth-first until `max_worlds` have been seen. Returns how many were
+/// seen and whether these were all.
+fn explore(faults: u32, max_worlds: usize) -> (usize, bool) {
     let now = Instant::now();
     let mut seen = HashSet::new();
     let mut queue = VecDeque::from([World::new(faults)]);
@@ -284,7 +291,7 @@
                 continue;
             }
             assert!(next.runs <= 1, "the operation ran twice: {next:#?}");
-            if seen.len() >= most {
+            if seen.len() >= max_worlds {
                 return (seen.len(), false);
             }
             queue.push_back(next);
@@ -297,12 +304,12 @@
 fn no_interleaving_without_faults_runs_twice() {
     let (worlds, all) = explore(0, 2_000_000);
     println!("{worlds} worlds");
-    assert!(all, "{worlds} worlds seen, and there are more");
+    assert!(all, "only the first {worlds} worlds were explored");
     assert!(worlds > 1000);
 }
 
 #[test]
 fn no_interleaving_with_lost_messages_runs_twice() {
     let (worlds, _) = explore(2, 60_000);
-    assert!(worlds >= 60_000, "only {worlds} worlds");
+    assert!(worlds >= 60_000, "only {worlds} worlds were explored");
 }
--- a/tests/tests/quarantine/mod.rs
+++ b/tests/tests/quarantine/mod.rs
@@ -1,7 +1,6 @@
-//! A play of what boxes make of requests that end servers, in virtual time.
-//!
-//! The decisions are the real ones; boxes, hubs, links, the store and servers are as much of
-//! a model as they need: who hears what how late, and what is out where when a server ends.
+//! Simulates in virtual time how boxes handle requests that end servers. The decisions
+//! are the real code; boxes, hubs, links, the store and servers are models of message
+//! delays and of the requests in flight when a server ends.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -18,41 +17,42 @@
 
 pub type Ms = u64;
 
-/// What befalls the fleet, from `FAULT_MS` on.
+/// A fault in the fleet, from `FAULT_MS` on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A third of the boxes is killed, one after the other, and starts again.
+    /// A third of the boxes are killed, one after the other, and restart.
     BoxesRestart,
-    /// All boxes are killed at once, and start again.
+    /// All boxes are killed at once and restart.
     AllLost,
-    /// The hub of each data centre stops, and so does the one that follows it.
+    /// The hub of each data centre and the three boxes after it are killed, 1.5 s apart,
+    /// and restart.
     HubsStop,
-    /// One data centre neither hears the others nor is heard by them.
+    /// One data centre is cut off from the others.
     DataCentreAlone,
-    /// A quarter of the boxes neither hears nor reaches any other.
+    /// A quarter of the boxes are cut off from all others.
     BoxesCutOff,
-    /// What boxes tell each other is two seconds late.
+    /// Messages between boxes are two seconds late.
     LateLinks,
-    /// The store answers nobody.
+    /// The store is unavailable.
     StoreAway,
-    /// The store does what it is asked, and half of its answers are lost.
+    /// The store applies writes, but half of its replies are lost.
     StoreLosesAnswers,
-    /// A third of the servers ends at once, and comes back.
+    /// A third of the servers end at once, and again 4 s later, and restart each time.
     RackLost,
-    /// Servers end one after the other for reasons of their own.
+    /// Servers end one after the other without being ended by a request.
     ServersEnd,
-    /// A quarter of the boxes stands still for four seconds.
+    /// A quarter of the boxes are suspended for four seconds.
     Suspended,
-    /// Callers of the request that ends servers come all at once.
+    /// Requests that end servers arrive in a burst.
     Burst,
-    /// The store comes back twice from a copy of 2.5 seconds before.
+    /// The store is restored twice from a copy that is 2.5 seconds old.
     StoreRestored,
 }
 
 impl Fault {
-    /// All that can befall a fleet.
+    /// All faults except `None`.
     pub const ALL: [Self; 13] = [
         Self::BoxesRestart,
         Self::AllLost,
@@ -70,29 +70,31 @@
     ];
 }
 
-/// What a play came to.
+/// The result of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
     /// For each request that ends servers: how many it ended, and how often it was sent
-    /// once `HEARD_MS` had passed after the third, by boxes in touch and by any.
+    /// later than `UPDATE_MS` after the third, by boxes in touch and by any box.
     pub fatal: Vec<Fatal>,
-    /// Requests that end no server: how many came, and were answered whole.
+    /// Requests that end no server: how many arrived, and how many got a complete
+    /// response.
     pub well: usize,
     pub answered: usize,
-    /// Those that were refused for what had happened to them: since no try was left, since
-    /// the store could not be had, and after waiting for an outcome.
+    /// Requests that end no server and were refused: because no trial was left, because
+    /// the store was unavailable, and after waiting for an outcome.
     pub refused: Refused,
-    /// The most suspects that a box remembered, and the notes that were told.
+    /// The maximum number of suspects that a box remembered, and the number of messages.
     pub most_suspects: usize,
     pub notes: usize,
-    /// What was written to the store.
+    /// The number of writes to the store.
     pub writes: usize,
-    /// How often one request was sent late by any box, in touch or not.
+    /// The maximum number of times that one request was sent late, by boxes in touch or
+    /// not.
     pub most_sent: usize,
 }
 
 impl Outcome {
-    /// Adds another play's.
+    /// Adds the result of another simulation.
     pub fn add(&mut self, other: &Self) {
         self.well += other.well;
         self.answered += other.answered;
@@ -119,36 +121,38 @@
     pub sent: usize,
 }
 
-/// Boxes have heard of the third server by then: the users' figure for being in touch.
-pub const HEARD_MS: Ms = 3_000;
+/// Time within which a box in touch must know of the third server: a requirement of the
+/// service.
+pub const UPDATE_MS: Ms = 3_000;
 const FAULT_MS: Ms = 8_000;
 const FAULT_LASTS_MS: Ms = 7_000;
 const END_MS: Ms = 45_000;
-/// Callers of well requests stop before the end, so that all have their answers.
-const LAST_CALL_MS: Ms = 38_000;
+/// Requests stop before the end, so that all get their responses.
+const LAST_REQUEST_MS: Ms = 38_000;
 const DATA_CENTRES: usize = 3;
 const SLOTS: usize = 3;
 const QUEUE: usize = 6;
 const SERVER_BACK_MS: Ms = 3_000;
 const BOX_BACK_MS: Ms = 600;
-/// A box that starts is ready after this, with what the store holds.
+/// Time after which a box that starts is ready and knows what the store holds.
 const READY_AFTER_MS: Ms = 500;
-/// A hub that is lost is replaced after this; one that says so, much sooner.
+/// Time after which a lost hub is replaced. A hub that announces its stop is replaced
+/// much sooner.
 const HUB_LOST_MS: Ms = 1_200;
-const PATIENCE_MS: Ms = 4_000;
+const CALLER_TIMEOUT_MS: Ms = 4_000;
 const ATTEMPTS: usize = 2;
-/// After this the hub is taken for lost.
-const ANSWER_LOST_MS: Ms = 700;
+/// Time after which a request to the hub counts as failed.
+const HUB_REPLY_TIMEOUT_MS: Ms = 700;
 const HEDGE_MS: Ms = 900;
 
-/// Plays one fleet; `fatals` is how many requests end servers.
+/// Simulates one fleet; `fatals` is the number of requests that end servers.
 pub fn play(boxes: usize, fatals: usize, faults: [Fault; 2], seed: u64) -> Outcome {
-    let mut play = Play::new(boxes, fatals, faults, seed);
-    play.run();
-    play.outcome()
+    let mut simulation = Simulation::new(boxes, fatals, faults, seed);
+    simulation.run();
+    simulation.outcome()
 }
 
-struct Play {
+struct Simulation {
     rng: StdRng,
     base: Instant,
     now: Ms,
@@ -156,11 +160,11 @@
     events: BinaryHeap<Reverse<(Ms, u64, usize)>>,
     pending: HashMap<usize, Event>,
     next_event: usize,
-    boxes: Vec<PlayedBox>,
+    boxes: Vec<SimulatedBox>,
     hubs: Vec<Option<usize>>,
-    servers: Vec<PlayedServer>,
+    servers: Vec<SimulatedServer>,
     store: Store,
-    kinds: HashMap<RequestFingerprint, usize>,
+    fatal_indexes: HashMap<RequestFingerprint, usize>,
     fatal_ends: Vec<Vec<Ms>>,
     fatal_sent: Vec<Vec<(Ms, usize, bool)>>,
     requests: HashMap<u64, Request>,
@@ -168,27 +172,28 @@
     outcome: Outcome,
 }
 
-struct PlayedBox {
-    life: u32,
+struct SimulatedBox {
+    incarnation: u32,
     alive: bool,
     ready_at: Ms,
-    frozen_until: Ms,
-    /// When anything last befell it.
-    disturbed: Ms,
-    /// The newest era of the store that it has read a listing of.
+    suspended_until: Ms,
+    /// When it was last killed or restarted.
+    last_disturbed: Ms,
+    /// The newest era of the store of which it has read a snapshot.
     era: u64,
     suspects: SuspectRequests,
-    desk: QuarantineRegistry,
+    registry: QuarantineRegistry,
 }
 
-struct PlayedServer {
-    run: u64,
+struct SimulatedServer {
+    instance: u64,
     up: bool,
     running: Vec<u64>,
     queue: Vec<u64>,
 }
 
-/// What the store holds of a request: its revision, the tries, and who counted.
+/// The store's record of a request: its revision, the number of trials, and the box that
+/// recorded them.
 #[derive(Clone, Copy)]
 struct Record {
     revision: u64,
@@ -204,65 +209,65 @@
     copy: Option<(u64, BTreeMap<RequestFingerprint, Record>)>,
 }
 
-/// A try of a caller at one box.
+/// One attempt of a caller, at one box.
 #[derive(Clone)]
 struct Request {
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     at: usize,
-    life: u32,
-    limit: Ms,
-    /// Attempts that are out, with the server and its run.
-    out: Vec<(usize, u64)>,
+    incarnation: u32,
+    deadline: Ms,
+    /// Attempts in flight, by server and its instance.
+    in_flight: Vec<(usize, u64)>,
     attempts: usize,
     permit: bool,
-    /// Numbers its questions for a permit: a late answer is void.
-    question: u32,
+    /// Number of its last permit request; a reply to an earlier one is ignored.
+    permit_request: u32,
     tries_left: u32,
-    over: bool,
+    is_done: bool,
 }
 
 enum Event {
     Arrive {
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         tries_left: u32,
     },
-    /// A request asks for its permission, or is sent.
+    /// A request is sent, or asks for a permit if it is quarantined.
     Consider {
         request: u64,
     },
     Permitted {
         request: u64,
-        question: u32,
+        permit_request: u32,
         permitted: bool,
         after: Ms,
     },
-    Asked {
+    TrialRequested {
         hub: usize,
-        life: u32,
+        incarnation: u32,
         request: u64,
-        question: u32,
+        permit_request: u32,
     },
-    Counted {
+    TrialRecorded {
         hub: usize,
-        life: u32,
+        incarnation: u32,
         request: u64,
-        question: u32,
-        step: DeskStepPlayed,
+        permit_request: u32,
+        step: TrialWriteResult,
     },
     Work {
         server: usize,
-        run: u64,
+        instance: u64,
         request: u64,
     },
-    Broken {
+    Interrupted {
         request: u64,
         server: usize,
-        run: u64,
+        instance: u64,
     },
     Answered {
         request: u64,
         server: usize,
-        run: u64,
+        instance: u64,
     },
     Hedge {
         request: u64,
@@ -273,44 +278,44 @@
     ServerEnds {
         server: usize,
     },
-    Note {
+    Message {
         to: usize,
-        life: u32,
+        incarnation: u32,
         from: usize,
-        note: SuspectMessage,
+        message: SuspectMessage,
     },
     Record {
         to: usize,
-        life: u32,
-        print: RequestFingerprint,
+        incarnation: u32,
+        fingerprint: RequestFingerprint,
         era: u64,
         record: Option<Record>,
     },
     CopyStore,
     RestoreStore,
-    /// A box hears of a restore, with what the store held right after it.
+    /// A box receives the store's records as they were right after a restore.
     Restored {
         to: usize,
-        life: u32,
+        incarnation: u32,
         era: u64,
         records: Vec<(RequestFingerprint, Record)>,
     },
     BoxDown {
-        place: usize,
-        back: bool,
+        box_index: usize,
+        restarts: bool,
     },
     BoxUp {
-        place: usize,
+        box_index: usize,
     },
     NewHub {
         data_centre: usize,
     },
-    Greet {
+    SendInitialUpdates {
         one: usize,
         other: usize,
     },
-    Tidy {
-        place: usize,
+    Evict {
+        box_index: usize,
     },
     HubSilent {
         data_centre: usize,
@@ -319,28 +324,28 @@
         request: u64,
         until: Ms,
     },
-    Vouch {
-        place: usize,
-        life: u32,
-        print: RequestFingerprint,
+    PublishAnswer {
+        box_index: usize,
+        incarnation: u32,
+        fingerprint: RequestFingerprint,
     },
-    Opened {
+    QuarantineRecorded {
         hub: usize,
-        life: u32,
-        print: RequestFingerprint,
+        incarnation: u32,
+        fingerprint: RequestFingerprint,
         outcome: RecordOutcome,
     },
 }
 
 #[derive(Clone, Copy)]
-struct DeskStepPlayed {
+struct TrialWriteResult {
     outcome: RecordOutcome,
 }
 
-impl Play {
+impl Simulation {
     fn new(boxes: usize, fatals: usize, faults: [Fault; 2], seed: u64) -> Self {
         let servers = (boxes / 4).max(9);
-        let mut play = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             base: Instant::now(),
             now: 0,
@@ -348,28 +353,32 @@
             events: BinaryHeap::new(),
             pending: HashMap::new(),
             next_event: 0,
-            boxes: (0..boxes).map(|place| PlayedBox::new(place, 0)).collect(),
+            boxes: (0..boxes)
+                .map(|box_index| SimulatedBox::new(box_index, 0))
+                .collect(),
             hubs: (0..DATA_CENTRES).map(Some).collect(),
-            servers: (0..servers).map(|n| PlayedServer::new(n as u64)).collect(),
+            servers: (0..servers)
+                .map(|n| SimulatedServer::new(n as u64))
+                .collect(),
             store: Store::default(),
-            kinds: HashMap::new(),
+            fatal_indexes: HashMap::new(),
             fatal_ends: vec![Vec::new(); fatals],
             fatal_sent: vec![Vec::new(); fatals],
             requests: HashMap::new(),
             next_request: 0,
             outcome: Outcome::default(),
         };
-        // Its caller comes again at once, or now and then.
-        let pace = match seed % 2 {
+        // Callers of fatal requests repeat them quickly or slowly, depending on the seed.
+        let interval = match seed % 2 {
             0 => 50..1_100,
             _ => 1_000..5_000,
         };
-        play.schedule_callers(fatals, pace);
-        play.schedule_faults();
-        for place in 0..boxes {
-            play.after(1_000, Event::Tidy { place });
+        simulation.schedule_callers(fatals, interval);
+        simulation.schedule_faults();
+        for box_index in 0..boxes {
+            simulation.after(1_000, Event::Evict { box_index });
         }
-        play
+        simulation
     }
 
     fn run(&mut self) {
@@ -392,7 +401,7 @@
                 ..Fatal::default()
             };
             if let Some(third) = ends.get(2) {
-                let late = sent.iter().filter(|(at, ..)| *at > third + HEARD_MS);
+                let late = sent.iter().filter(|(at, ..)| *at > third + UPDATE_MS);
                 for (_, _, in_touch) in late {
                     fatal.sent += 1;
                     fatal.sent_in_touch += usize::from(*in_touch);
@@ -403,16 +412,16 @@
         self.outcome
     }
 
-    fn has(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: Fault) -> bool {
         self.faults.contains(&fault)
     }
 
-    fn lasts(&self) -> bool {
+    fn is_fault_active(&self) -> bool {
         (FAULT_MS..FAULT_MS + FAULT_LASTS_MS).contains(&self.now)
     }
 
-    fn has_now(&self, fault: Fault) -> bool {
-        self.has(fault) && self.lasts()
+    fn has_active_fault(&self, fault: Fault) -> bool {
+        self.has_fault(fault) && self.is_fault_active()
     }
 
     fn at(&self, ms: Ms) -> Instant {
@@ -431,50 +440,51 @@
         self.events.push(Reverse((at, number as u64, number)));
     }
 
-    // What happens.
+    // Events.
 
-    fn schedule_callers(&mut self, fatals: usize, pace: Range<Ms>) {
+    fn schedule_callers(&mut self, fatals: usize, interval: Range<Ms>) {
         for n in 0..fatals {
-            let print = print_of(&format!("fatal-{n}"));
-            self.kinds.insert(print, n);
+            let fingerprint = fingerprint_of(&format!("fatal-{n}"));
+            self.fatal_indexes.insert(fingerprint, n);
             let mut at = 3_000 + self.rng.random_range(0..2_000);
-            while at < LAST_CALL_MS {
+            while at < LAST_REQUEST_MS {
                 self.after(
                     at,
                     Event::Arrive {
-                        print,
+                        fingerprint,
                         tries_left: 0,
                     },
                 );
-                at += self.rng.random_range(pace.clone());
+                at += self.rng.random_range(interval.clone());
             }
-            if self.has(Fault::Burst) {
+            if self.has_fault(Fault::Burst) {
                 for _ in 0..20 {
                     let at = FAULT_MS + self.rng.random_range(0..150);
                     self.after(
                         at,
                         Event::Arrive {
-                            print,
+                            fingerprint,
                             tries_left: 0,
                         },
                     );
                 }
             }
         }
-        // Half of the slots are busy; a tenth of the requests are for a few popular pages.
+        // Half of the slots are busy; a tenth of the requests are for a few popular
+        // pages.
         let per_s = self.servers.len() * SLOTS * 3 / 2;
-        for at in 0..LAST_CALL_MS / 1_000 {
+        for at in 0..LAST_REQUEST_MS / 1_000 {
             for n in 0..per_s {
                 let ms = at * 1_000 + self.rng.random_range(0..1_000);
                 let name = match n % 10 {
                     0 => format!("popular-{}", self.rng.random_range(0..4)),
                     _ => format!("page-{at}-{n}"),
                 };
-                let print = print_of(&name);
+                let fingerprint = fingerprint_of(&name);
                 self.after(
                     ms,
                     Event::Arrive {
-                        print,
+                        fingerprint,
                         tries_left: 4,
                     },
                 );
@@ -484,121 +494,142 @@
 
     fn schedule_faults(&mut self) {
         let boxes = self.boxes.len();
-        if self.has(Fault::BoxesRestart) {
-            for (n, place) in (0..boxes).step_by(3).enumerate() {
+        if self.has_fault(Fault::BoxesRestart) {
+            for (n, box_index) in (0..boxes).step_by(3).enumerate() {
                 let at = FAULT_MS + n as Ms * FAULT_LASTS_MS * 3 / boxes as Ms;
-                self.after(at, Event::BoxDown { place, back: true });
+                self.after(
+                    at,
+                    Event::BoxDown {
+                        box_index,
+                        restarts: true,
+                    },
+                );
             }
         }
-        if self.has(Fault::AllLost) {
-            for place in 0..boxes {
-                self.after(FAULT_MS + 500, Event::BoxDown { place, back: true });
+        if self.has_fault(Fault::AllLost) {
+            for box_index in 0..boxes {
+                self.after(
+                    FAULT_MS + 500,
+                    Event::BoxDown {
+                        box_index,
+                        restarts: true,
+                    },
+                );
             }
         }
-        if self.has(Fault::HubsStop) {
+        if self.has_fault(Fault::HubsStop) {
             for n in 0..4 {
                 for data_centre in 0..DATA_CENTRES {
-                    let place = data_centre + n * DATA_CENTRES;
-                    if place < boxes {
+                    let box_index = data_centre + n * DATA_CENTRES;
+                    if box_index < boxes {
                         let at = FAULT_MS + n as Ms * 1_500;
-                        self.after(at, Event::BoxDown { place, back: true });
+                        self.after(
+                            at,
+                            Event::BoxDown {
+                                box_index,
+                                restarts: true,
+                            },
+                        );
                     }
                 }
             }
         }
-        if self.has(Fault::RackLost) {
+        if self.has_fault(Fault::RackLost) {
             for server in 0..self.servers.len() / 3 {
                 self.after(FAULT_MS, Event::ServerEnds { server });
                 self.after(FAULT_MS + 4_000, Event::ServerEnds { server });
             }
         }
-        if self.has(Fault::StoreRestored) {
+        if self.has_fault(Fault::StoreRestored) {
             for at in [FAULT_MS, FAULT_MS + 3_500] {
                 self.after(at - 2_500, Event::CopyStore);
                 self.after(at, Event::RestoreStore);
             }
         }
-        if self.has(Fault::ServersEnd) {
+        if self.has_fault(Fault::ServersEnd) {
             for n in 0..20 {
                 let server = self.rng.random_range(0..self.servers.len());
                 self.after(FAULT_MS + n * 400, Event::ServerEnds { server });
             }
         }
-        if self.has(Fault::Suspended) {
+        if self.has_fault(Fault::Suspended) {
             let wakes = FAULT_MS + 4_000;
-            for place in (1..boxes).step_by(4) {
-                self.boxes[place].frozen_until = wakes;
+            for box_index in (1..boxes).step_by(4) {
+                self.boxes[box_index].suspended_until = wakes;
             }
             for data_centre in 0..DATA_CENTRES {
                 self.after(FAULT_MS + HUB_LOST_MS, Event::HubSilent { data_centre });
             }
         }
-        let over = FAULT_MS + FAULT_LASTS_MS;
+        let faults_end = FAULT_MS + FAULT_LASTS_MS;
         for one in 0..boxes {
             for other in self.neighbours(one) {
-                self.after(over + 300, Event::Greet { one, other });
+                self.after(faults_end + 300, Event::SendInitialUpdates { one, other });
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { print, tries_left } => self.arrive(print, tries_left),
+            Event::Arrive {
+                fingerprint,
+                tries_left,
+            } => self.arrive(fingerprint, tries_left),
             Event::Consider { request } => self.consider(request),
             Event::Permitted {
                 request,
-                question,
+                permit_request,
                 permitted,
                 after,
-            } => self.permitted(request, question, permitted, after),
+            } => self.permitted(request, permit_request, permitted, after),
             Event::Wait { request, until } => self.wait(request, until),
-            Event::Asked {
+            Event::TrialRequested {
                 hub,
-                life,
+                incarnation,
                 request,
-                question,
-            } => self.asked(hub, life, request, question),
-            Event::Counted {
+                permit_request,
+            } => self.request_trial(hub, incarnation, request, permit_request),
+            Event::TrialRecorded {
                 hub,
-                life,
+                incarnation,
                 request,
-                question,
+                permit_request,
                 step,
-            } => self.counted(hub, life, request, question, step),
+            } => self.record_trial(hub, incarnation, request, permit_request, step),
             Event::Work {
                 server,
-                run,
+                instance,
                 request,
-            } => self.work(server, run, request),
-            Event::Broken {
+            } => self.work(server, instance, request),
+            Event::Interrupted {
                 request,
                 server,
-                run,
-            } => self.broken(request, server, run),
+                instance,
+            } => self.interrupted(request, server, instance),
             Event::Answered {
                 request,
                 server,
-                run,
+                instance,
             } => {
-                self.answered(request, server, run);
+                self.answered(request, server, instance);
             }
             Event::Hedge { request } => self.hedge(request),
             Event::ServerUp { server } => self.servers[server].start(),
             Event::ServerEnds { server } => self.end_server(server),
-            Event::Note {
+            Event::Message {
                 to,
-                life,
+                incarnation,
                 from,
-                note,
-            } => self.note(to, life, from, note),
+                message,
+            } => self.receive_message(to, incarnation, from, message),
             Event::Record {
                 to,
-                life,
-                print,
+                incarnation,
+                fingerprint,
                 era,
                 record,
             } => {
-                self.record(to, life, print, era, record);
+                self.record(to, incarnation, fingerprint, era, record);
             }
             Event::CopyStore => {
                 let records = self.store.records.clone();
@@ -607,28 +638,39 @@
             Event::RestoreStore => self.restore_store(),
             Event::Restored {
                 to,
-                life,
+                incarnation,
                 era,
                 records,
-            } => self.receive_restored(to, life, era, records),
-            Event::BoxDown { place, back } => self.box_down(place, back),
-            Event::BoxUp { place } => self.box_up(place),
+            } => self.receive_restored(to, incarnation, era, records),
+            Event::BoxDown {
+                box_index,
+                restarts,
+            } => self.box_down(box_index, restarts),
+            Event::BoxUp { box_index } => self.box_up(box_index),
             Event::NewHub { data_centre } => self.new_hub(data_centre),
-            Event::Greet { one, other } => self.greet(one, other),
-            Event::Tidy { place } => self.tidy(place),
-            Event::HubSilent { data_centre } => self.replace_frozen(data_centre),
-            Event::Vouch { place, life, print } => self.vouch(place, life, print),
-            Event::Opened {
+            Event::SendInitialUpdates { one, other } => {
+                self.send_initial_updates(one, other)
+            }
+            Event::Evict { box_index } => self.evict(box_index),
+            Event::HubSilent { data_centre } => self.replace_suspended_hub(data_centre),
+            Event::PublishAnswer {
+                box_index,
+                incarnation,
+                fingerprint,
+            } => self.publish_answer(box_index, incarnation, fingerprint),
+            Event::QuarantineRecorded {
                 hub,
-                life,
-                print,
+                incarnation,
+                fingerprint,
                 outcome,
             } => {
-                if self.boxes[hub].life == life {
+                if self.boxes[hub].incarnation == incarnation {
                     let now = self.instant();
-                    self.boxes[hub]
-                        .desk
-                        .quarantine_recorded(print, outcome, now);
+                    self.boxes[hub].registry.quarantine_recorded(
+                        fingerprint,
+                        outcome,
+                        now,
+                    );
                 }
             }
         }
@@ -636,105 +678,108 @@
 
     // Callers and boxes.
 
-    fn arrive(&mut self, print: RequestFingerprint, tries_left: u32) {
-        let takes: Vec<usize> = (0..self.boxes.len())
-            .filter(|place| self.takes_callers(*place))
+    fn arrive(&mut self, fingerprint: RequestFingerprint, tries_left: u32) {
+        let accepting: Vec<usize> = (0..self.boxes.len())
+            .filter(|box_index| self.accepts_callers(*box_index))
             .collect();
-        let is_well = !self.kinds.contains_key(&print);
-        if is_well && tries_left == 4 {
+        let is_harmless = !self.fatal_indexes.contains_key(&fingerprint);
+        if is_harmless && tries_left == 4 {
             self.outcome.well += 1;
         }
-        if takes.is_empty() {
+        if accepting.is_empty() {
             return;
         }
-        let at = takes[self.rng.random_range(0..takes.len())];
+        let at = accepting[self.rng.random_range(0..accepting.len())];
         let number = self.next_request;
         self.next_request += 1;
         let request = Request {
-            print,
+            fingerprint,
             at,
-            life: self.boxes[at].life,
-            limit: self.now + PATIENCE_MS,
-            out: Vec::new(),
+            incarnation: self.boxes[at].incarnation,
+            deadline: self.now + CALLER_TIMEOUT_MS,
+            in_flight: Vec::new(),
             attempts: 0,
             permit: false,
-            question: 0,
+            permit_request: 0,
             tries_left,
-            over: false,
+            is_done: false,
         };
         self.requests.insert(number, request);
         self.after(0, Event::Consider { request: number });
     }
 
-    fn takes_callers(&self, place: usize) -> bool {
-        let played = &self.boxes[place];
-        played.alive && self.now >= played.ready_at && !self.is_frozen(place)
+    fn accepts_callers(&self, box_index: usize) -> bool {
+        let simulated = &self.boxes[box_index];
+        simulated.alive && self.now >= simulated.ready_at && !self.is_suspended(box_index)
     }
 
-    fn is_frozen(&self, place: usize) -> bool {
-        self.lasts() && self.now < self.boxes[place].frozen_until
+    fn is_suspended(&self, box_index: usize) -> bool {
+        self.is_fault_active() && self.now < self.boxes[box_index].suspended_until
     }
 
-    /// The request, if its box is still the one that took it.
+    /// Returns the request if it is not done and its box has not restarted since.
     fn live(&mut self, number: u64) -> Option<Request> {
         let request = self.requests.get(&number)?.clone();
-        let same = self.boxes[request.at].life == request.life;
-        (same && !request.over).then_some(request)
+        let same = self.boxes[request.at].incarnation == request.incarnation;
+        (same && !request.is_done).then_some(request)
     }
 
     fn consider(&mut self, number: u64) {
         let Some(request) = self.live(number) else {
             return;
         };
-        if self.is_frozen(request.at) {
+        if self.is_suspended(request.at) {
             return self.after(50, Event::Consider { request: number });
         }
         let now = self.instant();
         let suspects = &self.boxes[request.at].suspects;
-        if request.permit || !suspects.is_quarantined(request.print, now) {
+        if request.permit || !suspects.is_quarantined(request.fingerprint, now) {
             return self.send(number);
         }
         if request.attempts > 0 {
             return self.fail(number, false);
         }
-        if self.now >= request.limit {
+        if self.now >= request.deadline {
             return self.fail(number, false);
         }
         if !self.has_free_slot() {
-            // A permit would be lost.
+            // A permit could not be used.
             return self.after(25, Event::Consider { request: number });
         }
-        let question = request.question + 1;
-        self.requests.get_mut(&number).expect("it lives").question = question;
-        let life = request.life;
-        self.asked(request.at, life, number, question);
+        let permit_request = request.permit_request + 1;
+        self.requests
+            .get_mut(&number)
+            .expect("the request exists")
+            .permit_request = permit_request;
+        let incarnation = request.incarnation;
+        self.request_trial(request.at, incarnation, number, permit_request);
     }
 
-    /// The store cannot be had: the hub may have it.
-    fn ask_hub(&mut self, number: u64, question: u32) {
+    /// Asks the hub for a permit, because the store is unavailable to the box.
+    fn ask_hub(&mut self, number: u64, permit_request: u32) {
         let Some(request) = self.live(number) else {
             return;
         };
         let hub = self.hub_of(request.at);
-        let life = self.boxes[hub].life;
-        // No answer: it asks again.
+        let incarnation = self.boxes[hub].incarnation;
+        // Without a reply the request asks again.
         self.after(
-            ANSWER_LOST_MS,
+            HUB_REPLY_TIMEOUT_MS,
             Event::Permitted {
                 request: number,
-                question,
+                permit_request,
                 permitted: false,
                 after: 200,
             },
         );
-        if let Some(way) = self.way(request.at, hub) {
+        if let Some(link_delay) = self.link_delay(request.at, hub) {
             self.after(
-                way,
-                Event::Asked {
+                link_delay,
+                Event::TrialRequested {
                     hub,
-                    life,
+                    incarnation,
                     request: number,
-                    question,
+                    permit_request,
                 },
             );
         }
@@ -748,37 +793,44 @@
     }
 
     fn has_free_slot(&self) -> bool {
-        let has_room = |server: &PlayedServer| server.up && server.running.len() < SLOTS;
+        let has_room =
+            |server: &SimulatedServer| server.up && server.running.len() < SLOTS;
         self.servers.iter().any(has_room)
     }
 
-    fn permitted(&mut self, number: u64, question: u32, permitted: bool, after: Ms) {
+    fn permitted(
+        &mut self,
+        number: u64,
+        permit_request: u32,
+        permitted: bool,
+        after: Ms,
+    ) {
         let Some(request) = self.live(number) else {
             return;
         };
-        if request.question != question {
+        if request.permit_request != permit_request {
             return;
         }
-        let entry = self.requests.get_mut(&number).expect("it lives");
-        entry.question += 1;
+        let entry = self.requests.get_mut(&number).expect("the request exists");
+        entry.permit_request += 1;
         entry.permit = permitted;
         if permitted {
             return self.consider(number);
         }
-        if self.now + after >= request.limit {
+        if self.now + after >= request.deadline {
             return self.refuse(number, after);
         }
         self.wait(number, self.now + after);
     }
 
-    /// Waits until the request is cleared or the time is over.
+    /// Waits until the request is cleared or the time has passed.
     fn wait(&mut self, number: u64, until: Ms) {
         let Some(request) = self.live(number) else {
             return;
         };
         let now = self.instant();
         let suspects = &self.boxes[request.at].suspects;
-        if self.now >= until || !suspects.is_quarantined(request.print, now) {
+        if self.now >= until || !suspects.is_quarantined(request.fingerprint, now) {
             return self.consider(number);
         }
         let step = (until - self.now).min(25);
@@ -791,18 +843,24 @@
         );
     }
 
-    fn asked(&mut self, hub: usize, life: u32, number: u64, question: u32) {
-        if self.boxes[hub].life != life || !self.boxes[hub].alive {
+    fn request_trial(
+        &mut self,
+        hub: usize,
+        incarnation: u32,
+        number: u64,
+        permit_request: u32,
+    ) {
+        if self.boxes[hub].incarnation != incarnation || !self.boxes[hub].alive {
             return;
         }
-        if self.is_frozen(hub) {
+        if self.is_suspended(hub) {
             return self.after(
                 50,
-                Event::Asked {
+                Event::TrialRequested {
                     hub,
-                    life,
+                    incarnation,
                     request: number,
-                    question,
+                    permit_request,
                 },
             );
         }
@@ -810,76 +868,86 @@
             return;
         };
         let now = self.instant();
-        let played = &mut self.boxes[hub];
-        if !played.suspects.is_quarantined(request.print, now) {
-            return self.tell(hub, number, question, TrialDecision::Lend);
-        }
-        match played
-            .desk
-            .request_trial(request.print, &played.suspects, now)
-        {
+        let simulated = &mut self.boxes[hub];
+        if !simulated.suspects.is_quarantined(request.fingerprint, now) {
+            return self.send_decision(hub, number, permit_request, TrialDecision::Lend);
+        }
+        match simulated.registry.request_trial(
+            request.fingerprint,
+            &simulated.suspects,
+            now,
+        ) {
             TrialDecision::Count(count) => {
-                let (outcome, took) = self.write(hub, request.print, count);
-                let step = DeskStepPlayed { outcome };
+                let (outcome, duration) = self.write(hub, request.fingerprint, count);
+                let step = TrialWriteResult { outcome };
                 self.after(
-                    took,
-                    Event::Counted {
+                    duration,
+                    Event::TrialRecorded {
                         hub,
-                        life,
+                        incarnation,
                         request: number,
-                        question,
+                        permit_request,
                         step,
                     },
                 );
             }
-            step => self.tell(hub, number, question, step),
+            step => self.send_decision(hub, number, permit_request, step),
         }
     }
 
-    fn counted(
+    fn record_trial(
         &mut self,
         hub: usize,
-        life: u32,
+        incarnation: u32,
         number: u64,
-        question: u32,
-        step: DeskStepPlayed,
+        permit_request: u32,
+        step: TrialWriteResult,
     ) {
-        if self.boxes[hub].life != life || !self.boxes[hub].alive {
+        if self.boxes[hub].incarnation != incarnation || !self.boxes[hub].alive {
             return;
         }
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let (print, now) = (request.print, self.instant());
+        let (fingerprint, now) = (request.fingerprint, self.instant());
         let is_hub = self.hub_of(hub) == hub;
-        let step = self.boxes[hub]
-            .desk
-            .trial_recorded(print, step.outcome, is_hub, now);
+        let step = self.boxes[hub].registry.trial_recorded(
+            fingerprint,
+            step.outcome,
+            is_hub,
+            now,
+        );
         if step == TrialDecision::AskHub {
-            return self.ask_hub(number, question);
+            return self.ask_hub(number, permit_request);
         }
-        self.tell(hub, number, question, step);
+        self.send_decision(hub, number, permit_request, step);
     }
 
-    fn tell(&mut self, hub: usize, number: u64, question: u32, step: TrialDecision) {
+    fn send_decision(
+        &mut self,
+        hub: usize,
+        number: u64,
+        permit_request: u32,
+        step: TrialDecision,
+    ) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let Some(way) = self.way(hub, request.at) else {
+        let Some(link_delay) = self.link_delay(hub, request.at) else {
             return;
         };
         let (permitted, after) = match step {
             TrialDecision::Lend => (true, 0),
             TrialDecision::Later(after) => (false, after.as_millis() as Ms),
             TrialDecision::Count(_) | TrialDecision::AskHub => {
-                unreachable!("it was counted")
+                unreachable!("the trial has been recorded")
             }
         };
         self.after(
-            way,
+            link_delay,
             Event::Permitted {
                 request: number,
-                question,
+                permit_request,
                 permitted,
                 after,
             },
@@ -890,11 +958,14 @@
         let Some(request) = self.live(number) else {
             return;
         };
-        if self.now >= request.limit {
+        if self.now >= request.deadline {
             return self.fail(number, false);
         }
-        let tried: HashSet<usize> =
-            request.out.iter().map(|(server, _)| *server).collect();
+        let tried: HashSet<usize> = request
+            .in_flight
+            .iter()
+            .map(|(server, _)| *server)
+            .collect();
         let up: Vec<usize> = (0..self.servers.len())
             .filter(|n| self.servers[*n].up && !tried.contains(n))
             .collect();
@@ -904,36 +975,40 @@
         let one = up[self.rng.random_range(0..up.len())];
         let other = up[self.rng.random_range(0..up.len())];
         let load = |n: usize| self.servers[n].running.len() + self.servers[n].queue.len();
-        // A permit goes where there is room.
+        // A permitted request is sent to a server with a free slot.
         let server = match request.permit {
             true => self.free_server(&up).unwrap_or(one),
             false if load(one) <= load(other) => one,
             false => other,
         };
         let is_full = load(server) >= SLOTS + QUEUE;
-        if let Some(kind) = self.kinds.get(&request.print).copied() {
+        if let Some(fatal_index) = self.fatal_indexes.get(&request.fingerprint).copied() {
             let in_touch = self.in_touch(request.at);
-            self.fatal_sent[kind].push((self.now, request.at, in_touch));
+            self.fatal_sent[fatal_index].push((self.now, request.at, in_touch));
         }
-        let run = self.servers[server].run;
-        let request = self.requests.get_mut(&number).expect("it lives");
+        let instance = self.servers[server].instance;
+        let request = self.requests.get_mut(&number).expect("the request exists");
         request.attempts += 1;
         request.permit = false;
-        request.out.push((server, run));
+        request.in_flight.push((server, instance));
         if request.attempts == 1 {
             self.after(HEDGE_MS, Event::Hedge { request: number });
         }
         if is_full {
-            // It sheds: told at once, and nothing has run.
-            self.requests.get_mut(&number).expect("it lives").out.pop();
+            // The server sheds the request at once and does not run it.
+            self.requests
+                .get_mut(&number)
+                .expect("the request exists")
+                .in_flight
+                .pop();
             return self.fail(number, true);
         }
-        let way = 1 + self.rng.random_range(0..3);
+        let link_delay = 1 + self.rng.random_range(0..3);
         self.after(
-            way,
+            link_delay,
             Event::Work {
                 server,
-                run,
+                instance,
                 request: number,
             },
         );
@@ -945,21 +1020,23 @@
         };
         let now = self.instant();
         let suspects = &self.boxes[request.at].suspects;
-        let quarantined = suspects.is_quarantined(request.print, now);
-        let may = request.out.len() == 1 && request.attempts < ATTEMPTS && !quarantined;
-        if may && !self.is_frozen(request.at) {
+        let is_quarantined = suspects.is_quarantined(request.fingerprint, now);
+        let can_hedge = request.in_flight.len() == 1
+            && request.attempts < ATTEMPTS
+            && !is_quarantined;
+        if can_hedge && !self.is_suspended(request.at) {
             self.send(number);
         }
     }
 
-    fn work(&mut self, server: usize, run: u64, number: u64) {
-        if self.servers[server].run != run || !self.servers[server].up {
+    fn work(&mut self, server: usize, instance: u64, number: u64) {
+        if self.servers[server].instance != instance || !self.servers[server].up {
             return self.after(
                 1,
-                Event::Broken {
+                Event::Interrupted {
                     request: number,
                     server,
-                    run,
+                    instance,
                 },
             );
         }
@@ -970,24 +1047,24 @@
     }
 
     fn begin(&mut self, server: usize, number: u64) {
-        let run = self.servers[server].run;
+        let instance = self.servers[server].instance;
         self.servers[server].running.push(number);
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        if let Some(kind) = self.kinds.get(&request.print).copied() {
+        if let Some(fatal_index) = self.fatal_indexes.get(&request.fingerprint).copied() {
             let ends_at = self.now + self.rng.random_range(30..110);
-            self.fatal_ends[kind].push(ends_at);
+            self.fatal_ends[fatal_index].push(ends_at);
             let wait = ends_at - self.now;
             return self.after(wait, Event::ServerEnds { server });
         }
-        let took = self.rng.random_range(100..600);
+        let duration = self.rng.random_range(100..600);
         self.after(
-            took,
+            duration,
             Event::Answered {
                 request: number,
                 server,
-                run,
+                instance,
             },
         );
     }
@@ -996,57 +1073,57 @@
         if !self.servers[server].up {
             return;
         }
-        let run = self.servers[server].run;
+        let instance = self.servers[server].instance;
         let ended = &mut self.servers[server];
         ended.up = false;
-        let out: Vec<u64> = ended
+        let interrupted_requests: Vec<u64> = ended
             .running
             .drain(..)
             .chain(ended.queue.drain(..))
             .collect();
-        for number in out {
-            let way = 1 + self.rng.random_range(0..3);
+        for number in interrupted_requests {
+            let link_delay = 1 + self.rng.random_range(0..3);
             self.after(
-                way,
-                Event::Broken {
+                link_delay,
+                Event::Interrupted {
                     request: number,
                     server,
-                    run,
+                    instance,
                 },
             );
         }
         self.after(SERVER_BACK_MS, Event::ServerUp { server });
     }
 
-    fn broken(&mut self, number: u64, server: usize, run: u64) {
+    fn interrupted(&mut self, number: u64, server: usize, instance: u64) {
         let Some(request) = self.live(number) else {
             return;
         };
-        if self.is_frozen(request.at) {
+        if self.is_suspended(request.at) {
             return self.after(
                 50,
-                Event::Broken {
+                Event::Interrupted {
                     request: number,
                     server,
-                    run,
+                    instance,
                 },
             );
         }
-        let stays = |out: &(usize, u64)| *out != (server, run);
+        let is_other = |in_flight: &(usize, u64)| *in_flight != (server, instance);
         self.requests
             .get_mut(&number)
-            .expect("it lives")
-            .out
-            .retain(stays);
-        // One trip to see that nobody listens there.
+            .expect("the request exists")
+            .in_flight
+            .retain(is_other);
+        // One round trip shows that the server no longer accepts connections.
         let updates = SuspectUpdate {
-            request: request.print,
-            seen: SuspectEvent::ServerEnded(run),
+            request: request.fingerprint,
+            seen: SuspectEvent::ServerEnded(instance),
             at: self.instant(),
         };
         self.own_updates(request.at, updates);
-        let request = self.requests.get(&number).expect("it lives");
-        if !request.out.is_empty() {
+        let request = self.requests.get(&number).expect("the request exists");
+        if !request.in_flight.is_empty() {
             return;
         }
         if request.attempts < ATTEMPTS {
@@ -1055,8 +1132,8 @@
         self.fail(number, false);
     }
 
-    fn answered(&mut self, number: u64, server: usize, run: u64) {
-        if self.servers[server].run != run || !self.servers[server].up {
+    fn answered(&mut self, number: u64, server: usize, instance: u64) {
+        if self.servers[server].instance != instance || !self.servers[server].up {
             return;
         }
         self.servers[server]
@@ -1069,12 +1146,15 @@
         let Some(request) = self.live(number) else {
             return;
         };
-        self.requests.get_mut(&number).expect("it lives").over = true;
+        self.requests
+            .get_mut(&number)
+            .expect("the request exists")
+            .is_done = true;
         let now = self.instant();
         let suspects = &mut self.boxes[request.at].suspects;
-        if suspects.record_complete_answer(request.print, now) {
+        if suspects.record_complete_answer(request.fingerprint, now) {
             let updates = SuspectUpdate {
-                request: request.print,
+                request: request.fingerprint,
                 seen: SuspectEvent::AnsweredWhole,
                 at: self.instant(),
             };
@@ -1083,19 +1163,29 @@
         self.outcome.answered += 1;
     }
 
-    /// The caller comes again after a while, if it has patience left.
+    /// Ends a request without a response; the caller repeats it later if it has tries
+    /// left.
     fn fail(&mut self, number: u64, _shed: bool) {
         let Some(request) = self.live(number) else {
             return;
         };
-        if !request.out.is_empty() {
+        if !request.in_flight.is_empty() {
             return;
         }
-        self.requests.get_mut(&number).expect("it lives").over = true;
+        self.requests
+            .get_mut(&number)
+            .expect("the request exists")
+            .is_done = true;
         if request.tries_left > 0 {
             let wait = self.rng.random_range(200..1_500);
-            let (print, tries_left) = (request.print, request.tries_left - 1);
-            self.after(wait, Event::Arrive { print, tries_left });
+            let (fingerprint, tries_left) = (request.fingerprint, request.tries_left - 1);
+            self.after(
+                wait,
+                Event::Arrive {
+                    fingerprint,
+                    tries_left,
+                },
+            );
         }
     }
 
@@ -1103,7 +1193,7 @@
         let Some(request) = self.live(number) else {
             return;
         };
-        if !self.kinds.contains_key(&request.print) {
+        if !self.fatal_indexes.contains_key(&request.fingerprint) {
             let refused = &mut self.outcome.refused;
             match after {
                 10_000.. => refused.no_try += 1,
@@ -1114,65 +1204,88 @@
         self.fail(number, false);
     }
 
-    // News.
+    // Updates between boxes.
 
-    fn own_updates(&mut self, place: usize, updates: SuspectUpdate) {
+    fn own_updates(&mut self, box_index: usize, updates: SuspectUpdate) {
         let now = self.instant();
-        if !self.boxes[place].suspects.apply_update(&updates, now) {
+        if !self.boxes[box_index].suspects.apply_update(&updates, now) {
             return;
         }
-        self.spread(place, None, &updates);
-        self.open(place, updates.request);
-        self.vouch_soon(place, updates.request);
+        self.forward_update(box_index, None, &updates);
+        self.open_quarantine(box_index, updates.request);
+        self.publish_answer_soon(box_index, updates.request);
     }
 
-    fn note(&mut self, to: usize, life: u32, from: usize, note: SuspectMessage) {
-        if self.boxes[to].life != life || !self.boxes[to].alive {
+    fn receive_message(
+        &mut self,
+        to: usize,
+        incarnation: u32,
+        from: usize,
+        message: SuspectMessage,
+    ) {
+        if self.boxes[to].incarnation != incarnation || !self.boxes[to].alive {
             return;
         }
-        if self.is_frozen(to) {
+        if self.is_suspended(to) {
             return self.after(
                 50,
-                Event::Note {
+                Event::Message {
                     to,
-                    life,
+                    incarnation,
                     from,
-                    note,
+                    message,
                 },
             );
         }
         let now = self.instant();
-        let updates = note.to_update(now);
+        let updates = message.to_update(now);
         if !self.boxes[to].suspects.apply_update(&updates, now) {
             return;
         }
-        self.spread(to, Some(from), &updates);
+        self.forward_update(to, Some(from), &updates);
         if self.hub_of(from) == to {
-            self.open(to, updates.request);
+            self.open_quarantine(to, updates.request);
         }
-        self.vouch_soon(to, updates.request);
+        self.publish_answer_soon(to, updates.request);
     }
 
-    fn vouch_soon(&mut self, place: usize, print: RequestFingerprint) {
-        let suspects = &self.boxes[place].suspects;
-        if suspects.answered_before(print, self.instant()).is_some() {
-            let life = self.boxes[place].life;
+    fn publish_answer_soon(&mut self, box_index: usize, fingerprint: RequestFingerprint) {
+        let suspects = &self.boxes[box_index].suspects;
+        if suspects
+            .answered_before(fingerprint, self.instant())
+            .is_some()
+        {
+            let incarnation = self.boxes[box_index].incarnation;
             let wait = self.rng.random_range(0..200);
-            self.after(wait, Event::Vouch { place, life, print });
+            self.after(
+                wait,
+                Event::PublishAnswer {
+                    box_index,
+                    incarnation,
+                    fingerprint,
+                },
+            );
         }
     }
 
-    fn vouch(&mut self, place: usize, life: u32, print: RequestFingerprint) {
-        if self.boxes[place].life != life || self.is_frozen(place) {
+    fn publish_answer(
+        &mut self,
+        box_index: usize,
+        incarnation: u32,
+        fingerprint: RequestFingerprint,
+    ) {
+        if self.boxes[box_index].incarnation != incarnation
+            || self.is_suspended(box_index)
+        {
             return;
         }
-        let suspects = &self.boxes[place].suspects;
-        if let Some(at) = suspects.answered_before(print, self.instant()) {
+        let suspects = &self.boxes[box_index].suspects;
+        if let Some(at) = suspects.answered_before(fingerprint, self.instant()) {
             let seen = SuspectEvent::AnsweredWhole;
             self.own_updates(
-                place,
+                box_index,
                 SuspectUpdate {
-                    request: print,
+                    request: fingerprint,
                     seen,
                     at,
                 },
@@ -1180,82 +1293,93 @@
         }
     }
 
-    fn spread(&mut self, place: usize, from: Option<usize>, updates: &SuspectUpdate) {
-        let is_own = from.is_none_or(|from| self.hub_of(from) == place);
-        for other in self.neighbours(place) {
-            let is_member = self.hub_of(other) == place;
+    fn forward_update(
+        &mut self,
+        box_index: usize,
+        from: Option<usize>,
+        updates: &SuspectUpdate,
+    ) {
+        let is_own = from.is_none_or(|from| self.hub_of(from) == box_index);
+        for other in self.neighbours(box_index) {
+            let is_member = self.hub_of(other) == box_index;
             if Some(other) != from && (is_own || is_member) {
-                self.send_note(place, other, updates);
+                self.send_message(box_index, other, updates);
             }
         }
     }
 
-    fn send_note(&mut self, from: usize, to: usize, updates: &SuspectUpdate) {
+    fn send_message(&mut self, from: usize, to: usize, updates: &SuspectUpdate) {
         self.outcome.notes += 1;
-        let note = updates.to_message(self.instant());
-        let Some(way) = self.way(from, to) else {
+        let message = updates.to_message(self.instant());
+        let Some(link_delay) = self.link_delay(from, to) else {
             return;
         };
-        // It waits for the next frame.
-        let gap = match from % DATA_CENTRES == to % DATA_CENTRES {
+        // The message waits for the next frame.
+        let frame_delay = match from % DATA_CENTRES == to % DATA_CENTRES {
             true => self.rng.random_range(5..50),
             false => self.rng.random_range(10..100),
         };
-        let life = self.boxes[to].life;
+        let incarnation = self.boxes[to].incarnation;
         self.after(
-            way + gap,
-            Event::Note {
+            link_delay + frame_delay,
+            Event::Message {
                 to,
-                life,
+                incarnation,
                 from,
-                note,
+                message,
             },
         );
     }
 
-    fn greet(&mut self, one: usize, other: usize) {
+    fn send_initial_updates(&mut self, one: usize, other: usize) {
         let now = self.instant();
         if !self.boxes[one].alive {
             return;
         }
         for updates in self.boxes[one].suspects.initial_updates(now) {
-            self.send_note(one, other, &updates);
+            self.send_message(one, other, &updates);
         }
     }
 
     fn record(
         &mut self,
         to: usize,
-        life: u32,
-        print: RequestFingerprint,
+        incarnation: u32,
+        fingerprint: RequestFingerprint,
         era: u64,
         record: Option<Record>,
     ) {
-        if self.boxes[to].life != life || !self.boxes[to].alive {
+        if self.boxes[to].incarnation != incarnation || !self.boxes[to].alive {
             return;
         }
         if era != self.boxes[to].era {
-            // Of an older era, or of one whose listing it has not had: that has it as well.
+            // The record is of an older era, or of one whose snapshot the box has not
+            // read yet. That snapshot contains the record as well.
             return;
         }
-        if self.is_frozen(to) {
+        if self.is_suspended(to) {
             return self.after(
                 50,
                 Event::Record {
                     to,
-                    life,
-                    print,
+                    incarnation,
+                    fingerprint,
                     era,
                     record,
                 },
             );
         }
-        self.learn(to, print, record);
+        self.apply_record(to, fingerprint, record);
     }
 
-    fn learn(&mut self, to: usize, print: RequestFingerprint, record: Option<Record>) {
+    fn apply_record(
+        &mut self,
+        to: usize,
+        fingerprint: RequestFingerprint,
+        record: Option<Record>,
+    ) {
         let heard = self.instant();
-        let played = &mut self.boxes[to];
+        let simulated = &mut self.boxes[to];
         match record {
             Some(record) => {
                 let known = StoredQuarantine {
@@ -1264,36 +1388,40 @@
                     counted_by: record.counted_by,
                     heard,
                 };
-                played.suspects.apply_quarantine(print, known);
+                simulated.suspects.apply_quarantine(fingerprint, known);
             }
             None => {
-                played.suspects.remove_quarantine(print);
-                played.desk.forget(print);
+                simulated.suspects.remove_quarantine(fingerprint);
+                simulated.registry.forget(fingerprint);
             }
         }
     }
 
     // The store.
 
-    fn open(&mut self, place: usize, print: RequestFingerprint) {
+    fn open_quarantine(&mut self, box_index: usize, fingerprint: RequestFingerprint) {
         let now = self.instant();
-        let is_member = self.hub_of(place) != place;
-        let played = &mut self.boxes[place];
-        if is_member || !played.suspects.is_quarantined(print, now) {
+        let is_member = self.hub_of(box_index) != box_index;
+        let simulated = &mut self.boxes[box_index];
+        if is_member || !simulated.suspects.is_quarantined(fingerprint, now) {
             return;
         }
-        let known = played.suspects.quarantine(print);
-        let life = played.life;
-        let Some(count) = played.desk.begin_quarantine(print, known.as_ref(), now) else {
+        let known = simulated.suspects.quarantine(fingerprint);
+        let incarnation = simulated.incarnation;
+        let Some(count) =
+            simulated
+                .registry
+                .begin_quarantine(fingerprint, known.as_ref(), now)
+        else {
             return;
         };
-        let (outcome, took) = self.write(place, print, count);
+        let (outcome, duration) = self.write(box_index, fingerprint, count);
         self.after(
-            took,
-            Event::Opened {
-                hub: place,
-                life,
-                print,
+            duration,
+            Event::QuarantineRecorded {
+                hub: box_index,
+                incarnation,
+                fingerprint,
                 outcome,
             },
         );
@@ -1302,22 +1430,22 @@
     fn write(
         &mut self,
         hub: usize,
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         count: wingspur_coordination::TrialRecord,
     ) -> (RecordOutcome, Ms) {
         self.outcome.writes += 1;
-        if self.has_now(Fault::StoreAway) {
+        if self.has_active_fault(Fault::StoreAway) {
             return (RecordOutcome::Unknown, 300);
         }
         if count.expected_position.era() != self.store.era {
-            // The answer to the call before it names the new era.
+            // The reply to the previous call names the new era.
             self.receive_restored_now(hub);
             return (RecordOutcome::Overtaken, 5);
         }
-        let stands = self.store.records.get(&print).copied();
+        let stored = self.store.records.get(&fingerprint).copied();
         let expected = count.expected_position.wire_revision();
-        if stands.map_or(0, |record| record.revision) != expected {
-            self.learn(hub, print, stands);
+        if stored.map_or(0, |record| record.revision) != expected {
+            self.apply_record(hub, fingerprint, stored);
             return (RecordOutcome::Overtaken, 5);
         }
         self.store.revision += 1;
@@ -1326,39 +1454,44 @@
             tries: count.tries,
             counted_by: count.counted_by,
         };
-        self.store.records.insert(print, record);
-        self.tell_all(print, Some(record));
-        if self.has_now(Fault::StoreLosesAnswers) && self.rng.random_bool(0.5) {
-            // It looks what stands there.
-            self.learn(hub, print, Some(record));
+        self.store.records.insert(fingerprint, record);
+        self.send_record_to_all(fingerprint, Some(record));
+        if self.has_active_fault(Fault::StoreLosesAnswers) && self.rng.random_bool(0.5) {
+            // The box reads the key and finds its own write.
+            self.apply_record(hub, fingerprint, Some(record));
             return (RecordOutcome::Stands, 400);
         }
-        self.learn(hub, print, Some(record));
+        self.apply_record(hub, fingerprint, Some(record));
         (RecordOutcome::Stands, 5)
     }
 
-    fn tell_all(&mut self, print: RequestFingerprint, record: Option<Record>) {
+    fn send_record_to_all(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        record: Option<Record>,
+    ) {
         for to in 0..self.boxes.len() {
             if !self.boxes[to].alive {
                 continue;
             }
             let hub = self.hub_of(to);
-            let mut late = self.rng.random_range(5..80);
+            let mut delay = self.rng.random_range(5..80);
             if hub != to {
-                late += match self.way(hub, to) {
-                    Some(way) => way + self.rng.random_range(1..60),
-                    // It reads for itself once its hub is silent for too long.
+                delay += match self.link_delay(hub, to) {
+                    Some(link_delay) => link_delay + self.rng.random_range(1..60),
+                    // The box reads the store itself once its hub has been silent for too
+                    // long.
                     None => 1_800,
                 };
             }
-            let life = self.boxes[to].life;
+            let incarnation = self.boxes[to].incarnation;
             let era = self.store.era;
             self.after(
-                late,
+                delay,
                 Event::Record {
                     to,
-                    life,
-                    print,
+                    incarnation,
+                    fingerprint,
                     era,
                     record,
                 },
@@ -1379,21 +1512,21 @@
                 continue;
             }
             let hub = self.hub_of(to);
-            // A hub's watch ends within 0.65 s, and a listing follows.
-            let mut late = self.rng.random_range(5..700);
+            // A hub's watch ends within 0.65 s, and the hub reads a snapshot then.
+            let mut delay = self.rng.random_range(5..700);
             if hub != to {
-                late += match self.way(hub, to) {
-                    Some(way) => way + self.rng.random_range(1..60),
+                delay += match self.link_delay(hub, to) {
+                    Some(link_delay) => link_delay + self.rng.random_range(1..60),
                     None => 1_800,
                 };
             }
-            let (life, era) = (self.boxes[to].life, self.store.era);
+            let (incarnation, era) = (self.boxes[to].incarnation, self.store.era);
             let records = records.clone();
             self.after(
-                late,
+                delay,
                 Event::Restored {
                     to,
-                    life,
+                    incarnation,
                     era,
                     records,
                 },
@@ -1401,135 +1534,139 @@
         }
     }
 
-    /// Lets a box list what the store holds now.
+    /// Has a box read the store's current records.
     fn receive_restored_now(&mut self, to: usize) {
-        let (life, era) = (self.boxes[to].life, self.store.era);
+        let (incarnation, era) = (self.boxes[to].incarnation, self.store.era);
         let records = self.store.records.clone().into_iter().collect();
-        self.receive_restored(to, life, era, records);
+        self.receive_restored(to, incarnation, era, records);
     }
 
     fn receive_restored(
         &mut self,
         to: usize,
-        life: u32,
+        incarnation: u32,
         era: u64,
         records: Vec<(RequestFingerprint, Record)>,
     ) {
         let heard = self.instant();
-        let played = &mut self.boxes[to];
-        if played.life != life || !played.alive || era <= played.era {
+        let simulated = &mut self.boxes[to];
+        if simulated.incarnation != incarnation
+            || !simulated.alive
+            || era <= simulated.era
+        {
             return;
         }
-        if self.is_frozen(to) {
+        if self.is_suspended(to) {
             return self.after(
                 50,
                 Event::Restored {
                     to,
-                    life,
+                    incarnation,
                     era,
                     records,
                 },
             );
         }
-        let played = &mut self.boxes[to];
-        played.era = era;
-        played.desk.note_era(era);
-        let listed = records.iter().map(|(print, record)| {
+        let simulated = &mut self.boxes[to];
+        simulated.era = era;
+        simulated.registry.note_era(era);
+        let listed = records.iter().map(|(fingerprint, record)| {
             let known = StoredQuarantine {
                 position: StorePosition::new(era, record.revision),
                 tries: record.tries,
                 counted_by: record.counted_by,
                 heard,
             };
-            (*print, known)
+            (*fingerprint, known)
         });
         let listed: Vec<_> = listed.collect();
-        let lost = played.suspects.reconcile_restored(era, &listed);
+        let lost = simulated.suspects.reconcile_restored(era, &listed);
         if self.hub_of(to) != to {
             return;
         }
-        for (print, known) in lost {
+        for (fingerprint, known) in lost {
             let count = wingspur_coordination::TrialRecord {
                 tries: known.tries,
                 counted_by: known.counted_by,
                 expected_position: known.position,
             };
-            self.write(to, print, count);
+            self.write(to, fingerprint, count);
         }
     }
 
-    fn tidy(&mut self, place: usize) {
-        self.after(1_000, Event::Tidy { place });
-        if !self.boxes[place].alive || self.is_frozen(place) {
+    fn evict(&mut self, box_index: usize) {
+        self.after(1_000, Event::Evict { box_index });
+        if !self.boxes[box_index].alive || self.is_suspended(box_index) {
             return;
         }
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        played.suspects.evict_expired(now);
-        played.desk.evict_idle(now);
-        let len = played.suspects.len();
+        let simulated = &mut self.boxes[box_index];
+        simulated.suspects.evict_expired(now);
+        simulated.registry.evict_idle(now);
+        let len = simulated.suspects.len();
         self.outcome.most_suspects = self.outcome.most_suspects.max(len);
-        let outlived = self.boxes[place].suspects.cleared_quarantines();
-        if self.hub_of(place) != place || self.has_now(Fault::StoreAway) {
+        let cleared = self.boxes[box_index].suspects.cleared_quarantines();
+        if self.hub_of(box_index) != box_index || self.has_active_fault(Fault::StoreAway)
+        {
             return;
         }
-        for (print, known) in outlived {
+        for (fingerprint, known) in cleared {
             self.outcome.writes += 1;
-            let stands = self.store.records.get(&print).copied();
+            let stored = self.store.records.get(&fingerprint).copied();
             let expected = known.position.wire_revision();
             if known.position.era() != self.store.era {
                 continue;
             }
-            if stands.map(|record| record.revision) == Some(expected) {
-                self.store.records.remove(&print);
-                self.tell_all(print, None);
-                self.learn(place, print, None);
+            if stored.map(|record| record.revision) == Some(expected) {
+                self.store.records.remove(&fingerprint);
+                self.send_record_to_all(fingerprint, None);
+                self.apply_record(box_index, fingerprint, None);
             } else {
-                self.learn(place, print, stands);
+                self.apply_record(box_index, fingerprint, stored);
             }
         }
     }
 
     // The fleet.
 
-    fn box_down(&mut self, place: usize, back: bool) {
-        let played = &mut self.boxes[place];
-        played.alive = false;
-        played.life += 1;
-        played.disturbed = self.now;
-        let data_centre = place % DATA_CENTRES;
-        if self.hubs[data_centre] == Some(place) {
+    fn box_down(&mut self, box_index: usize, restarts: bool) {
+        let simulated = &mut self.boxes[box_index];
+        simulated.alive = false;
+        simulated.incarnation += 1;
+        simulated.last_disturbed = self.now;
+        let data_centre = box_index % DATA_CENTRES;
+        if self.hubs[data_centre] == Some(box_index) {
             self.hubs[data_centre] = None;
             self.after(HUB_LOST_MS, Event::NewHub { data_centre });
         }
-        if back {
-            self.after(BOX_BACK_MS, Event::BoxUp { place });
+        if restarts {
+            self.after(BOX_BACK_MS, Event::BoxUp { box_index });
         }
     }
 
-    fn box_up(&mut self, place: usize) {
-        let life = self.boxes[place].life;
-        let mut fresh = PlayedBox::new(place, life);
-        fresh.ready_at = self.now + READY_AFTER_MS;
-        fresh.disturbed = self.now;
-        fresh.era = self.store.era;
-        fresh.desk.note_era(self.store.era);
-        self.boxes[place] = fresh;
-        // It has what the store holds before it is ready, from its hub or by itself.
+    fn box_up(&mut self, box_index: usize) {
+        let incarnation = self.boxes[box_index].incarnation;
+        let mut restarted = SimulatedBox::new(box_index, incarnation);
+        restarted.ready_at = self.now + READY_AFTER_MS;
+        restarted.last_disturbed = self.now;
+        restarted.era = self.store.era;
+        restarted.registry.note_era(self.store.era);
+        self.boxes[box_index] = restarted;
+        // Before it is ready, the box gets the store's records from its hub or the store.
         let records: Vec<_> = self.store.records.clone().into_iter().collect();
-        for (print, record) in records {
-            self.learn(place, print, Some(record));
+        for (fingerprint, record) in records {
+            self.apply_record(box_index, fingerprint, Some(record));
         }
-        let data_centre = place % DATA_CENTRES;
+        let data_centre = box_index % DATA_CENTRES;
         if self.hubs[data_centre].is_none() {
             self.after(100, Event::NewHub { data_centre });
         }
-        for other in self.neighbours(place) {
+        for other in self.neighbours(box_index) {
             self.after(
                 300,
-                Event::Greet {
+                Event::SendInitialUpdates {
                     one: other,
-                    other: place,
+                    other: box_index,
                 },
             );
         }
@@ -1539,20 +1676,20 @@
         if self.hubs[data_centre].is_some() {
             return;
         }
-        let here = (data_centre..self.boxes.len()).step_by(DATA_CENTRES);
-        let mut alive = here.filter(|place| {
-            let is_cut = self.has_now(Fault::BoxesCutOff) && place % 4 == 3;
-            self.boxes[*place].alive && !is_cut
+        let local_boxes = (data_centre..self.boxes.len()).step_by(DATA_CENTRES);
+        let mut alive = local_boxes.filter(|box_index| {
+            let is_cut = self.has_active_fault(Fault::BoxesCutOff) && box_index % 4 == 3;
+            self.boxes[*box_index].alive && !is_cut
         });
-        let Some(hub) = alive.find(|place| !self.is_frozen(*place)) else {
+        let Some(hub) = alive.find(|box_index| !self.is_suspended(*box_index)) else {
             return;
         };
         self.hubs[data_centre] = Some(hub);
         for other in self.neighbours(hub) {
-            self.after(100, Event::Greet { one: hub, other });
+            self.after(100, Event::SendInitialUpdates { one: hub, other });
             self.after(
                 100,
-                Event::Greet {
+                Event::SendInitialUpdates {
                     one: other,
                     other: hub,
                 },
@@ -1560,91 +1697,99 @@
         }
     }
 
-    fn replace_frozen(&mut self, data_centre: usize) {
-        let is_silent = self.hubs[data_centre].is_some_and(|hub| self.is_frozen(hub));
+    fn replace_suspended_hub(&mut self, data_centre: usize) {
+        let is_silent = self.hubs[data_centre].is_some_and(|hub| self.is_suspended(hub));
         if is_silent {
             self.hubs[data_centre] = None;
             self.new_hub(data_centre);
         }
     }
 
-    /// The hub that a box asks; itself where there is none, or none that it hears.
-    fn hub_of(&self, place: usize) -> usize {
+    /// Returns the hub that a box asks, or the box itself if it has no hub or cannot
+    /// reach it.
+    fn hub_of(&self, box_index: usize) -> usize {
         let is_noticed = self.now > FAULT_MS + HUB_LOST_MS;
-        let is_cut = |place: usize| place % 4 == 3;
-        if self.has_now(Fault::BoxesCutOff) && is_noticed && is_cut(place) {
-            return place;
+        let is_cut = |box_index: usize| box_index % 4 == 3;
+        if self.has_active_fault(Fault::BoxesCutOff) && is_noticed && is_cut(box_index) {
+            return box_index;
         }
-        self.hubs[place % DATA_CENTRES].unwrap_or(place)
+        self.hubs[box_index % DATA_CENTRES].unwrap_or(box_index)
     }
 
-    /// Who is linked with a box.
-    fn neighbours(&self, place: usize) -> Vec<usize> {
-        let hub = self.hub_of(place);
-        if hub != place {
+    /// Returns the boxes that are linked with a box.
+    fn neighbours(&self, box_index: usize) -> Vec<usize> {
+        let hub = self.hub_of(box_index);
+        if hub != box_index {
             return vec![hub];
         }
-        let members = (place % DATA_CENTRES..self.boxes.len()).step_by(DATA_CENTRES);
-        let members = members.filter(|other| *other != place);
-        let hubs = self.hubs.iter().flatten().filter(|other| **other != place);
+        let members = (box_index % DATA_CENTRES..self.boxes.len()).step_by(DATA_CENTRES);
+        let members = members.filter(|other| *other != box_index);
+        let hubs = self
+            .hubs
+            .iter()
+            .flatten()
+            .filter(|other| **other != box_index);
         members.chain(hubs.copied()).collect()
     }
 
-    /// How long what one box tells another is on its way; none where it does not arrive.
-    fn way(&mut self, from: usize, to: usize) -> Option<Ms> {
+    /// Returns the delay of a message between two boxes; `None` if it does not arrive.
+    fn link_delay(&mut self, from: usize, to: usize) -> Option<Ms> {
         if from == to {
             return Some(0);
         }
-        let alone = |place: usize| place % DATA_CENTRES == 1;
-        if self.has_now(Fault::DataCentreAlone) && alone(from) != alone(to) {
+        let is_isolated = |box_index: usize| box_index % DATA_CENTRES == 1;
+        if self.has_active_fault(Fault::DataCentreAlone)
+            && is_isolated(from) != is_isolated(to)
+        {
             return None;
         }
-        let cut = |place: usize| place % 4 == 3;
-        if self.has_now(Fault::BoxesCutOff) && (cut(from) || cut(to)) {
+        let is_cut = |box_index: usize| box_index % 4 == 3;
+        if self.has_active_fault(Fault::BoxesCutOff) && (is_cut(from) || is_cut(to)) {
             return None;
         }
-        let late = match self.has_now(Fault::LateLinks) {
+        let extra_delay = match self.has_active_fault(Fault::LateLinks) {
             true => 2_000,
             false => 0,
         };
-        Some(late + 1 + self.rng.random_range(0..3))
+        Some(extra_delay + 1 + self.rng.random_range(0..3))
     }
 
-    /// Whether nothing has befallen a box or the store for as long as it takes to hear.
-    fn in_touch(&self, place: usize) -> bool {
-        let since_box = self.now - self.boxes[place].disturbed;
-        let calm = |fault: Fault| {
-            let over = FAULT_MS + FAULT_LASTS_MS + HEARD_MS;
-            !self.has(fault) || self.now < FAULT_MS || self.now > over
+    /// Returns whether no fault has affected a box or the store for at least `UPDATE_MS`.
+    fn in_touch(&self, box_index: usize) -> bool {
+        let since_box = self.now - self.boxes[box_index].last_disturbed;
+        let is_undisturbed = |fault: Fault| {
+            let faults_end = FAULT_MS + FAULT_LASTS_MS + UPDATE_MS;
+            !self.has_fault(fault) || self.now < FAULT_MS || self.now > faults_end
         };
-        let is_cut = place % 4 == 3 && !calm(Fault::BoxesCutOff);
-        let frozen = place % 4 == 1 && !calm(Fault::Suspended);
-        let late = !calm(Fault::LateLinks);
-        let store = !calm(Fault::StoreAway) || !calm(Fault::StoreLosesAnswers);
-        since_box > HEARD_MS && !is_cut && !frozen && !late && !store
+        let is_cut = box_index % 4 == 3 && !is_undisturbed(Fault::BoxesCutOff);
+        let is_suspended = box_index % 4 == 1 && !is_undisturbed(Fault::Suspended);
+        let is_late = !is_undisturbed(Fault::LateLinks);
+        let store_disturbed = !is_undisturbed(Fault::StoreAway)
+            || !is_undisturbed(Fault::StoreLosesAnswers);
+        since_box > UPDATE_MS && !is_cut && !is_suspended && !is_late && !store_disturbed
     }
 }
 
-impl PlayedBox {
-    fn new(place: usize, life: u32) -> Self {
-        let name = place as u64 + (u64::from(life) << 32);
+impl SimulatedBox {
+    fn new(box_index: usize, incarnation: u32) -> Self {
+        let name = box_index as u64 + (u64::from(incarnation) << 32);
         Self {
-            life,
+            incarnation,
             alive: true,
             ready_at: 0,
-            frozen_until: 0,
-            disturbed: 0,
+            suspended_until: 0,
+            last_disturbed: 0,
             era: 0,
             suspects: SuspectRequests::default(),
-            desk: QuarantineRegistry::new(name),
+            registry: QuarantineRegistry::new(name),
         }
     }
 }
 
-impl PlayedServer {
+impl SimulatedServer {
     fn new(number: u64) -> Self {
         Self {
-            run: (number + 1) << 32,
+            instance: (number + 1) << 32,
             up: true,
             running: Vec::new(),
             queue: Vec::new(),
@@ -1652,12 +1797,12 @@
     }
 
     fn start(&mut self) {
-        self.run += 1;
+        self.instance += 1;
         self.up = true;
     }
 }
 
-fn print_of(name: &str) -> RequestFingerprint {
+fn fingerprint_of(name: &str) -> RequestFingerprint {
     RequestFingerprint::of(&RequestParts {
         method: "GET",
         host: "site.example",
