--- a/crates/wingspur-transport/src/backend.rs
+++ b/crates/wingspur-transport/src/backend.rs
@@ -1,8 +1,10 @@
-//! Connections to a backend server, none ever used out of step.
+//! Connections to a backend server, each reused only while requests and responses are in
+//! step.
 //!
-//! HTTP/1.1 by hand over a published parser: what a faulty server sends (a second answer,
-//! half of one, an answer before the request is in) must be told apart byte by byte, and an
-//! answer that belongs to another request can be skipped for the one that follows it.
+//! HTTP/1.1 is implemented here on top of the `httparse` crate. What a faulty server
+//! sends (a second response, an incomplete one, a response before the whole request was
+//! sent) must be told apart byte by byte, and a response that belongs to another request
+//! can be skipped to read the one that follows it.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -24,68 +26,70 @@
 
 use crate::SendBody;
 use crate::response_head::{
-    Framing, ParsedHead, framing_of, parse_head, rest_of, unreadable,
+    Framing, ParsedHead, framing_of, keep_alive_timeout, parse_head, unreadable,
 };
 
-/// The connections of this box to one backend server.
+/// The idle connections of this box to one backend server.
 #[derive(Debug)]
 pub struct BackendConnections {
     address: SocketAddr,
     idle: Mutex<Vec<IdleConnection>>,
     opened: AtomicUsize,
-    /// How long the last connection took to come up, in microseconds; 0 before any has.
-    took_us: AtomicU64,
+    /// How long the last connection took to be established, in microseconds; 0 before the
+    /// first one.
+    last_connect_us: AtomicU64,
 }
 
 /// A connection in use for one request.
 ///
-/// It goes back by `BackendConnections::release`, after its answer was read whole; when it is dropped
-/// instead, it closes.
+/// It is reused only if it is given to `BackendConnections::release` after its response
+/// was read completely. When it is dropped instead, it closes.
 #[derive(Debug)]
 pub struct BackendConnection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// How the body of the answer that is being read ends.
+    /// How much of the body of the current response has not been read.
     framing: Framing,
-    /// Whether another request may follow.
+    /// Whether another request may be sent after the current one.
     reusable: bool,
-    /// For how long it may rest before the server closes it.
-    rest_for: Duration,
+    /// How long it may be idle and still be reused; after that the server may close it.
+    idle_timeout: Duration,
 }
 
-/// Which connection a request may take.
+/// Which idle connections a request may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReusePolicy {
-    /// Any that has not rested too long.
+    /// Any that was idle for less than the time that its server keeps it open.
     Any,
-    /// One that has rested no longer than this.
+    /// Only one that was idle for less than this, and for which `Any` holds as well.
     IdleAtMost(Duration),
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
     /// The status.
     pub status: StatusCode,
     /// All headers, as the server sent them.
     pub headers: HeaderMap,
-    /// The body's length in bytes, where the head tells it.
+    /// The length of the body in bytes, or `None` if the head does not say it.
     pub body_bytes: Option<u64>,
 }
 
-/// Why there is no connection: nothing was sent.
+/// Why a connection could not be opened. Nothing of the request was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// Nobody answered.
+    /// The connection was not established within this time.
     #[error("no connection within {0:?}")]
     Silent(Duration),
-    /// The address refused, or cannot be reached.
+    /// The server's address refused the connection or cannot be reached, or the socket
+    /// could not be set up.
     #[error("no connection: {0}")]
     Refused(io::Error),
 }
 
 impl ConnectError {
-    /// Whether the machine answered that nobody listens at the port.
+    /// Returns whether the machine answered that no process listens at the port.
     pub fn is_connection_refused(&self) -> bool {
         match self {
             Self::Silent(_) => false,
@@ -95,23 +99,24 @@
 }
 
 impl ResponseError {
-    /// Whether the connection ended, as it does when the server's process does.
+    /// Returns whether the connection failed or ended, which also happens when the
+    /// server's process ends.
     pub fn is_connection_lost(&self) -> bool {
         matches!(self, Self::Broken(_))
     }
 }
 
-/// Why an answer is missing or of no use: the request may have run.
+/// Why a response is missing or unusable. The request may have run.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The connection failed or ended before the whole answer was in.
+    /// The connection failed or ended before the response was complete.
     #[error("the answer broke off: {0}")]
     Broken(io::Error),
-    /// The bytes are no answer in HTTP/1.1.
-    #[error("the bytes are no answer: {0}")]
+    /// The received bytes are not a usable HTTP/1.1 response; contains the reason.
+    #[error("unusable response: {0}")]
     Unreadable(String),
-    /// The caller's body broke off or was too long.
-    #[error("the request's body broke off")]
+    /// The request body from the caller ended early or was too long.
+    #[error("the request body was interrupted or too long")]
     RequestBody,
 }
 
@@ -122,18 +127,19 @@
 }
 
 impl BackendConnections {
-    /// Starts with no connections.
+    /// Creates the set without connections.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
             idle: Mutex::default(),
             opened: AtomicUsize::new(0),
-            took_us: AtomicU64::new(0),
+            last_connect_us: AtomicU64::new(0),
         }
     }
 
-    /// Takes a kept connection, or opens one within `timeout`, or within less where the last
-    /// one came up fast.
+    /// Takes an idle connection or opens a new one. Opening fails with
+    /// `ConnectError::Silent` after `timeout`, or earlier if the last connection was
+    /// established fast.
     pub async fn connect(
         &self,
         reuse: ReusePolicy,
@@ -141,15 +147,15 @@
     ) -> Result<BackendConnection, ConnectError> {
         let now = wingspur_clock::now();
         while let Some(mut connection) = self.take_idle(reuse, now) {
-            if connection.is_quiet().await {
+            if connection.has_no_input().await {
                 return Ok(connection);
             }
         }
-        self.open(timeout.min(self.patience())).await
+        self.open(timeout.min(self.connect_timeout())).await
     }
 
-    /// Whether anybody listens at the server's address now; a connection that comes up is
-    /// kept for the next request.
+    /// Checks whether the server accepts connections, by opening one within `timeout`.
+    /// The connection is kept for the next request.
     pub async fn check(&self, timeout: Duration) -> Result<(), ConnectError> {
         let connection = self.open(timeout).await?;
         self.release(connection);
@@ -157,7 +163,7 @@
     }
 
     async fn open(&self, timeout: Duration) -> Result<BackendConnection, ConnectError> {
-        let began = wingspur_clock::now();
+        let started = wingspur_clock::now();
         let connecting = async { Some(TcpStream::connect(self.address).await) };
         let expired = async {
             wingspur_clock::sleep(timeout).await;
@@ -169,55 +175,59 @@
         };
         stream.set_nodelay(true).map_err(ConnectError::Refused)?;
         let socket = SockRef::from(&stream);
-        let limited = socket.set_tcp_user_timeout(Some(unacknowledged_for()));
+        let limited = socket.set_tcp_user_timeout(Some(tcp_user_timeout()));
         limited.map_err(ConnectError::Refused)?;
-        let took_us = wingspur_clock::since(began).as_micros().max(1) as u64;
-        self.took_us.store(took_us, Ordering::Relaxed);
+        let took_us = wingspur_clock::since(started).as_micros().max(1) as u64;
+        self.last_connect_us.store(took_us, Ordering::Relaxed);
         self.opened.fetch_add(1, Ordering::Relaxed);
         Ok(BackendConnection::new(stream))
     }
 
-    /// Takes back a connection whose answer was read whole, if another may follow.
+    /// Keeps a connection for the next request if its response was read completely and it
+    /// may be reused; otherwise closes it.
     pub fn release(&self, mut connection: BackendConnection) {
-        if !connection.may_follow() {
+        if !connection.is_reusable() {
             return;
         }
-        // An idle connection holds no buffer.
+        // Releases the memory of the buffer while the connection is idle.
         connection.buffer = BytesMut::new();
         let since = wingspur_clock::now();
         let idle = IdleConnection { connection, since };
         self.idle.lock().expect("no holder panics").push(idle);
     }
 
-    /// Closes connections that have rested too long; false when none is left.
+    /// Closes connections that were idle for too long. Returns false if none is left.
     pub fn close_idle(&self, now: Instant) -> bool {
         let mut idle = self.idle.lock().expect("no holder panics");
-        idle.retain(|idle| !idle.has_rested(idle.connection.rest_for, now));
+        idle.retain(|idle| !idle.is_idle_for(idle.connection.idle_timeout, now));
         !idle.is_empty()
     }
 
-    /// Connections opened since the start.
+    /// Returns how many connections were opened since the set was created.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// How long a connection may take, by how long the last one took.
-    fn patience(&self) -> Duration {
-        match self.took_us.load(Ordering::Relaxed) {
+    /// Returns the upper bound on the time to open a connection, which depends on how
+    /// long the last one took.
+    fn connect_timeout(&self) -> Duration {
+        match self.last_connect_us.load(Ordering::Relaxed) {
             0 => Duration::MAX,
-            took => (Duration::from_micros(took) * PATIENCE_FACTOR).max(LEAST_PATIENCE),
+            last_us => (Duration::from_micros(last_us) * CONNECT_TIMEOUT_FACTOR)
+                .max(MIN_CONNECT_TIMEOUT),
         }
     }
 
-    /// The newest kept connection that may still be used.
+    /// Takes the most recently used idle connection, or returns `None` if the policy does
+    /// not allow it.
     fn take_idle(&self, reuse: ReusePolicy, now: Instant) -> Option<BackendConnection> {
         let mut idle = self.idle.lock().expect("no holder panics");
         let newest = idle.last()?;
         let limit = match reuse {
-            ReusePolicy::Any => newest.connection.rest_for,
-            ReusePolicy::IdleAtMost(limit) => limit.min(newest.connection.rest_for),
+            ReusePolicy::Any => newest.connection.idle_timeout,
+            ReusePolicy::IdleAtMost(limit) => limit.min(newest.connection.idle_timeout),
         };
-        if newest.has_rested(limit, now) {
+        if newest.is_idle_for(limit, now) {
             return None;
         }
         idle.pop().map(|idle| idle.connection)
@@ -225,7 +235,7 @@
 }
 
 impl IdleConnection {
-    fn has_rested(&self, limit: Duration, now: Instant) -> bool {
+    fn is_idle_for(&self, limit: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.since) >= limit
     }
 }
@@ -237,15 +247,15 @@
             buffer: BytesMut::new(),
             framing: Framing::Done,
             reusable: true,
-            rest_for: REST_BY_DEFAULT,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
     }
 
-    /// Sends a request and reads the head of what comes back.
+    /// Sends a request and reads the head of the response.
     ///
-    /// An answer that comes before the request is in ends the sending, and the connection
-    /// with its answer: the server may still read on, and must not take what follows for
-    /// the rest of the body.
+    /// A response that arrives before the whole request was sent ends the sending, and
+    /// the connection is not reused after it. The server may still be reading the body,
+    /// and must not take the next request for the remainder of it.
     pub async fn send_request(
         &mut self,
         head: Vec<u8>,
@@ -254,7 +264,7 @@
     ) -> Result<ResponseHead, ResponseError> {
         let writer = self.stream.clone();
         let mut sending = pin!(send(writer, head, body));
-        let (sent, answer) = {
+        let (sent, head_result) = {
             let mut reading = pin!(self.read_head(method));
             let mut sent = None;
             poll_fn(|context| {
@@ -264,22 +274,22 @@
                     if let Err(error @ ResponseError::RequestBody) = ended {
                         return Poll::Ready((Some(Ok(())), Err(error)));
                     }
-                    // A server that refuses early may close its side: its answer, not the
-                    // failed sending, tells what happened.
+                    // A server that refuses a request early may close its side. Its
+                    // response shows the cause then, not the send error.
                     sent = Some(ended);
                 }
                 reading
                     .as_mut()
                     .poll(context)
-                    .map(|answer| (sent.take(), answer))
+                    .map(|head_result| (sent.take(), head_result))
             })
             .await
         };
         self.reusable &= matches!(sent, Some(Ok(())));
-        answer
+        head_result
     }
 
-    /// Reads the head of the next answer, past interim ones.
+    /// Reads the head of the next response and skips interim (1xx) responses.
     pub async fn read_head(
         &mut self,
         method: &Method,
@@ -290,90 +300,93 @@
                 if head.status.is_informational() {
                     continue;
                 }
-                return self.take_head(head, method);
+                return self.accept_head(head, method);
             }
-            if self.buffer.len() > MOST_HEAD_BYTES {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(unreadable("its head is too long"));
             }
-            if self.fill().await? == 0 {
-                return Err(ended_early());
+            if self.read_more().await? == 0 {
+                return Err(unexpected_end());
             }
         }
     }
 
-    /// The next piece of the answer's body; none at its end.
+    /// Returns the next bytes of the response body, or `None` at its end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, ResponseError> {
         loop {
             match self.framing {
                 Framing::Done => return Ok(None),
                 Framing::Length(0) => self.framing = Framing::Done,
-                Framing::Length(left) => {
-                    let piece = self.take_piece(left).await?;
-                    self.framing = Framing::Length(left - piece.len() as u64);
-                    return Ok(Some(piece));
+                Framing::Length(remaining) => {
+                    let chunk = self.take_bytes(remaining).await?;
+                    self.framing = Framing::Length(remaining - chunk.len() as u64);
+                    return Ok(Some(chunk));
                 }
                 Framing::UntilClose => {
-                    if self.buffer.is_empty() && self.fill().await? == 0 {
+                    if self.buffer.is_empty() && self.read_more().await? == 0 {
                         self.framing = Framing::Done;
                         return Ok(None);
                     }
                     return Ok(Some(self.buffer.split().freeze()));
                 }
-                Framing::Chunked(None) => self.begin_chunk().await?,
+                Framing::Chunked(None) => self.read_chunk_header().await?,
                 Framing::Chunked(Some(0)) => {
                     self.expect_line_end().await?;
                     self.framing = Framing::Chunked(None);
                 }
-                Framing::Chunked(Some(left)) => {
-                    let piece = self.take_piece(left).await?;
-                    self.framing = Framing::Chunked(Some(left - piece.len() as u64));
-                    return Ok(Some(piece));
+                Framing::Chunked(Some(remaining)) => {
+                    let chunk = self.take_bytes(remaining).await?;
+                    self.framing = Framing::Chunked(Some(remaining - chunk.len() as u64));
+                    return Ok(Some(chunk));
                 }
             }
         }
     }
 
-    /// Reads the body to its end; none if it is longer than `limit`, with what came so far
-    /// kept for `next_piece`.
+    /// Reads the response body to its end. If it is longer than `limit` bytes, returns
+    /// the inner `Err` with what was read so far; `next_chunk` returns the remainder.
     pub async fn read_whole(
         &mut self,
         limit: usize,
     ) -> Result<Result<Bytes, Vec<Bytes>>, ResponseError> {
-        let mut pieces = Vec::new();
+        let mut chunks = Vec::new();
         let mut length = 0;
-        while let Some(piece) = self.next_chunk().await? {
-            length += piece.len();
-            pieces.push(piece);
+        while let Some(chunk) = self.next_chunk().await? {
+            length += chunk.len();
+            chunks.push(chunk);
             if length > limit {
-                return Ok(Err(pieces));
+                return Ok(Err(chunks));
             }
         }
-        Ok(Ok(join(pieces, length)))
+        Ok(Ok(join(chunks, length)))
     }
 
-    /// Whether all of the answer has been read.
+    /// Returns whether the whole response has been read.
     pub fn is_read(&self) -> bool {
         matches!(self.framing, Framing::Done | Framing::Length(0))
     }
 
-    /// Closes the connection after this answer, whatever the server says.
+    /// Prevents the reuse of the connection after this response, even if the server
+    /// allows it.
     pub fn disable_reuse(&mut self) {
         self.reusable = false;
     }
 
-    /// Whether another request may be sent: all was read, and nothing beyond.
-    fn may_follow(&self) -> bool {
+    /// Returns whether another request may be sent: the response was read completely and
+    /// no data was received after it.
+    fn is_reusable(&self) -> bool {
         self.reusable && self.is_read() && self.buffer.is_empty()
     }
 
-    /// Whether the server has sent nothing and not closed while the connection rested.
-    async fn is_quiet(&mut self) -> bool {
+    /// Returns whether the server has neither sent data nor closed the connection while
+    /// it was idle.
+    async fn has_no_input(&mut self) -> bool {
         let mut byte = [0];
         let peeked = futures_lite::future::poll_once(self.stream.peek(&mut byte)).await;
         peeked.is_none()
     }
 
-    fn take_head(
+    fn accept_head(
         &mut self,
         head: ParsedHead,
         method: &Method,
@@ -381,7 +394,7 @@
         let ParsedHead {
             status,
             headers,
-            keeps,
+            keeps_open,
         } = head;
         let bodiless = *method == Method::HEAD
             || status == StatusCode::NO_CONTENT
@@ -391,9 +404,9 @@
         } else {
             framing_of(&headers)?
         };
-        self.reusable &= keeps && self.framing != Framing::UntilClose;
-        if let Some(rest) = rest_of(&headers) {
-            self.rest_for = rest;
+        self.reusable &= keeps_open && self.framing != Framing::UntilClose;
+        if let Some(timeout) = keep_alive_timeout(&headers) {
+            self.idle_timeout = timeout;
         }
         let body_bytes = match self.framing {
             Framing::Length(length) => Some(length),
@@ -407,15 +420,15 @@
         })
     }
 
-    async fn take_piece(&mut self, most: u64) -> Result<Bytes, ResponseError> {
-        if self.buffer.is_empty() && self.fill().await? == 0 {
-            return Err(ended_early());
+    async fn take_bytes(&mut self, max_bytes: u64) -> Result<Bytes, ResponseError> {
+        if self.buffer.is_empty() && self.read_more().await? == 0 {
+            return Err(unexpected_end());
         }
-        let length = most.min(self.buffer.len() as u64) as usize;
+        let length = max_bytes.min(self.buffer.len() as u64) as usize;
         Ok(self.buffer.split_to(length).freeze())
     }
 
-    async fn begin_chunk(&mut self) -> Result<(), ResponseError> {
+    async fn read_chunk_header(&mut self) -> Result<(), ResponseError> {
         loop {
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((head, 0))) => {
@@ -430,13 +443,13 @@
                     return Ok(());
                 }
                 Ok(httparse::Status::Partial) => {}
-                Err(_) => return Err(unreadable("a chunk without a size")),
+                Err(_) => return Err(unreadable("a chunk size is invalid")),
             }
-            if self.buffer.len() > MOST_LINE_BYTES {
-                return Err(unreadable("a chunk's head is too long"));
+            if self.buffer.len() > MAX_LINE_BYTES {
+                return Err(unreadable("a chunk header is too long"));
             }
-            if self.fill().await? == 0 {
-                return Err(ended_early());
+            if self.read_more().await? == 0 {
+                return Err(unexpected_end());
             }
         }
     }
@@ -450,10 +463,10 @@
                     return Ok(());
                 }
                 Some(end) => self.buffer.advance(end + 2),
-                None if self.buffer.len() > MOST_LINE_BYTES => {
+                None if self.buffer.len() > MAX_LINE_BYTES => {
                     return Err(unreadable("a trailer is too long"));
                 }
-                None if self.fill().await? == 0 => return Err(ended_early()),
+                None if self.read_more().await? == 0 => return Err(unexpected_end()),
                 None => {}
             }
         }
@@ -461,23 +474,25 @@
 
     async fn expect_line_end(&mut self) -> Result<(), ResponseError> {
         while self.buffer.len() < 2 {
-            if self.fill().await? == 0 {
-                return Err(ended_early());
+            if self.read_more().await? == 0 {
+                return Err(unexpected_end());
             }
         }
         if &self.buffer[..2] != b"\r\n" {
-            return Err(unreadable("a chunk does not end where it should"));
+            return Err(unreadable("a chunk does not end with a line break"));
         }
         self.buffer.advance(2);
         Ok(())
     }
 
-    /// Reads more into the buffer; 0 when the server has closed.
-    async fn fill(&mut self) -> Result<usize, ResponseError> {
-        let held = self.buffer.len();
-        self.buffer.resize(held + READ_BYTES, 0);
-        let read = self.stream.read(&mut self.buffer[held..]).await;
-        self.buffer.truncate(held + *read.as_ref().unwrap_or(&0));
+    /// Reads more data into the buffer and returns the number of bytes, 0 if the server
+    /// has closed the connection.
+    async fn read_more(&mut self) -> Result<usize, ResponseError> {
+        let buffered = self.buffer.len();
+        self.buffer.resize(buffered + READ_BYTES, 0);
+        let read = self.stream.read(&mut self.buffer[buffered..]).await;
+        self.buffer
+            .truncate(buffered + *read.as_ref().unwrap_or(&0));
         read.map_err(ResponseError::Broken)
     }
 }
@@ -532,39 +547,42 @@
     Ok(())
 }
 
-fn join(mut pieces: Vec<Bytes>, length: usize) -> Bytes {
-    if pieces.len() == 1 {
-        return pieces.remove(0);
+fn join(mut chunks: Vec<Bytes>, length: usize) -> Bytes {
+    if chunks.len() == 1 {
+        return chunks.remove(0);
     }
-    let mut whole = BytesMut::with_capacity(length);
-    for piece in pieces {
-        whole.extend_from_slice(&piece);
+    let mut joined = BytesMut::with_capacity(length);
+    for chunk in chunks {
+        joined.extend_from_slice(&chunk);
     }
-    whole.freeze()
+    joined.freeze()
 }
 
-fn ended_early() -> ResponseError {
+fn unexpected_end() -> ResponseError {
     ResponseError::Broken(io::ErrorKind::UnexpectedEof.into())
 }
 
-/// For how long bytes may wait for their acknowledgement, also once the connection is closed:
-/// then the kernel gives them up. The retry budget counts on it that nothing arrives later
-/// than `RESEND_ON_WAY`; the last packet may take a moment more.
-fn unacknowledged_for() -> Duration {
-    MAX_RESEND_TRANSIT.saturating_sub(LAST_PACKET)
+/// Returns for how long sent bytes may stay unacknowledged, even after the connection was
+/// closed, before the kernel discards them. The retry budget relies on no resend arriving
+/// later than `MAX_RESEND_TRANSIT`, so the transit time of the last packet is subtracted.
+fn tcp_user_timeout() -> Duration {
+    MAX_RESEND_TRANSIT.saturating_sub(MAX_PACKET_TRANSIT)
 }
 
-/// No packet is longer on its way.
-const LAST_PACKET: Duration = Duration::from_millis(250);
-/// A connection that takes so many times as long as the last one is given up: its opening
-/// packet was lost, and would only be sent again after a second.
-const PATIENCE_FACTOR: u32 = 8;
-/// A busy server or box may take this long without any packet lost.
-const LEAST_PATIENCE: Duration = Duration::from_millis(100);
-/// Read at once from a server; more makes fewer system calls of a long answer.
+/// The longest time that a single packet is in transit.
+const MAX_PACKET_TRANSIT: Duration = Duration::from_millis(250);
+/// Opening a connection is given up after this many times the duration of the last one.
+/// Its first packet was probably lost then, and would be sent again only after 1 s.
+const CONNECT_TIMEOUT_FACTOR: u32 = 8;
+/// The lower bound on the timeout for opening a connection. A busy server or box may take
+/// this long even if no packet is lost.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// The number of bytes read from a server at once. A larger value needs fewer system
+/// calls for a long response.
 const READ_BYTES: usize = 16 << 10;
-/// The longest head of an answer.
-const MOST_HEAD_BYTES: usize = 64 << 10;
-const MOST_LINE_BYTES: usize = 8 << 10;
-/// How long a connection may rest when its server does not say.
-const REST_BY_DEFAULT: Duration = Duration::from_secs(4);
+/// The longest head of a response.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// The longest chunk header or trailer line.
+const MAX_LINE_BYTES: usize = 8 << 10;
+/// How long a connection may be idle if its server does not say how long it keeps it.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/wingspur-transport/src/body.rs
+++ b/crates/wingspur-transport/src/body.rs
@@ -1,4 +1,4 @@
-//! The request body towards a backend server.
+//! The request body that is sent to a backend server.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -6,22 +6,24 @@
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 
-/// A request body: kept whole for repeats, or streamed through.
+/// A request body, either held in memory so that it can be resent, or streamed from the
+/// caller.
 #[derive(Debug)]
 pub enum SendBody {
-    /// Held in memory; none once it was sent.
+    /// Held in memory. `None` for an empty body, or once the body was sent.
     Buffered(Option<Bytes>),
-    /// Streamed from the caller, up to a limit in bytes.
+    /// Streamed from the caller. The number is how many bytes may still follow; a longer
+    /// body fails with `BodyError::TooLong`.
     Stream(Incoming, u64),
 }
 
 impl SendBody {
-    /// A body held in memory.
+    /// Creates a body that is held in memory.
     pub fn buffered(bytes: Bytes) -> Self {
         Self::Buffered(Some(bytes))
     }
 
-    /// A second copy of a body that is held in memory; none of a streamed one.
+    /// Returns a copy of a body that is held in memory, or `None` for a streamed one.
     pub fn try_clone(&self) -> Option<Self> {
         match self {
             Self::Buffered(bytes) => Some(Self::Buffered(Option::<Bytes>::clone(bytes))),
@@ -29,7 +31,8 @@
         }
     }
 
-    /// The bytes of a body that is held in memory; none of a streamed one.
+    /// Returns the bytes of a body that is held in memory, empty once it was sent, or
+    /// `None` for a streamed one.
     pub fn buffered_bytes(&self) -> Option<&[u8]> {
         match self {
             Self::Buffered(bytes) => Some(bytes.as_deref().unwrap_or_default()),
@@ -37,27 +40,28 @@
         }
     }
 
-    /// No body.
+    /// Creates an empty body.
     pub fn empty() -> Self {
         Self::Buffered(None)
     }
 }
 
-/// Why a body broke off.
+/// Why a body ended before it was complete.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// The connection it came from failed.
-    #[error("the body broke off: {0}")]
+    /// The connection that the body came from failed.
+    #[error("the body was interrupted: {0}")]
     Broken(#[from] hyper::Error),
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[error("the body is over the limit; send less or raise `max_body_bytes`")]
     TooLong,
-    /// No byte came for too long.
-    #[error("the body stood still past the deadline")]
+    /// No more data arrived before the deadline.
+    #[error("no more body data arrived before the deadline")]
     Stalled,
 }
 
-/// Polls a body that is held whole as one that could break off.
+/// Polls a body that is held in memory, with `BodyError` as its error type so that it can
+/// be used in place of a streamed one. It never fails.
 pub fn poll_buffered(
     body: &mut Full<Bytes>,
     context: &mut Context<'_>,
@@ -78,7 +82,7 @@
             Self::Buffered(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Stream(incoming, left) => {
+            Self::Stream(incoming, remaining) => {
                 let frame = match Pin::new(incoming).poll_frame(context) {
                     Poll::Ready(Some(Ok(frame))) => frame,
                     Poll::Ready(Some(Err(error))) => {
@@ -88,10 +92,10 @@
                     Poll::Pending => return Poll::Pending,
                 };
                 let length = frame.data_ref().map_or(0, Bytes::len) as u64;
-                if length > *left {
+                if length > *remaining {
                     return Poll::Ready(Some(Err(BodyError::TooLong)));
                 }
-                *left -= length;
+                *remaining -= length;
                 Poll::Ready(Some(Ok(frame)))
             }
         }
--- a/crates/wingspur-transport/src/pool.rs
+++ b/crates/wingspur-transport/src/pool.rs
@@ -1,4 +1,5 @@
-//! Warm connections to backend servers, none ever used out of step.
+//! A pool of connections to a backend server, each reused only after its last response
+//! was read completely.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -31,31 +32,32 @@
 
 /// A connection in use for one request.
 ///
-/// It goes back to the pool only by `finish`, after the answer was read whole; when
-/// it is dropped instead, the connection closes.
+/// It returns to the pool only by `BackendPool::release`, after the response was read
+/// completely. When it is dropped instead, the connection closes.
 #[derive(Debug)]
 pub struct PooledConnection {
     sender: SendRequest<SendBody>,
 }
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendFailure {
-    /// Nothing of the request was sent; it comes back for another try.
+    /// Nothing of the request was sent. The error contains the request so that it can be
+    /// sent again.
     #[error("the request was not sent: {reason}")]
     NotSent {
-        /// The request, whole.
+        /// The complete request.
         request: Box<Request<SendBody>>,
-        /// Why.
+        /// The error of the connection.
         reason: String,
     },
-    /// Some of it may have been sent.
+    /// Some of the request may have been sent, so it may have run.
     #[error("the request may have run: {0}")]
     MaybeSent(hyper::Error),
 }
 
 impl BackendPool {
-    /// Starts with no connections.
+    /// Creates a pool without connections. Tasks of its connections run on `spawner`.
     pub fn new(address: SocketAddr, spawner: Spawner) -> Self {
         Self {
             address,
@@ -65,20 +67,21 @@
         }
     }
 
-    /// Sends a request on a warm connection, or a new one.
+    /// Sends a request on an idle connection or a new one, and returns the response with
+    /// its body unread.
     pub async fn send(
         &self,
         request: Request<SendBody>,
     ) -> Result<(Response<Incoming>, PooledConnection), SendFailure> {
         let mut request = request;
-        // A kept connection may have been closed by the server meanwhile; hyper then
-        // gives the request back unsent, and the next connection takes it.
+        // The server may have closed an idle connection in the meantime. hyper then
+        // returns the request unsent, and it is sent on the next connection.
         while let Some(sender) = self.take_idle() {
             match send_on(sender, request).await {
                 Err(SendFailure::NotSent {
                     request: unsent, ..
                 }) => request = *unsent,
-                ended => return ended,
+                result => return result,
             }
         }
         match self.connect().await {
@@ -90,24 +93,25 @@
         }
     }
 
-    /// Takes back a connection whose answer was read whole.
-    pub fn release(&self, lease: PooledConnection) {
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn release(&self, connection: PooledConnection) {
         let idle = IdleConnection {
-            sender: lease.sender,
+            sender: connection.sender,
             since: wingspur_clock::now(),
         };
         self.idle.lock().expect("no holder panics").push(idle);
     }
 
-    /// Opens connections until `count` are idle, and closes those idle for long.
+    /// Removes connections that are closed or have been idle for `MAX_IDLE`, then opens
+    /// connections until `count` are idle or one cannot be opened.
     pub async fn keep_warm(&self, count: usize, now: Instant) {
         let missing = {
             let mut idle = self.idle.lock().expect("no holder panics");
-            let fresh = |connection: &IdleConnection| {
-                now.saturating_duration_since(connection.since) < MOST_IDLE
+            let is_reusable = |connection: &IdleConnection| {
+                now.saturating_duration_since(connection.since) < MAX_IDLE
                     && !connection.sender.is_closed()
             };
-            idle.retain(fresh);
+            idle.retain(is_reusable);
             count.saturating_sub(idle.len())
         };
         for _ in 0..missing {
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Connections opened since the start.
+    /// Returns how many connections were opened since the pool was created.
     pub fn opened(&self) -> usize {
         self.opened.load(Ordering::Relaxed)
     }
@@ -150,7 +154,7 @@
         let (sender, connection) = handshake.await.map_err(|error| error.to_string())?;
         self.opened.fetch_add(1, Ordering::Relaxed);
         self.spawner.detach(async move {
-            // A failed connection shows as an error of its request.
+            // The request on a failed connection gets the error.
             let _ = connection.await;
         });
         Ok(sender)
@@ -177,4 +181,5 @@
 }
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const MOST_IDLE: Duration = Duration::from_secs(60);
+/// How long a connection may be idle before `keep_warm` closes it.
+const MAX_IDLE: Duration = Duration::from_secs(60);
--- a/crates/wingspur-transport/src/response_head.rs
+++ b/crates/wingspur-transport/src/response_head.rs
@@ -1,4 +1,4 @@
-//! Reads the heads of backend servers' answers over a published parser.
+//! Reads the heads of backend servers' responses by means of the `httparse` crate.
 
 use std::time::Duration;
 
@@ -9,32 +9,37 @@
 
 use crate::ResponseError;
 
-/// The head of an answer, as it was read.
+/// The head of a response, as parsed.
 pub struct ParsedHead {
     /// The status.
     pub status: StatusCode,
     /// All headers.
     pub headers: HeaderMap,
-    /// Whether the server keeps the connection.
-    pub keeps: bool,
+    /// Whether the server keeps the connection open after this response: it speaks
+    /// HTTP/1.1 and sent no `Connection: close`.
+    pub keeps_open: bool,
 }
 
-/// How a body ends, and how much of it is still to come.
+/// How the end of a body is recognized, and how much of it has not been read yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes are still to come.
+    /// The body has a known length; this many bytes have not been read.
     Length(u64),
-    /// Bytes left of the present chunk; none between chunks.
+    /// The body is chunked. The number is how many bytes of the current chunk have not
+    /// been read; `None` where the next chunk's header is to be read.
     Chunked(Option<u64>),
-    /// At the end of the connection.
+    /// The body ends when the server closes the connection.
     UntilClose,
-    /// All of it has been read.
+    /// The whole body has been read.
     Done,
 }
 
-/// Reads a head at the start of the bytes, with its length; none while it is not all in.
+/// Parses the head at the start of `bytes` and returns it with its length in bytes, or
+/// `None` while the head is incomplete.
+///
+/// Fails with `ResponseError::Unreadable` when the bytes are not an HTTP/1 response head.
 pub fn parse_head(bytes: &[u8]) -> Result<Option<(ParsedHead, usize)>, ResponseError> {
-    let mut space = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut space);
     let length = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
@@ -42,25 +47,29 @@
         Err(error) => return Err(unreadable(&error.to_string())),
     };
     let status = StatusCode::from_u16(parsed.code.unwrap_or_default());
-    let status = status.map_err(|_| unreadable("a status out of range"))?;
+    let status = status.map_err(|_| unreadable("the status code is out of range"))?;
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
     for header in parsed.headers.iter() {
         let name = HeaderName::from_bytes(header.name.as_bytes());
-        let name = name.map_err(|_| unreadable("a header's name"))?;
+        let name = name.map_err(|_| unreadable("a header name is invalid"))?;
         let value = HeaderValue::from_bytes(header.value);
-        let value = value.map_err(|_| unreadable("a header's value"))?;
+        let value = value.map_err(|_| unreadable("a header value is invalid"))?;
         headers.append(name, value);
     }
-    let keeps = parsed.version == Some(1) && !has_token(&headers, &CONNECTION, "close");
+    let keeps_open =
+        parsed.version == Some(1) && !has_token(&headers, &CONNECTION, "close");
     let head = ParsedHead {
         status,
         headers,
-        keeps,
+        keeps_open,
     };
     Ok(Some((head, length)))
 }
 
-/// How the body after a head ends.
+/// Returns how the end of the body after these headers is recognized.
+///
+/// Fails with `ResponseError::Unreadable` when the headers are invalid or contradict each
+/// other, so that two readers could disagree on where the body ends.
 pub fn framing_of(headers: &HeaderMap) -> Result<Framing, ResponseError> {
     let lengths = headers.get_all(CONTENT_LENGTH);
     let mut lengths = lengths
@@ -69,7 +78,9 @@
     let length: Option<Option<u64>> = lengths.next();
     if headers.contains_key(TRANSFER_ENCODING) {
         if length.is_some() || !has_token(headers, &TRANSFER_ENCODING, "chunked") {
-            return Err(unreadable("two readers could frame it differently"));
+            return Err(unreadable(
+                "`Transfer-Encoding` without `chunked`, or beside `Content-Length`",
+            ));
         }
         return Ok(Framing::Chunked(None));
     }
@@ -78,20 +89,21 @@
         Some(Some(length)) if lengths.all(|other| other == Some(length)) => {
             Ok(Framing::Length(length))
         }
-        Some(_) => Err(unreadable("its length")),
+        Some(_) => Err(unreadable("its `Content-Length` is invalid")),
     }
 }
 
-/// For how long the server says that it keeps a resting connection, with a margin.
-pub fn rest_of(headers: &HeaderMap) -> Option<Duration> {
+/// Returns for how long an idle connection may be reused, from the timeout in the
+/// server's `Keep-Alive` header less a safety margin; `None` without a readable timeout.
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| {
         let (name, value) = part.trim().split_once('=')?;
         name.eq_ignore_ascii_case("timeout")
             .then(|| value.trim().parse().ok())?
     });
-    let whole = Duration::from_secs(seconds?);
-    Some(whole.mul_f64(REST_SHARE))
+    let timeout = Duration::from_secs(seconds?);
+    Some(timeout.mul_f64(IDLE_TIME_FRACTION))
 }
 
 fn has_token(headers: &HeaderMap, name: &HeaderName, token: &str) -> bool {
@@ -103,12 +115,13 @@
     })
 }
 
-/// An answer that is none in HTTP/1.1.
+/// Returns the error for a response that is not valid HTTP/1.1.
 pub fn unreadable(reason: &str) -> ResponseError {
     ResponseError::Unreadable(reason.to_owned())
 }
 
-const MOST_HEADERS: usize = 96;
-/// Used up to this share of the time that the server gives: its clock runs ahead of ours by
-/// what the answer took to arrive.
-const REST_SHARE: f64 = 0.75;
+/// The largest number of headers in a response.
+const MAX_HEADERS: usize = 96;
+/// A connection is reused for this fraction of the server's timeout only. The server
+/// started the timeout when it sent the response, earlier than this box received it.
+const IDLE_TIME_FRACTION: f64 = 0.75;
--- a/crates/wingspur-transport/src/server_hints.rs
+++ b/crates/wingspur-transport/src/server_hints.rs
@@ -1,4 +1,4 @@
-//! Decodes what a backend server says of itself in the head of an answer.
+//! Decodes what a backend server reports about itself in the head of a response.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,18 +11,20 @@
 use crate::ResponseHead;
 
 impl ResponseHead {
-    /// What the server says of itself; `now` is the time of day, for a server that names a
-    /// date and does not tell its own.
+    /// Decodes what the server reports about itself.
+    ///
+    /// `now` is the time of day of this box. It is used only if `Retry-After` is a date
+    /// and the response has no readable `Date` header.
     pub fn hints(&self, names: &HeaderNames, now: SystemTime) -> ServerHints {
         let headers = &self.headers;
-        let is_other_run = self.status == StatusCode::MISDIRECTED_REQUEST
+        let is_wrong_instance = self.status == StatusCode::MISDIRECTED_REQUEST
             && names.expected_incarnation.is_some();
         let is_marked = names
             .not_executed
             .is_some_and(|name| headers.contains_key(name));
-        // Other statuses use it for other ends, as when a page has moved.
-        let asks_for_rest = self.status == StatusCode::SERVICE_UNAVAILABLE;
-        let rest = match asks_for_rest {
+        // With other statuses `Retry-After` has other meanings, such as for redirects.
+        let may_ask_for_backoff = self.status == StatusCode::SERVICE_UNAVAILABLE;
+        let requested_backoff = match may_ask_for_backoff {
             true => parse_backoff(values(headers, Some(RETRY_AFTER.as_str())), |text| {
                 until_date(text, headers, now)
             }),
@@ -30,25 +32,27 @@
         };
         ServerHints {
             draining: parse_draining(values(headers, names.draining)),
-            backoff: rest,
+            backoff: requested_backoff,
             limit_per_s: parse_server_limit(values(headers, names.server_limit)),
-            not_run: is_other_run || is_marked,
-            is_other_instance: is_other_run,
+            not_run: is_wrong_instance || is_marked,
+            is_other_instance: is_wrong_instance,
         }
     }
 }
 
-/// How far off a date is, by the clock of the server that named it if the answer tells that:
-/// the box's own may be off by seconds.
+/// Returns the time until a date, zero if it has passed, or `None` if `text` is not a
+/// date. It is relative to the `Date` header of the response if there is a readable one,
+/// as the clock of this box may be off by seconds, else to `now`.
 fn until_date(text: &str, headers: &HeaderMap, now: SystemTime) -> Option<Duration> {
     let date = httpdate::parse_http_date(text).ok()?;
-    let told = headers.get(DATE).and_then(|value| value.to_str().ok());
-    let told = told.and_then(|text| httpdate::parse_http_date(text).ok());
-    let from = told.unwrap_or(now);
+    let server_now = headers.get(DATE).and_then(|value| value.to_str().ok());
+    let server_now = server_now.and_then(|text| httpdate::parse_http_date(text).ok());
+    let from = server_now.unwrap_or(now);
     Some(date.duration_since(from).unwrap_or_default())
 }
 
-/// The values of a header, where there is such a header at all.
+/// Returns the values of a header; none if `name` is `None`, that is, if servers use no
+/// such header.
 fn values<'a>(
     headers: &'a HeaderMap,
     name: Option<&'static str>,
