--- a/crates/wingspur-transport/src/catalog.rs
+++ b/crates/wingspur-transport/src/catalog.rs
@@ -1,8 +1,8 @@
-//! The seam to wherever bundles, backend servers and boxes are announced.
+//! The interface to the service where bundles, backend servers and boxes are announced.
 //!
-//! A catalog is a set of calls; each way of announcing gives its own. All of them report
-//! what they find in the product's types, at positions in the store's history, and each
-//! answer names the era that it is of.
+//! A catalog is a set of calls, implemented once for each such service. All
+//! implementations return the types of this project with positions in the store's
+//! history, and each response names the store era that it belongs to.
 
 use std::fmt::{self, Debug, Formatter};
 use std::pin::Pin;
@@ -15,133 +15,139 @@
 /// The calls of a catalog.
 #[derive(Clone)]
 pub struct Catalog {
-    /// Lists all there is, as it stands now or, cheaper, as it may have stood some seconds
-    /// ago.
+    /// Reads a snapshot of the whole catalog. With `true` it is current; with `false` it
+    /// may be some seconds old, which is cheaper for the store.
     pub list: Arc<dyn Fn(bool) -> CatalogFuture<CatalogSnapshot> + Send + Sync>,
-    /// Lists the boxes alone, as they may have been announced some seconds ago.
+    /// Reads a snapshot of the boxes only, which may be some seconds old.
     pub list_boxes: Arc<dyn Fn() -> CatalogFuture<CatalogSnapshot> + Send + Sync>,
-    /// Waits for changes after a position, at most for the time given.
+    /// Waits for changes after a position, at most for the given time.
     pub watch: Arc<
         dyn Fn(StorePosition, Duration) -> CatalogFuture<CatalogChanges> + Send + Sync,
     >,
-    /// Announces this box until its lease ends, under the lease that it has or else a new
-    /// one.
+    /// Announces this box under the given lease, or under a new one if none is given. The
+    /// announcement is removed when the lease ends.
     pub announce: Arc<
         dyn Fn(BoxRecord, Option<StoreLease>) -> CatalogFuture<Announcement>
             + Send
             + Sync,
     >,
-    /// Renews a lease; false when it has ended.
+    /// Renews a lease. Returns false if the lease has ended.
     pub renew: Arc<dyn Fn(StoreLease) -> CatalogFuture<bool> + Send + Sync>,
-    /// Removes this box's announcement, unless it was written anew since; whether it was
-    /// removed.
+    /// Removes the announcement of this box if it was last written at the given position.
+    /// Returns whether it was removed.
     pub withdraw: Arc<dyn Fn(BoxId, StorePosition) -> CatalogFuture<bool> + Send + Sync>,
-    /// Writes how often a request in quarantine was let through, if what stands there was
-    /// written at the record's position; it stands for the time given.
+    /// Writes how often a quarantined request was let through, if the stored record was
+    /// last written at the position in the given one. The record expires after the given
+    /// time.
     pub record_trial: Arc<
         dyn Fn(QuarantineRecord, Duration) -> CatalogFuture<ConditionalWriteResult>
             + Send
             + Sync,
     >,
-    /// Reads what stands there of a request in quarantine now.
+    /// Reads the current quarantine record of a request; `None` if there is no readable
+    /// one.
     pub read_quarantine: Arc<
         dyn Fn(RequestFingerprint) -> CatalogFuture<Option<QuarantineRecord>>
             + Send
             + Sync,
     >,
-    /// Ends the quarantine of a request, if what stands there was written at the record's
-    /// position.
+    /// Ends the quarantine of a request by removing its record, if the stored record was
+    /// last written at the position in the given one.
     pub end_quarantine: Arc<
         dyn Fn(QuarantineRecord) -> CatalogFuture<ConditionalWriteResult> + Send + Sync,
     >,
 }
 
-/// A call of a catalog under way.
+/// A catalog call in progress.
 pub type CatalogFuture<T> = Pin<Box<dyn Future<Output = CatalogResponse<T>> + Send>>;
 
-/// What came of a call, with what the store said of its era.
+/// Outcome of a catalog call, with the era that the store reported.
 #[derive(Debug)]
 pub struct CatalogResponse<T, E = CatalogError> {
-    /// What the answer said of the era, whatever came of the call.
+    /// The store era that the response named, also when the call failed.
     pub era: ReportedEra,
-    /// What came of the call.
+    /// The result of the call, or why it failed.
     pub outcome: Result<T, E>,
 }
 
-/// What an answer of the store said of its era.
+/// The store era that a response named, or why there is none.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReportedEra {
-    /// There was no answer.
+    /// There was no response.
     NoAnswer,
-    /// It named none.
+    /// The response named no era.
     Missing,
-    /// What it named is not a whole number.
+    /// The response named an era that is not a whole number; contains its text.
     Unreadable(String),
-    /// It named this one.
+    /// The response named this era.
     Named(StoreEra),
 }
 
-/// What came of a write that depends on a position.
+/// Outcome of a write that depends on the position of the last write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConditionalWriteResult {
-    /// It was made, at this position.
+    /// The write took effect, at this position.
     Written(StorePosition),
-    /// Something else stands there, or nothing.
+    /// The record was written at another position or removed, so nothing was written.
+    /// Contains the stored record, if there is a readable one.
     Conflict(Option<QuarantineRecord>),
 }
 
-/// A lease in the store. A restored store gives its ids out again.
+/// A lease in the store. Its id is unique only within its era, as a restored store may
+/// assign the same ids again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreLease {
-    /// The era in which it was granted.
+    /// The store era in which the lease was granted.
     pub era: StoreEra,
-    /// Its id in that era.
+    /// The lease id, unique within that era.
     pub id: LeaseId,
 }
 
-/// Names a lease within an era of the store.
+/// Identifies a lease within an era of the store.
 pub type LeaseId = u64;
 
-/// How this box is announced.
+/// The announcement of this box in the catalog, as written to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Announcement {
-    /// The lease that the announcement is under.
+    /// The lease that the announcement depends on.
     pub lease: StoreLease,
-    /// Where it was written.
+    /// The position at which it was written.
     pub position: StorePosition,
 }
 
-/// Why a call of a catalog failed.
+/// Why a catalog call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CatalogError {
-    /// No answer, or a refusal: the store is away, for this box at least.
-    #[error("the store cannot be had: {0}")]
+    /// The store is unavailable to this box: it did not answer or refused the call.
+    #[error("the store is unavailable: {0}")]
     Unavailable(String),
-    /// The position to watch from, or the pages read so far, are not of the history that
-    /// the store has now.
-    #[error("the store does not have the history after this position; list anew")]
+    /// The store no longer has the history after the position to watch from, or the pages
+    /// read so far belong to another history. A new snapshot is needed.
+    #[error(
+        "the store no longer has the history after this position; read a new snapshot"
+    )]
     HistoryLost,
-    /// The answer is of an era that is over.
-    #[error("the answer is of era {answer} of the store, which is in era {known}")]
+    /// The response belongs to an era that has ended.
+    #[error("the response belongs to era {answer} of the store, which is in era {known}")]
     OlderEra {
-        /// The era of the answer.
+        /// The era of the response.
         answer: StoreEra,
         /// The newest era that is known.
         known: StoreEra,
     },
-    /// The answer names no era, though others have.
-    #[error("the answer names no era of the store, which is in era {known}")]
+    /// The response names no era although earlier ones did, or its era is unreadable.
+    #[error("the response names no era of the store, which is in era {known}")]
     NoEra {
         /// The newest era that is known.
         known: StoreEra,
     },
-    /// The answer cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response cannot be decoded.
+    #[error("the store's response cannot be decoded: {0}")]
     Unreadable(String),
 }
 
 impl<T, E> CatalogResponse<T, E> {
-    /// The same answer with another outcome, made of its own.
+    /// Converts the outcome with `outcome` and keeps the reported era.
     pub fn and_then<U, F>(
         self,
         outcome: impl FnOnce(Result<T, E>) -> Result<U, F>,
@@ -154,7 +160,8 @@
 }
 
 impl ReportedEra {
-    /// The era; a store that has never named one is in era 0.
+    /// Returns the named era, or 0 if the response named none: a store that has never
+    /// named an era is in era 0.
     pub fn era(&self) -> StoreEra {
         match self {
             Self::Named(era) => *era,
@@ -164,7 +171,7 @@
 }
 
 impl CatalogError {
-    /// Whether the store is away, for this box at least.
+    /// Returns whether the store is unavailable to this box.
     pub fn is_unavailable(&self) -> bool {
         matches!(self, Self::Unavailable(_))
     }
--- a/crates/wingspur-transport/src/fault_injection.rs
+++ b/crates/wingspur-transport/src/fault_injection.rs
@@ -1,52 +1,54 @@
-//! A seam in the store and peer clients where tests put faults, one way each.
+//! Fault injection in the store and peer clients, for tests. Each fault affects either
+//! the request or the response.
 
 use std::fmt::{self, Debug, Formatter};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What happens to one exchange on a link.
+/// Fault that is injected into one HTTP call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum InjectedFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The request is lost before it arrives.
+    /// The request is lost before it reaches the receiver.
     DropRequest,
-    /// The request arrives, and its reply is lost.
+    /// The request reaches the receiver, but its response is lost.
     DropReply,
-    /// The request waits first.
+    /// The request is sent after this delay.
     Delay(Duration),
 }
 
-/// Decides, for each exchange, which fault befalls it; none in production.
+/// Selects the fault to inject into each call. The default, as in production, injects
+/// none.
 #[derive(Clone, Default)]
 pub struct FaultInjector {
-    decide: Option<Arc<dyn Fn(SocketAddr) -> InjectedFault + Send + Sync>>,
+    select: Option<Arc<dyn Fn(SocketAddr) -> InjectedFault + Send + Sync>>,
 }
 
 impl FaultInjector {
-    /// Faults by the receiver's address.
+    /// Creates an injector that selects the fault by the address of the receiver.
     pub fn new(
-        decide: impl Fn(SocketAddr) -> InjectedFault + Send + Sync + 'static,
+        select: impl Fn(SocketAddr) -> InjectedFault + Send + Sync + 'static,
     ) -> Self {
         Self {
-            decide: Some(Arc::new(decide)),
+            select: Some(Arc::new(select)),
         }
     }
 
-    /// The fault of an exchange with `to`.
+    /// Returns the fault to inject into a call to `to`.
     pub fn fault_for(&self, to: SocketAddr) -> InjectedFault {
-        self.decide
+        self.select
             .as_ref()
-            .map_or(InjectedFault::None, |decide| decide(to))
+            .map_or(InjectedFault::None, |select| select(to))
     }
 }
 
 impl Debug for FaultInjector {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("LinkFaults")
-            .field("set", &self.decide.is_some())
+            .field("set", &self.select.is_some())
             .finish()
     }
 }
--- a/crates/wingspur-transport/src/http_client.rs
+++ b/crates/wingspur-transport/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One request and its whole reply, over connections kept for the next one.
+//! An HTTP/1.1 client that reads each response completely and reuses its connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +19,8 @@
 
 use crate::{FaultInjector, InjectedFault, Spawner, TlsIdentity};
 
-/// Exchanges small messages with the store, the box list and peers.
+/// HTTP client for small messages to the store, the box list and peers. It keeps idle
+/// connections for each address.
 #[derive(Debug)]
 pub struct HttpClient {
     connector: Connector,
@@ -30,14 +31,14 @@
     calls: AtomicU64,
 }
 
-/// Opens connections, by mutual TLS where the box has an identity.
+/// Opens connections, with mutual TLS if the box has an identity.
 #[derive(Debug, Clone)]
 pub struct Connector {
     spawner: Spawner,
     identity: Option<Arc<TlsIdentity>>,
 }
 
-/// A whole reply.
+/// A response that was read completely.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
     /// The status.
@@ -48,39 +49,42 @@
     pub body: Bytes,
 }
 
-/// What was exchanged; bytes are those of bodies, without heads.
+/// Counters of an `HttpClient` since its start. Bytes are those of bodies, without heads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HttpClientTotals {
-    /// Calls begun.
+    /// Calls started.
     pub calls: u64,
-    /// Bytes sent.
+    /// Bytes of request bodies sent, without those of streams.
     pub sent_bytes: u64,
-    /// Bytes received.
+    /// Bytes of response bodies received, without those of streams.
     pub received_bytes: u64,
 }
 
-/// Why an exchange failed.
+/// Why an HTTP call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpClientError {
-    /// No reply within the time given: the request may have taken effect.
-    #[error("no reply in time")]
+    /// No complete response within the timeout; the request may have taken effect.
+    #[error("no response within the timeout")]
     Timeout,
-    /// The connection could not be opened: nothing was sent.
+    /// The connection could not be opened, so nothing was sent.
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// The connection failed: the request may have taken effect.
-    #[error("the exchange failed: {0}")]
+    /// The connection failed; the request may have taken effect.
+    #[error("the HTTP connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// The reply is longer than allowed, or broke off.
-    #[error("the reply broke off or is over the limit")]
+    /// The response is longer than allowed, or the connection ended before its end; the
+    /// request may have taken effect. Also a request path that is not a valid URI
+    /// (nothing was sent then), and a watch that the store ended.
+    #[error("the response was interrupted or is over the limit")]
     Reply,
-    /// The receiver answered with an error status.
+    /// The response has a status that is not a success.
     #[error("status {0}")]
     Status(StatusCode),
 }
 
 impl HttpClient {
-    /// Starts with no connections.
+    /// Creates a client without connections or TLS. Tasks of its connections run on
+    /// `spawner`.
     pub fn new(spawner: Spawner, faults: FaultInjector) -> Self {
         Self {
             connector: Connector::new(spawner, None),
@@ -92,13 +96,16 @@
         }
     }
 
-    /// Exchanges by mutual TLS from now on, and with nobody else.
+    /// Sets the TLS identity. With one, all connections use mutual TLS and only receivers
+    /// with a trusted certificate are accepted; with `None`, connections are plain.
     pub fn with_identity(mut self, identity: Option<Arc<TlsIdentity>>) -> Self {
         self.connector.identity = identity;
         self
     }
 
-    /// Posts a body and returns the reply's, within `timeout`.
+    /// Sends a POST request and returns the body of the response, within `timeout`.
+    ///
+    /// Fails with `HttpClientError::Status` when the status is not a success.
     pub async fn post(
         &self,
         to: SocketAddr,
@@ -112,7 +119,9 @@
             .await
     }
 
-    /// Gets a document, within `timeout`.
+    /// Sends a GET request and returns the body of the response, within `timeout`.
+    ///
+    /// Fails with `HttpClientError::Status` when the status is not a success.
     pub async fn get(
         &self,
         to: SocketAddr,
@@ -125,36 +134,38 @@
             .await
     }
 
-    /// Gets a document that has changed since the one with the validator `known`; none
-    /// when it has not. With the document comes its own validator, if it has one.
+    /// Sends a GET request and returns the document with its `ETag`, if it has one;
+    /// `None` when the document still has the `ETag` in `known_etag`.
+    ///
+    /// Fails with `HttpClientError::Status` when the status is neither a success nor 304.
     pub async fn get_if_modified(
         &self,
         to: SocketAddr,
         path: &str,
-        known: Option<&str>,
+        known_etag: Option<&str>,
         timeout: Duration,
     ) -> Result<Option<(Bytes, Option<String>)>, HttpClientError> {
         let mut request = Request::get(path).header("host", to.to_string());
-        if let Some(known) = known {
-            request = request.header(IF_NONE_MATCH, known);
+        if let Some(known_etag) = known_etag {
+            request = request.header(IF_NONE_MATCH, known_etag);
         }
         let request = request.body(Full::new(Bytes::new()));
-        let request = request.expect("validators come from headers");
-        let (parts, body) = self.call_for_head(to, request, timeout).await?;
+        let request = request.expect("ETags come from headers");
+        let (parts, body) = self.call_with_timeout(to, request, timeout).await?;
         if parts.status == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
         if !parts.status.is_success() {
             return Err(HttpClientError::Status(parts.status));
         }
-        let validator = parts
+        let etag = parts
             .headers
             .get(ETAG)
             .and_then(|value| value.to_str().ok());
-        Ok(Some((body, validator.map(str::to_owned))))
+        Ok(Some((body, etag.map(str::to_owned))))
     }
 
-    /// Sends a request and returns the reply, whatever its status.
+    /// Sends a request and returns the response, whatever its status, within `timeout`.
     pub async fn request(
         &self,
         to: SocketAddr,
@@ -169,8 +180,8 @@
         let host = HeaderValue::from_str(&to.to_string());
         request
             .headers_mut()
-            .insert(HOST, host.expect("addresses are visible characters"));
-        let (parts, body) = self.call_for_head(to, request, timeout).await?;
+            .insert(HOST, host.expect("an address is a valid header value"));
+        let (parts, body) = self.call_with_timeout(to, request, timeout).await?;
         Ok(HttpResponse {
             status: parts.status,
             headers: parts.headers,
@@ -178,7 +189,11 @@
         })
     }
 
-    /// Opens a stream of replies, such as a watch; its connection is not reused.
+    /// Sends a POST request and returns the response with its body unread, for streams
+    /// such as a watch. `timeout` covers the time until the head of the response has
+    /// arrived; the connection is not reused.
+    ///
+    /// Fails with `HttpClientError::Status` when the status is not a success.
     pub async fn open_stream(
         &self,
         to: SocketAddr,
@@ -200,10 +215,10 @@
             }
             Ok(response)
         };
-        opening.or(expire(timeout)).await
+        opening.or(fail_after(timeout)).await
     }
 
-    /// What was exchanged since the start.
+    /// Returns the counters since the client was created.
     pub fn totals(&self) -> HttpClientTotals {
         HttpClientTotals {
             calls: self.calls.load(Ordering::Relaxed),
@@ -218,24 +233,26 @@
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<Bytes, HttpClientError> {
-        let (parts, body) = self.call_for_head(to, request, timeout).await?;
+        let (parts, body) = self.call_with_timeout(to, request, timeout).await?;
         if !parts.status.is_success() {
             return Err(HttpClientError::Status(parts.status));
         }
         Ok(body)
     }
 
-    async fn call_for_head(
+    async fn call_with_timeout(
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<(Parts, Bytes), HttpClientError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        self.call_in_time(to, request).or(expire(timeout)).await
+        self.send_and_read(to, request)
+            .or(fail_after(timeout))
+            .await
     }
 
-    async fn call_in_time(
+    async fn send_and_read(
         &self,
         to: SocketAddr,
         request: Request<Full<Bytes>>,
@@ -249,7 +266,7 @@
         self.sent_bytes.fetch_add(sent, Ordering::Relaxed);
         let response = sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
-        let body = Limited::new(body, MOST_REPLY_BYTES);
+        let body = Limited::new(body, MAX_RESPONSE_BYTES);
         let body = body
             .collect()
             .await
@@ -290,19 +307,21 @@
     fn keep_idle(&self, to: SocketAddr, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().expect("no holder panics");
         let senders = idle.entry(to).or_default();
-        if senders.len() < MOST_IDLE {
+        if senders.len() < MAX_IDLE_PER_ADDRESS {
             senders.push(sender);
         }
     }
 }
 
 impl Connector {
-    /// Opens connections; by mutual TLS, and with nobody else, where there is an identity.
+    /// Creates a connector. With an identity, all connections use mutual TLS and only
+    /// receivers with a trusted certificate are accepted; without one, they are plain.
     pub fn new(spawner: Spawner, identity: Option<Arc<TlsIdentity>>) -> Self {
         Self { spawner, identity }
     }
 
-    /// Opens a connection for requests with one kind of body.
+    /// Opens a connection for requests with bodies of type `B`. It has no timeout of its
+    /// own.
     pub async fn connect<B>(
         &self,
         to: SocketAddr,
@@ -313,7 +332,7 @@
     {
         let stream = TcpStream::connect(to).await?;
         stream.set_nodelay(true)?;
-        give_up_soon(&stream)?;
+        detect_unreachable_peer(&stream)?;
         match &self.identity {
             None => self.handshake(stream).await,
             Some(identity) => {
@@ -332,27 +351,27 @@
     {
         let io = FuturesIo::new(stream);
         let mut builder = hyper::client::conn::http1::Builder::new();
-        builder.max_buf_size(MOST_BUFFER_BYTES);
+        builder.max_buf_size(MAX_BUFFER_BYTES);
         let (sender, connection) = builder.handshake(io).await?;
         self.spawner.detach(async move {
-            // A failed connection shows as an error of its request.
+            // The request on a failed connection gets the error.
             let _ = connection.await;
         });
         Ok(sender)
     }
 }
 
-/// Lets a connection fail when the other side is cut off: without this, one that only
-/// waits to read would wait for ever.
-fn give_up_soon(stream: &TcpStream) -> std::io::Result<()> {
+/// Makes a connection fail when the other side cannot be reached any more. Without this,
+/// a connection that only waits for data would wait forever.
+fn detect_unreachable_peer(stream: &TcpStream) -> std::io::Result<()> {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&probes)?;
     #[cfg(target_os = "linux")]
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(())
 }
 
@@ -366,19 +385,22 @@
     }
 }
 
-async fn expire<T>(timeout: Duration) -> Result<T, HttpClientError> {
+async fn fail_after<T>(timeout: Duration) -> Result<T, HttpClientError> {
     wingspur_clock::sleep(timeout).await;
     Err(HttpClientError::Timeout)
 }
 
-/// What a connection buffers each way; a buffer that has grown stays as it is.
-const MOST_BUFFER_BYTES: usize = 64 << 10;
-/// Replies are at most a few values of a megabyte, in base64.
-const MOST_REPLY_BYTES: usize = 64 << 20;
-/// A silent connection is probed so often, and given up after so many probes in vain.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
-/// Bytes may stay unacknowledged for so long.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
-/// Connections kept to one receiver.
-const MOST_IDLE: usize = 4;
+/// The largest buffer of a connection in each direction. Buffers that have grown do not
+/// shrink.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+/// The largest body of a response. The largest responses are a few values of 1 MiB each,
+/// in base64.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// The time without data after which a connection is probed, and between two probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of unanswered probes after which a connection fails.
+const KEEPALIVE_PROBES: u32 = 2;
+/// How long sent bytes may stay unacknowledged before the connection fails, on Linux.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest number of idle connections kept to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 4;
--- a/crates/wingspur-transport/src/publish.rs
+++ b/crates/wingspur-transport/src/publish.rs
@@ -1,4 +1,4 @@
-//! Bundles in the store: publishing, accepting and loading them.
+//! Submits bundles to the store, accepts them and loads them.
 
 use std::collections::HashMap;
 
@@ -9,36 +9,37 @@
 
 use crate::{KeyValue, StoreClient, StoreError, WriteOutcome};
 
-/// How a submitted bundle fared.
+/// Outcome of accepting a submitted bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Published {
-    /// It is accepted.
+    /// The bundle is accepted.
     Accepted,
-    /// Another bundle of this or a greater version was accepted before.
+    /// Another bundle of the same or a greater version was accepted before; contains its
+    /// pointer.
     Superseded(BundlePointer),
 }
 
 /// Why a bundle could not be published or loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// The store failed.
+    /// A store call failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A record in the store cannot be read.
+    /// A record in the store is missing or cannot be decoded.
     #[error("the record `{key}` cannot be read: {reason}; submit the bundle first")]
     Unreadable {
-        /// The record's key.
+        /// The record's key, or the digest of a part.
         key: String,
-        /// What is wrong with it.
+        /// What is wrong with the record.
         reason: String,
     },
-    /// The signed manifest is refused.
+    /// The signed manifest is refused or cannot be decoded.
     #[error(transparent)]
     Signing(#[from] SigningError),
 }
 
-/// Writes a signed bundle's parts and manifest, which changes nothing on any box, and
-/// gives the manifest's digest.
+/// Writes the parts and the manifest of a signed bundle to the store and returns the
+/// digest of the manifest. Boxes do not use the bundle before it is accepted.
 pub async fn submit_bundle(
     store: &StoreClient,
     keys: &StoreKeys,
@@ -56,10 +57,10 @@
     Ok(digest)
 }
 
-/// Moves the pointer to a submitted bundle: this is its acceptance.
+/// Accepts a submitted bundle by moving the bundle pointer to it.
 ///
-/// A lost reply is settled by reading the pointer back, so the answer is true
-/// whenever there is one.
+/// When the store's response is lost, the pointer is read again to find out whether the
+/// write took effect, so a returned outcome is always correct.
 pub async fn accept_bundle(
     store: &StoreClient,
     keys: &StoreKeys,
@@ -80,7 +81,8 @@
     move_pointer(store, keys, &pointer).await
 }
 
-/// Reads the bundle pointer, with the revision of its last move.
+/// Reads the bundle pointer and the store revision of its last write; `None` if no bundle
+/// was ever accepted.
 pub async fn load_pointer(
     store: &StoreClient,
     keys: &StoreKeys,
@@ -93,7 +95,9 @@
     Ok(Some((pointer, pair.mod_revision)))
 }
 
-/// Loads the bundle behind a pointer; parts in `known` are not read again.
+/// Loads the bundle that a pointer refers to: its signed manifest and the bytes of its
+/// parts by digest. Parts in `known` (bytes by digest) are not read from the store again.
+/// The signature is not verified here.
 pub async fn load_bundle(
     store: &StoreClient,
     keys: &StoreKeys,
@@ -116,7 +120,7 @@
     Ok((signed, parts))
 }
 
-/// Puts a bundle together from its manifest and its parts' bytes.
+/// Builds a bundle from its manifest and the bytes of its parts by digest.
 pub fn assemble_bundle(
     manifest: &Manifest,
     parts: &HashMap<String, Vec<u8>>,
@@ -139,13 +143,13 @@
     pointer: &BundlePointer,
 ) -> Result<Published, PublishError> {
     let value = serde_json::to_vec(pointer).expect("a pointer serialises");
-    let mut lost_replies = 0;
+    let mut unanswered = 0;
     loop {
-        let present = load_pointer(store, keys).await?;
-        let revision = match present {
-            Some((present, _)) if present == *pointer => return Ok(Published::Accepted),
-            Some((present, _)) if present.version >= pointer.version => {
-                return Ok(Published::Superseded(present));
+        let stored = load_pointer(store, keys).await?;
+        let revision = match stored {
+            Some((stored, _)) if stored == *pointer => return Ok(Published::Accepted),
+            Some((stored, _)) if stored.version >= pointer.version => {
+                return Ok(Published::Superseded(stored));
             }
             Some((_, revision)) => revision,
             None => ABSENT,
@@ -153,9 +157,9 @@
         match store.put_if(&keys.pointer(), &value, revision).await {
             Ok(WriteOutcome::Written) => return Ok(Published::Accepted),
             Ok(WriteOutcome::Refused(_)) => {}
-            // The move may have taken effect: the next read tells.
-            Err(error) if lost_replies == MOST_LOST_REPLIES => return Err(error.into()),
-            Err(_) => lost_replies += 1,
+            // The write may have taken effect; the next read shows whether it did.
+            Err(error) if unanswered == MAX_UNANSWERED => return Err(error.into()),
+            Err(_) => unanswered += 1,
         }
     }
 }
@@ -167,7 +171,8 @@
 ) -> Result<(), StoreError> {
     let digest = sha256_hex(part);
     for (piece, bytes) in part.chunks(PIECE_BYTES).enumerate() {
-        // Content-addressed: a piece that is there already is the same piece.
+        // Keys contain the digest of the part, so a piece that already exists is the
+        // same.
         store
             .put_if(&keys.part_piece(&digest, piece), bytes, ABSENT)
             .await?;
@@ -187,7 +192,7 @@
         .flat_map(|pair| pair.value)
         .collect::<Vec<u8>>();
     if sha256_hex(&bytes) != digest {
-        let reason = "its bytes do not have its digest".to_owned();
+        let reason = "its content does not match its digest".to_owned();
         return Err(PublishError::Unreadable { key, reason });
     }
     Ok(bytes)
@@ -214,8 +219,10 @@
     }
 }
 
-/// The revision that stands for a key that is not there.
+/// The expected revision of a key that does not exist.
 const ABSENT: i64 = 0;
-/// Leaves room under the store's limit of a megabyte.
+/// The size of the pieces that a part is split into, with a margin below the store's
+/// limit of 1 MiB for a value.
 const PIECE_BYTES: usize = 900 << 10;
-const MOST_LOST_REPLIES: u32 = 5;
+/// How many unanswered writes are tolerated while the pointer is moved.
+const MAX_UNANSWERED: u32 = 5;
--- a/crates/wingspur-transport/src/store.rs
+++ b/crates/wingspur-transport/src/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's key-value service, by the etcd v3 JSON gateway.
+//! A client of the platform's key-value service that uses the JSON gateway of etcd v3.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     address: SocketAddr,
-    exchange: Arc<HttpClient>,
+    http_client: Arc<HttpClient>,
     timeout: Duration,
 }
 
@@ -32,56 +32,57 @@
     pub mod_revision: i64,
 }
 
-/// What a range read found.
+/// Result of a range read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeResult {
-    /// The pairs, by key.
+    /// The pairs, ordered by key.
     pub pairs: Vec<KeyValue>,
-    /// The store's revision at the read.
+    /// The store's revision at the time of the read.
     pub revision: i64,
 }
 
-/// How a conditional write ended.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// The condition did not hold; the key's present value, if any.
+    /// The condition did not hold, so nothing was written. Contains the current pair of
+    /// the key, or `None` if the key does not exist.
     Refused(Option<KeyValue>),
 }
 
 /// Why a store call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No answer: a write may have taken effect.
-    #[error("the store did not answer: {0}")]
+    /// The store did not answer successfully; a write may have taken effect.
+    #[error("the store call failed: {0}")]
     Unanswered(#[from] HttpClientError),
-    /// The answer cannot be read.
-    #[error("the store's answer cannot be read: {0}")]
+    /// The response cannot be decoded.
+    #[error("the store's response cannot be decoded: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The value is over the store's limit.
-    #[error("a value of {0} bytes is over the store's limit of {MOST_VALUE_BYTES}")]
+    /// The value is larger than the store allows; contains its size in bytes.
+    #[error("a value of {0} bytes is over the store's limit of {MAX_VALUE_BYTES}")]
     TooLarge(usize),
 }
 
 impl StoreClient {
-    /// A client of the store at `address`; each call ends within `timeout`.
+    /// Creates a client of the store at `address`. Each call ends within `timeout`.
     pub fn new(
         address: SocketAddr,
-        exchange: Arc<HttpClient>,
+        http_client: Arc<HttpClient>,
         timeout: Duration,
     ) -> Self {
         Self {
             address,
-            exchange,
+            http_client,
             timeout,
         }
     }
 
-    /// The largest value that the store takes, in bytes.
-    pub const MOST_VALUE_BYTES: usize = MOST_VALUE_BYTES;
+    /// The largest value that the store accepts, in bytes.
+    pub const MAX_VALUE_BYTES: usize = MAX_VALUE_BYTES;
 
-    /// Reads one key.
+    /// Reads one key; `None` if it does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         let request = RangeRequest {
             key: encode(key),
@@ -90,7 +91,7 @@
         Ok(self.range(request).await?.pairs.pop())
     }
 
-    /// Reads all keys under a prefix.
+    /// Reads all keys that begin with a prefix.
     pub async fn get_prefix(&self, prefix: &str) -> Result<RangeResult, StoreError> {
         let range_end = Some(STANDARD.encode(end_of_prefix(prefix)));
         self.range(RangeRequest {
@@ -100,33 +101,40 @@
         .await
     }
 
-    /// Writes a key if its last change was at `expected` (0: if it is absent).
+    /// Writes a key if it was last written at revision `expected`; with 0, if it does not
+    /// exist.
+    ///
+    /// Fails with `StoreError::TooLarge` when the value is over the store's limit.
     pub async fn put_if(
         &self,
         key: &str,
         value: &[u8],
         expected: i64,
     ) -> Result<WriteOutcome, StoreError> {
-        self.write_when(&[(key, expected)], value).await
+        self.put_when(&[(key, expected)], value).await
     }
 
-    /// Writes an absent key, if the guard key's last change was at its revision.
+    /// Writes a key if it does not exist and the guard key was last written at the
+    /// guard's revision.
+    ///
+    /// Fails with `StoreError::TooLarge` when the value is over the store's limit.
     pub async fn put_if_guarded(
         &self,
         key: &str,
         value: &[u8],
         guard: (&str, i64),
     ) -> Result<WriteOutcome, StoreError> {
-        self.write_when(&[(key, 0), guard], value).await
+        self.put_when(&[(key, 0), guard], value).await
     }
 
-    /// Writes the first key when all keys were last changed at their revisions.
-    async fn write_when(
+    /// Writes the first key of `conditions` if each key in them was last written at the
+    /// revision beside it.
+    async fn put_when(
         &self,
         conditions: &[(&str, i64)],
         value: &[u8],
     ) -> Result<WriteOutcome, StoreError> {
-        if value.len() > MOST_VALUE_BYTES {
+        if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge(value.len()));
         }
         let key = encode(conditions[0].0);
@@ -149,13 +157,13 @@
             .responses
             .into_iter()
             .find_map(|op| op.response_range);
-        let present = range.and_then(|range| range.kvs.into_iter().next());
+        let current = range.and_then(|range| range.kvs.into_iter().next());
         Ok(WriteOutcome::Refused(
-            present.map(KeyValue::try_from).transpose()?,
+            current.map(KeyValue::try_from).transpose()?,
         ))
     }
 
-    /// Deletes the keys from `from` up to and without `to`.
+    /// Deletes the keys from `from` (inclusive) to `to` (exclusive).
     pub async fn delete_range(&self, from: &str, to: &str) -> Result<(), StoreError> {
         let request = RangeRequest {
             key: encode(from),
@@ -165,7 +173,7 @@
         Ok(())
     }
 
-    /// Watches one key from a revision on.
+    /// Watches one key, starting with the changes at `from_revision`.
     pub async fn watch(
         &self,
         key: &str,
@@ -177,7 +185,7 @@
         };
         let body = serde_json::to_vec(&WatchRequest { create_request })?;
         let opening =
-            self.exchange
+            self.http_client
                 .open_stream(self.address, "/v3/watch", body, self.timeout);
         Ok(WatchStream {
             body: opening.await?.into_body(),
@@ -200,15 +208,15 @@
         request: &impl Serialize,
     ) -> Result<T, StoreError> {
         let body = serde_json::to_vec(request)?;
-        let reply = self
-            .exchange
+        let response = self
+            .http_client
             .post(self.address, path, body, self.timeout)
             .await?;
-        Ok(serde_json::from_slice(&reply)?)
+        Ok(serde_json::from_slice(&response)?)
     }
 }
 
-/// A running watch; it ends when it is dropped.
+/// An open watch. It ends when it is dropped.
 #[derive(Debug)]
 pub struct WatchStream {
     body: Incoming,
@@ -216,17 +224,18 @@
 }
 
 impl WatchStream {
-    /// Waits for the next changes, at most `patience`; none means that nothing came.
+    /// Waits at most `timeout` for the next changes; `None` if there were none. A message
+    /// without changes gives an empty list.
     ///
-    /// An error means that the watch is lost, or that its revision was compacted
-    /// away: read the key and watch anew.
+    /// An error means that the watch was lost or that the store has compacted its
+    /// revision away. Then the key must be read again and a new watch opened.
     pub async fn next(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Option<Vec<KeyValue>>, StoreError> {
         let waiting = async { self.next_message().await.map(Some) };
         let expired = async {
-            wingspur_clock::sleep(patience).await;
+            wingspur_clock::sleep(timeout).await;
             Ok(None)
         };
         let Some(message) = waiting.or(expired).await? else {
@@ -422,7 +431,8 @@
     StoreError::Unreadable(serde::de::Error::custom(error))
 }
 
-/// The first key after all that begin with the prefix.
+/// Returns the first key after all that begin with the prefix, or `[0]`, which means the
+/// end of all keys, if there is no such key.
 fn end_of_prefix(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -434,4 +444,5 @@
     vec![0]
 }
 
-const MOST_VALUE_BYTES: usize = 1 << 20;
+/// The store's limit for a value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
