--- a/crates/wingspur-transport/src/lib.rs
+++ b/crates/wingspur-transport/src/lib.rs
@@ -1,4 +1,5 @@
-//! Sockets: listeners, backend connections, the store client and the peer client.
+//! Network code: listeners, connections to backend servers, the store client and the peer
+//! client.
 
 mod backend;
 mod body;
--- a/crates/wingspur-transport/src/link.rs
+++ b/crates/wingspur-transport/src/link.rs
@@ -1,4 +1,5 @@
-//! A long exchange between two boxes: frames both ways over one request and its answer.
+//! Long-lived links between two boxes, which carry frames in both directions in the
+//! bodies of one HTTP request and its response.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -14,77 +15,82 @@
 
 use crate::http_client::{Connector, HttpClientError};
 
-/// Sends frames; cheap to copy. The exchange ends when all copies are gone.
+/// Sends frames on a link. Cheap to clone. Its direction of the link ends when all clones
+/// are dropped.
 #[derive(Debug, Clone)]
 pub struct LinkSender {
     frames: async_channel::Sender<Bytes>,
 }
 
-/// Receives frames.
+/// Receives frames from a link.
 #[derive(Debug)]
 pub struct LinkReceiver {
     body: Incoming,
     buffer: Vec<u8>,
 }
 
-/// The body that carries frames one way, in pieces.
+/// The HTTP body that carries the frames of one direction, split into chunks.
 ///
-/// A connection keeps a buffer as large as the largest piece it was ever given, and a hub has
-/// a connection for each member.
+/// The chunks limit memory use: a connection keeps a buffer as large as the largest chunk
+/// that it was ever given, and a hub has a connection for each member.
 #[derive(Debug)]
 pub struct LinkBody {
     frames: Pin<Box<async_channel::Receiver<Bytes>>>,
-    /// What is left of a frame of which the beginning was given to the connection.
-    rest: Bytes,
+    /// The part of the current frame that was not yet given to the connection.
+    unsent: Bytes,
 }
 
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// It could not be opened.
+    /// The link could not be opened.
     #[error(transparent)]
     Open(#[from] HttpClientError),
-    /// The other side has ended it in order, after giving up the link.
-    #[error("the other side has ended it")]
+    /// The other side ended the link normally.
+    #[error("the other side closed the link")]
     Ended,
-    /// The connection failed.
-    #[error("the other side is gone")]
+    /// The connection failed or was closed.
+    #[error("the connection to the other side was lost")]
     Gone,
-    /// Nothing was heard for too long.
-    #[error("nothing was heard for {0:?}")]
+    /// No data was received for this time, or the link could not be opened within it.
+    #[error("nothing was received for {0:?}")]
     Silent(Duration),
-    /// The other side does not read what it is sent.
-    #[error("the other side does not read")]
+    /// The other side does not read, so the send queue is full.
+    #[error("the other side does not read; the send queue is full")]
     SendQueueFull,
-    /// A frame cannot be read.
+    /// A frame cannot be decoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// How long a link may take to open.
+/// Timeouts for opening a link.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkTimeouts {
-    /// Until the connection is up: a machine without power says nothing at all.
+    /// Timeout for establishing the connection. A machine without power does not even
+    /// refuse it.
     pub connect: Duration,
-    /// Until the other side has answered.
+    /// Timeout until the response has arrived, including the time to connect.
     pub answer: Duration,
 }
 
-/// Opens a link by a request to a path of the other box.
+/// Opens a link by a POST request to `path` at the box with address `to`.
+///
+/// Fails with `LinkError::Silent` on a timeout and with `LinkError::Open` on other
+/// errors.
 pub async fn open_link(
     connector: &Connector,
     to: SocketAddr,
     path: &str,
-    patience: LinkTimeouts,
+    timeouts: LinkTimeouts,
 ) -> Result<(LinkSender, LinkReceiver), LinkError> {
     let (sender, body) = link_body();
     let opening = async {
         let connecting = async { Ok(connector.connect::<LinkBody>(to).await?) };
-        let hanging = async {
-            wingspur_clock::sleep(patience.connect).await;
-            Err(LinkError::Silent(patience.connect))
+        let connect_expired = async {
+            wingspur_clock::sleep(timeouts.connect).await;
+            Err(LinkError::Silent(timeouts.connect))
         };
-        let mut connection = connecting.or(hanging).await?;
+        let mut connection = connecting.or(connect_expired).await?;
         let request = Request::post(path).header("host", to.to_string());
         let request = request.body(body).expect("the path is a constant");
         let response = connection.send_request(request).await;
@@ -95,13 +101,14 @@
         Ok(LinkReceiver::new(response.into_body()))
     };
     let expired = async {
-        wingspur_clock::sleep(patience.answer).await;
-        Err(LinkError::Silent(patience.answer))
+        wingspur_clock::sleep(timeouts.answer).await;
+        Err(LinkError::Silent(timeouts.answer))
     };
     Ok((sender, opening.or(expired).await?))
 }
 
-/// Takes up a link that another box opened: the frames from it, and the answer for it.
+/// Accepts a link that another box opened with `request`. Returns the two ends for its
+/// frames and the response, which must be returned to that box.
 pub fn accept_link(
     request: Request<Incoming>,
 ) -> (LinkSender, LinkReceiver, Response<LinkBody>) {
@@ -110,18 +117,22 @@
     (sender, receiver, Response::new(body))
 }
 
-/// A body of no frames at all, for refusals.
+/// Returns a body without frames, for responses that refuse a link.
 pub fn empty_link_body() -> LinkBody {
     link_body().1
 }
 
 impl LinkSender {
-    /// Sends a frame, unless the other side has stopped reading.
+    /// Encodes a frame, queues it for sending and returns its encoded size in bytes.
+    ///
+    /// Fails with `LinkError::SendQueueFull` when the other side has stopped reading, and
+    /// with `LinkError::Gone` when the link has ended.
     pub fn send<T: serde::Serialize>(&self, frame: &T) -> Result<usize, LinkError> {
         self.send_encoded(&EncodedFrame::new(frame))
     }
 
-    /// The same for a frame that goes to many.
+    /// Queues an encoded frame, which may be sent on many links, and returns its size in
+    /// bytes. Fails like `send`.
     pub fn send_encoded(&self, frame: &EncodedFrame) -> Result<usize, LinkError> {
         let bytes = frame.bytes().clone();
         let length = bytes.len();
@@ -132,7 +143,8 @@
         }
     }
 
-    /// Ends this side of the exchange.
+    /// Ends this direction of the link, for all clones of the sender. Queued frames are
+    /// still sent.
     pub fn close(self) {
         self.frames.close();
     }
@@ -146,23 +158,25 @@
         }
     }
 
-    /// Waits for the next frame, at most `patience`.
+    /// Waits for the next frame. Fails with `LinkError::Silent` when no data is received
+    /// for `timeout`, and with another error when the link has ended or the frame is
+    /// invalid.
     pub async fn next<T: DeserializeOwned>(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<T, LinkError> {
         loop {
             if let Some(frame) = decode_next_frame(&mut self.buffer)? {
-                self.buffer.shrink_to(MOST_PIECE_BYTES);
+                self.buffer.shrink_to(MAX_CHUNK_BYTES);
                 return Ok(frame);
             }
             let arriving = async { Some(self.body.frame().await) };
             let expired = async {
-                wingspur_clock::sleep(patience).await;
+                wingspur_clock::sleep(timeout).await;
                 None
             };
             let frame = arriving.or(expired).await;
-            match frame.ok_or(LinkError::Silent(patience))? {
+            match frame.ok_or(LinkError::Silent(timeout))? {
                 Some(Ok(frame)) => {
                     let data = frame.into_data().unwrap_or_default();
                     self.buffer.extend_from_slice(&data);
@@ -182,29 +196,30 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<BodyFrame<Bytes>, Self::Error>>> {
-        if self.rest.is_empty() {
+        if self.unsent.is_empty() {
             match self.frames.as_mut().poll_next(context) {
-                Poll::Ready(Some(frame)) => self.rest = frame,
+                Poll::Ready(Some(frame)) => self.unsent = frame,
                 Poll::Ready(None) => return Poll::Ready(None),
                 Poll::Pending => return Poll::Pending,
             }
         }
-        let length = self.rest.len().min(MOST_PIECE_BYTES);
-        let piece = self.rest.split_to(length);
-        Poll::Ready(Some(Ok(BodyFrame::data(piece))))
+        let length = self.unsent.len().min(MAX_CHUNK_BYTES);
+        let chunk = self.unsent.split_to(length);
+        Poll::Ready(Some(Ok(BodyFrame::data(chunk))))
     }
 }
 
 fn link_body() -> (LinkSender, LinkBody) {
-    let (sender, receiver) = async_channel::bounded(MOST_WAITING_FRAMES);
+    let (sender, receiver) = async_channel::bounded(MAX_QUEUED_FRAMES);
     let body = LinkBody {
         frames: Box::pin(receiver),
-        rest: Bytes::new(),
+        unsent: Bytes::new(),
     };
     (LinkSender { frames: sender }, body)
 }
 
-/// The most that a connection is given at once.
-const MOST_PIECE_BYTES: usize = 16 << 10;
-/// A side that leaves so many frames unread is stuck: at twenty a second, three seconds.
-const MOST_WAITING_FRAMES: usize = 64;
+/// The largest chunk that a connection is given at once.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// The number of queued frames at which the other side counts as not reading: about 3 s
+/// at 20 frames a second.
+const MAX_QUEUED_FRAMES: usize = 64;
--- a/crates/wingspur-transport/src/listener.rs
+++ b/crates/wingspur-transport/src/listener.rs
@@ -1,4 +1,4 @@
-//! An HTTP listener with a stop that cuts nothing.
+//! An HTTP listener that can stop without interrupting requests in progress.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -23,32 +23,33 @@
 pub struct HttpListener {
     address: SocketAddr,
     stop: StopTrigger,
-    /// None once it has stopped accepting.
+    /// The task that accepts connections; `None` once the listener has stopped accepting.
     accepting: Option<smol::Task<()>>,
     counts: Arc<ListenerCounts>,
 }
 
-/// What a listener holds open.
+/// Connections and requests of a listener.
 #[derive(Debug, Default)]
 pub struct ListenerCounts {
     /// Connections open now.
     pub connections: AtomicUsize,
-    /// Requests being answered now.
+    /// Requests in progress now.
     pub requests: AtomicUsize,
-    /// Connections that ended while a request on them was being answered.
+    /// Connections that ended while a request on them was in progress, since the start.
     pub broken: AtomicUsize,
-    /// Connections that the stop closed while no request was on them.
+    /// Connections that the stop closed while no request was in progress on them.
     pub closed_idle: AtomicUsize,
 }
 
-/// How a listener treats its connections.
+/// Limits and TLS of a listener's connections.
 #[derive(Debug, Clone)]
 pub struct ListenerOptions {
-    /// How long a request's head may take to arrive.
+    /// How long a request head may take to arrive, and a TLS handshake to complete.
     pub head_timeout: Duration,
-    /// The largest head, in bytes.
+    /// The largest request head, in bytes; HTTP/1.1 connections accept at least 8 KiB.
     pub max_head_bytes: usize,
-    /// Who the box is, where callers must prove who they are as well.
+    /// The TLS identity of the box. With one, connections use HTTP/1.1 over mutual TLS
+    /// and callers must present a trusted certificate; with `None`, they are plain.
     pub identity: Option<Arc<TlsIdentity>>,
 }
 
@@ -63,7 +64,10 @@
 }
 
 impl HttpListener {
-    /// Starts to serve on a bound socket.
+    /// Starts to accept connections on a bound socket. `handler` gets each request with
+    /// the address of its caller and returns the response.
+    ///
+    /// Fails when the local address of the socket cannot be read.
     pub fn start<H, F, B>(
         listener: TcpListener,
         spawner: &Spawner,
@@ -95,21 +99,22 @@
         })
     }
 
-    /// The address it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, lets requests in flight finish, and returns how many were
-    /// still unfinished after `limit`.
-    pub async fn close(mut self, limit: Duration) -> usize {
+    /// Stops accepting, waits at most `timeout` for all connections to end, and returns
+    /// how many requests are still in progress then.
+    pub async fn close(mut self, timeout: Duration) -> usize {
         self.stop_accepting().await;
-        self.drain(wingspur_clock::now() + limit).await;
+        self.drain(wingspur_clock::now() + timeout).await;
         self.counts.requests.load(Ordering::Acquire)
     }
 
-    /// Takes no more connections, closes those without a request, and lets the others end
-    /// with the answer that is due on them.
+    /// Stops accepting connections and closes those without a request in progress. Each
+    /// of the others ends after its outstanding responses. Returns once no new connection
+    /// can arrive, without waiting for the open ones.
     pub async fn stop_accepting(&mut self) {
         self.stop.close();
         if let Some(accepting) = self.accepting.take() {
@@ -117,24 +122,25 @@
         }
     }
 
-    /// Waits until all connections have ended; false where some are left at `end`.
-    pub async fn drain(&self, end: Instant) -> bool {
+    /// Waits until all connections have ended. Returns false when some are still open at
+    /// `deadline`.
+    pub async fn drain(&self, deadline: Instant) -> bool {
         while self.counts.connections.load(Ordering::Acquire) > 0 {
-            if wingspur_clock::now() >= end {
+            if wingspur_clock::now() >= deadline {
                 return false;
             }
-            wingspur_clock::sleep(DRAIN_POLL).await;
+            wingspur_clock::sleep(DRAIN_POLL_INTERVAL).await;
         }
         true
     }
 
-    /// What the listener holds open.
+    /// Returns the counts of connections and requests.
     pub fn counts(&self) -> &ListenerCounts {
         &self.counts
     }
 }
 
-/// What each accepted connection needs.
+/// What the tasks of the listener and of its connections share.
 #[derive(Clone)]
 struct Server<H> {
     spawner: Spawner,
@@ -157,8 +163,8 @@
                 None => return,
                 Some(Ok((stream, from))) => self.clone().spawn_connection(stream, from),
                 Some(Err(error)) => {
-                    tracing::warn!("listen: cannot accept: {error}.");
-                    wingspur_clock::sleep(ACCEPT_PAUSE).await;
+                    tracing::warn!("listen: cannot accept a connection: {error}.");
+                    wingspur_clock::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -184,7 +190,8 @@
         stream.set_nodelay(true)?;
         if let Some(identity) = &self.options.identity {
             let accepting = identity.acceptor().accept(stream);
-            let Some(accepted) = self.until_stop(self.in_time(accepting)).await else {
+            let Some(accepted) = self.until_stop(self.with_head_timeout(accepting)).await
+            else {
                 return Ok(());
             };
             let stream = accepted?;
@@ -193,11 +200,11 @@
                 .serve_http1(FuturesIo::new(stream), from, certificate)
                 .await;
         }
-        let Some(speaks_http2) = self.until_stop(speaks_http2(&stream)).await else {
+        let Some(is_http2) = self.until_stop(has_http2_preface(&stream)).await else {
             return Ok(());
         };
         let io = FuturesIo::new(stream);
-        if speaks_http2? {
+        if is_http2? {
             return self.serve_http2(io, from).await;
         }
         self.serve_http1(io, from, None).await
@@ -216,25 +223,26 @@
         builder.timer(SmolTimer::new());
         builder.header_read_timeout(self.options.head_timeout);
         builder.max_buf_size(self.options.max_head_bytes.max(8 << 10));
-        let carried = Carried::default();
+        let request_counts = RequestCounts::default();
         let service = service_fn(|mut request: Request<Incoming>| {
             if let Some(certificate) = &certificate {
                 request.extensions_mut().insert(certificate.clone());
             }
-            self.answer(request, from, &carried)
+            self.handle_request(request, from, &request_counts)
         });
         let mut connection = pin!(builder.serve_connection(io, service));
-        let ended = match self.until_stop(connection.as_mut()).await {
-            Some(ended) => ended,
+        let result = match self.until_stop(connection.as_mut()).await {
+            Some(result) => result,
             None => {
-                self.note_stop(&carried);
+                self.count_closed_idle(&request_counts);
                 connection.as_mut().graceful_shutdown();
                 connection.as_mut().await
             }
         };
-        // The connection still holds the request that it ended under.
-        self.note_end(from, &carried, &ended);
-        Ok(ended?)
+        // The connection still holds the futures of interrupted requests, so they are
+        // still counted here.
+        self.log_interrupted_requests(from, &request_counts, &result);
+        Ok(result?)
     }
 
     async fn serve_http2(
@@ -247,73 +255,74 @@
         builder.timer(SmolTimer::new());
         builder.max_header_list_size(self.options.max_head_bytes as u32);
         let server = self.clone();
-        let carried = Arc::new(Carried::default());
-        let carried_here = carried.clone();
-        // Each stream is a task of its own, so its answer owns all it needs.
+        let request_counts = Arc::new(RequestCounts::default());
+        let service_counts = request_counts.clone();
+        // Each HTTP/2 stream runs as a task of its own, so its future must own its data.
         let service = service_fn(move |request| {
-            let (server, carried) = (server.clone(), carried_here.clone());
-            async move { server.answer(request, from, &carried).await }
+            let (server, request_counts) = (server.clone(), service_counts.clone());
+            async move { server.handle_request(request, from, &request_counts).await }
         });
         let mut connection = pin!(builder.serve_connection(io, service));
-        let ended = match self.until_stop(connection.as_mut()).await {
-            Some(ended) => ended,
+        let result = match self.until_stop(connection.as_mut()).await {
+            Some(result) => result,
             None => {
-                self.note_stop(&carried);
+                self.count_closed_idle(&request_counts);
                 connection.as_mut().graceful_shutdown();
                 connection.as_mut().await
             }
         };
-        self.note_end(from, &carried, &ended);
-        Ok(ended?)
+        self.log_interrupted_requests(from, &request_counts, &result);
+        Ok(result?)
     }
 
-    async fn answer(
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
         from: SocketAddr,
-        carried: &Carried,
+        request_counts: &RequestCounts,
     ) -> Result<Response<B>, Infallible> {
         self.counts.requests.fetch_add(1, Ordering::AcqRel);
         let _running = CountGuard(&self.counts.requests);
-        carried.begun.fetch_add(1, Ordering::AcqRel);
-        carried.running.fetch_add(1, Ordering::AcqRel);
-        let _carried = CountGuard(&carried.running);
+        request_counts.started.fetch_add(1, Ordering::AcqRel);
+        request_counts.in_flight.fetch_add(1, Ordering::AcqRel);
+        let _in_flight = CountGuard(&request_counts.in_flight);
         Ok((self.handler)(request, from).await)
     }
 
-    /// Counts a connection that the stop closes while nothing is asked on it: a request
-    /// that is on its way then is never read.
-    fn note_stop(&self, carried: &Carried) {
-        if carried.running.load(Ordering::Acquire) == 0 {
+    /// Counts a connection that the stop closes while no request is in progress on it. A
+    /// request that the caller has sent but that has not arrived yet is never read.
+    fn count_closed_idle(&self, request_counts: &RequestCounts) {
+        if request_counts.in_flight.load(Ordering::Acquire) == 0 {
             self.counts.closed_idle.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    /// Tells of a connection that ended before the answers that were due on it.
-    fn note_end(
+    /// Counts and logs a connection that ended before the responses to its requests were
+    /// sent.
+    fn log_interrupted_requests(
         &self,
         from: SocketAddr,
-        carried: &Carried,
-        ended: &Result<(), hyper::Error>,
+        request_counts: &RequestCounts,
+        result: &Result<(), hyper::Error>,
     ) {
-        let running = carried.running.load(Ordering::Acquire);
+        let running = request_counts.in_flight.load(Ordering::Acquire);
         if running == 0 {
             return;
         }
         self.counts.broken.fetch_add(1, Ordering::AcqRel);
-        let error = ended.as_ref().err().map(ToString::to_string);
+        let error = result.as_ref().err().map(ToString::to_string);
         tracing::info!(
             %from,
             running,
-            begun = carried.begun.load(Ordering::Acquire),
+            begun = request_counts.started.load(Ordering::Acquire),
             stopping = self.signal.is_triggered(),
             error = error.unwrap_or_default(),
             "listen: a connection ended under a request."
         );
     }
 
-    /// A handshake takes no longer than a head may.
-    async fn in_time<T>(
+    /// Waits for a TLS handshake, at most `head_timeout`; then fails with `TimedOut`.
+    async fn with_head_timeout<T>(
         &self,
         future: impl Future<Output = std::io::Result<T>>,
     ) -> std::io::Result<T> {
@@ -324,41 +333,43 @@
         future.or(expired).await
     }
 
-    /// Waits for the future, or gives none when the listener stops first.
+    /// Waits for the future. Returns `None` when the listener stops first.
     async fn until_stop<T>(&self, future: impl Future<Output = T>) -> Option<T> {
-        let ended = async { Some(future.await) };
+        let finished = async { Some(future.await) };
         let stopped = async {
             self.signal.wait().await;
             None
         };
-        ended.or(stopped).await
+        finished.or(stopped).await
     }
 }
 
-/// What one connection has carried.
+/// Counts of the requests on one connection.
 #[derive(Debug, Default)]
-struct Carried {
-    /// Requests whose heads have come.
-    begun: AtomicUsize,
-    /// Requests that are being answered.
-    running: AtomicUsize,
+struct RequestCounts {
+    /// Requests whose heads were received, since the connection was opened.
+    started: AtomicUsize,
+    /// Requests in progress now.
+    in_flight: AtomicUsize,
 }
 
-/// The certificate that the other side has proved to hold.
+/// Returns the certificate of the caller, whose private key the handshake has verified,
+/// or `None` if it sent none.
 fn peer_certificate(stream: &TlsStream<TcpStream>) -> Option<PeerCertificate> {
     let (_, connection) = stream.get_ref();
     let certificate = connection.peer_certificates()?.first()?;
     Some(PeerCertificate::new(certificate.clone().into_owned()))
 }
 
-/// HTTP/2 by prior knowledge begins with a preface that HTTP/1.1 cannot.
-async fn speaks_http2(stream: &TcpStream) -> std::io::Result<bool> {
+/// Returns whether the client speaks HTTP/2 by prior knowledge. Its preface cannot be the
+/// start of an HTTP/1.1 request.
+async fn has_http2_preface(stream: &TcpStream) -> std::io::Result<bool> {
     let mut start = [0; HTTP2_PREFACE.len()];
     let length = stream.peek(&mut start).await?;
     Ok(length > 0 && start[..length] == HTTP2_PREFACE[..length])
 }
 
-/// Takes one off a count when it goes out of scope.
+/// Decrements a count when it is dropped.
 struct CountGuard<'a>(&'a AtomicUsize);
 
 impl Drop for CountGuard<'_> {
@@ -367,6 +378,8 @@
     }
 }
 
+/// The start of the HTTP/2 connection preface.
 const HTTP2_PREFACE: &[u8] = b"PRI ";
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-const DRAIN_POLL: Duration = Duration::from_millis(5);
+/// The delay after a failed accept, before the next one.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/crates/wingspur-transport/src/tls.rs
+++ b/crates/wingspur-transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS between boxes, with files that may be replaced while the box runs.
+//! Mutual TLS between boxes. The certificate files may be replaced while the box runs.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, RwLock};
@@ -9,22 +9,23 @@
 use futures_rustls::rustls::{ClientConfig, RootCertStore, ServerConfig, crypto};
 use futures_rustls::{TlsAcceptor, TlsConnector};
 
-/// Where a box finds its certificate, its key and whom it trusts, all in PEM.
+/// Paths of a box's certificate, its key and the authorities that it trusts, all in PEM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The authorities whose certificates are trusted; several while they change.
+    /// The certificates of the trusted authorities, several while an authority is being
+    /// replaced.
     pub authorities: PathBuf,
     /// The box's certificate, with its chain.
     pub certificate: PathBuf,
-    /// The certificate's key.
+    /// The private key of the certificate.
     pub key: PathBuf,
 }
 
-/// A box's identity towards other boxes.
+/// The TLS identity of a box, which it proves to other boxes.
 ///
-/// The certificate names the box by its id (as a DNS name) and its peer address (as an
-/// IP address): a client checks the address it calls, a server the id that a message
-/// says it is from.
+/// The certificate contains the box id as a DNS name and the peer address as an IP
+/// address. A client checks that the certificate is for the address that it connects to;
+/// a server checks that it is for the box id that a message gives as its sender.
 #[derive(Debug)]
 pub struct TlsIdentity {
     files: TlsFiles,
@@ -38,7 +39,8 @@
     client: Arc<ClientConfig>,
 }
 
-/// The certificate that the other side of a connection proved to hold.
+/// The certificate of the other side of a connection, which proved in the handshake that
+/// it has the private key.
 #[derive(Debug, Clone)]
 pub struct PeerCertificate(CertificateDer<'static>);
 
@@ -50,32 +52,37 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The error from reading it.
         error: std::io::Error,
     },
-    /// A file holds no PEM of the kind wanted.
+    /// A file does not contain PEM of the expected kind.
     #[error("{}: {reason}; write it in PEM", path.display())]
     NotPem {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// What is wrong with its content.
         reason: String,
     },
-    /// Certificate, key and authorities do not go together.
-    #[error("certificate, key and authorities do not go together: {0}")]
+    /// TLS cannot be configured with these files, such as when the key is not that of the
+    /// certificate.
+    #[error("certificate, key and authorities cannot be used together: {0}")]
     Mismatch(String),
 }
 
 impl TlsIdentity {
     /// Reads and checks the files.
+    ///
+    /// Fails when a file cannot be read, is not PEM, or does not match the others.
     pub fn load(files: TlsFiles) -> Result<Self, TlsError> {
         let state = RwLock::new(TlsState::read(&files)?);
         Ok(Self { files, state })
     }
 
-    /// Reads the files again; true when they have changed and are in use from now on.
+    /// Reads the files again. Returns true if they have changed; new connections then use
+    /// the new ones.
     ///
-    /// With an error the former ones stay in use: files may be caught half-written.
+    /// On an error the previous ones stay in use, as the files may have been read while
+    /// they were being written.
     pub fn refresh(&self) -> Result<bool, TlsError> {
         let fresh = TlsState::read(&self.files)?;
         let mut state = self.state.write().expect("no holder panics");
@@ -86,7 +93,7 @@
         Ok(changed)
     }
 
-    /// Accepts connections of other boxes.
+    /// Returns an acceptor for connections from other boxes, with the current files.
     pub fn acceptor(&self) -> TlsAcceptor {
         self.state
             .read()
@@ -96,7 +103,7 @@
             .into()
     }
 
-    /// Connects to other boxes.
+    /// Returns a connector for connections to other boxes, with the current files.
     pub fn connector(&self) -> TlsConnector {
         self.state
             .read()
@@ -146,18 +153,19 @@
 }
 
 impl PeerCertificate {
-    /// The certificate of a connection's other side.
+    /// Wraps the certificate of the other side of a connection.
     pub fn new(certificate: CertificateDer<'static>) -> Self {
         Self(certificate)
     }
 
-    /// Whether the certificate names this box.
+    /// Returns whether the certificate is for the box with this id.
     pub fn matches_box(&self, box_id: &str) -> bool {
         let Ok(name) = ServerName::try_from(box_id) else {
             return false;
         };
         let certificate = webpki::EndEntityCert::try_from(&self.0);
-        certificate.is_ok_and(|own| own.verify_is_valid_for_subject_name(&name).is_ok())
+        certificate
+            .is_ok_and(|parsed| parsed.verify_is_valid_for_subject_name(&name).is_ok())
     }
 }
 
@@ -175,7 +183,7 @@
     let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
     let read = read.map_err(|error| not_pem(path, error))?;
     if read.is_empty() {
-        return Err(not_pem(path, "no certificate in it"));
+        return Err(not_pem(path, "it contains no certificate"));
     }
     Ok(read)
 }
--- a/crates/wingspur-transport/src/workers.rs
+++ b/crates/wingspur-transport/src/workers.rs
@@ -1,4 +1,4 @@
-//! A pool of worker threads that drive one executor.
+//! A pool of worker threads that run the tasks of one executor.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use smol::Executor;
 use smol::Task;
 
-/// Starts tasks on the worker pool; cheap to copy.
+/// Starts tasks on the worker pool. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Spawner {
     executor: Arc<Executor<'static>>,
 }
 
 impl Spawner {
-    /// Starts a task that ends when its handle is dropped.
+    /// Starts a task that is canceled when its handle is dropped.
     pub fn spawn<T: Send + 'static>(
         &self,
         future: impl Future<Output = T> + Send + 'static,
@@ -22,7 +22,7 @@
         self.executor.spawn(future)
     }
 
-    /// Starts a task that runs to its end.
+    /// Starts a task that runs to completion, without a handle.
     pub fn detach(&self, future: impl Future<Output = ()> + Send + 'static) {
         self.executor.spawn(future).detach();
     }
@@ -43,7 +43,7 @@
 }
 
 impl Workers {
-    /// Starts `count` threads.
+    /// Starts `count` threads, at least one.
     pub fn start(count: usize) -> Self {
         let spawner = Spawner::default();
         let (stop, signal) = stop_pair();
@@ -62,54 +62,55 @@
         }
     }
 
-    /// The means to start tasks on these threads.
+    /// Returns a spawner that starts tasks on these threads.
     pub fn spawner(&self) -> Spawner {
         self.spawner.clone()
     }
 
-    /// Ends the threads; tasks still waiting are dropped.
+    /// Stops the threads and waits for them. Tasks that have not completed run no
+    /// further.
     pub fn close(self) {
         self.stop.close();
         for thread in self.threads {
-            // A worker that panicked has been reported on standard error already.
+            // The panic of a worker thread has already been printed to standard error.
             let _ = thread.join();
         }
     }
 }
 
-/// Tells that something shall stop, to all who wait for it.
+/// Triggers a stop and notifies every `StopSignal` of the pair.
 #[derive(Debug, Clone)]
 pub struct StopTrigger {
     sender: async_channel::Sender<()>,
 }
 
 impl StopTrigger {
-    /// Gives the signal; later calls change nothing.
+    /// Triggers the stop. Later calls have no effect.
     pub fn close(&self) {
         self.sender.close();
     }
 }
 
-/// Waits for a stop.
+/// Lets tasks wait for a stop or check for it.
 #[derive(Debug, Clone)]
 pub struct StopSignal {
     receiver: async_channel::Receiver<()>,
 }
 
 impl StopSignal {
-    /// Returns once the signal is given, or its trigger is gone.
+    /// Waits until the stop is triggered, or all its triggers are dropped.
     pub async fn wait(&self) {
-        // Nothing is ever sent: the only end is that the channel closes.
+        // Nothing is ever sent, so the loop ends only when the channel is closed.
         while self.receiver.recv().await.is_ok() {}
     }
 
-    /// Whether the signal was given.
+    /// Returns whether the stop was triggered, or all its triggers were dropped.
     pub fn is_triggered(&self) -> bool {
         self.receiver.is_closed()
     }
 }
 
-/// A trigger and the signal it gives.
+/// Creates a trigger and the signal that it controls.
 pub fn stop_pair() -> (StopTrigger, StopSignal) {
     let (sender, receiver) = async_channel::bounded(1);
     (StopTrigger { sender }, StopSignal { receiver })
