--- a/crates/wingspur-clock/src/lib.rs
+++ b/crates/wingspur-clock/src/lib.rs
@@ -1,9 +1,10 @@
-//! The time of a box, which goes on while its machine is suspended.
+//! A clock that includes the time during which the machine is suspended.
 //!
-//! `Instant::now` reads the steady clock, which stands still while a machine is suspended: a
-//! box that wakes would take news, leases and allowances of before for fresh, since its own
-//! clock says so. `CLOCK_BOOTTIME` counts that time. All boxes go by this module; the table in
-//! `docs/design/clocks.md` says which of them must, and what is left to the steady clock.
+//! `Instant::now` reads the monotonic clock, which stops while a machine is suspended.
+//! After a resume, a box that relied on it would still treat updates and quota leases
+//! from before the suspension as current. `CLOCK_BOOTTIME` includes suspended time. All
+//! boxes use this module; the table in `docs/design/clocks.md` lists what must use it,
+//! and what uses the monotonic clock.
 
 use std::fmt::{self, Debug, Formatter};
 use std::pin::Pin;
@@ -16,54 +17,54 @@
 use futures_lite::FutureExt;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The moment that it is now, suspended time included.
+/// Returns the current time, including time during which the machine was suspended.
 ///
-/// It compares with other moments of this module only: `Instant::elapsed` reads the steady
-/// clock, and is not allowed in the crates that use this one.
+/// It can only be compared with other instants of this module: `Instant::elapsed` reads
+/// the monotonic clock, and is not allowed in the crates that use this one.
 pub fn now() -> Instant {
     let origin = origin();
-    let passed = boot_time().saturating_sub(origin.boot_time);
-    origin.at + passed + stepped()
+    let elapsed = boot_time().saturating_sub(origin.boot_time);
+    origin.at + elapsed + simulated_suspension()
 }
 
-/// How long ago a moment was.
-pub fn since(moment: Instant) -> Duration {
-    now().saturating_duration_since(moment)
+/// Returns how long ago an instant of this module was; zero if it is in the future.
+pub fn since(instant: Instant) -> Duration {
+    now().saturating_duration_since(instant)
 }
 
-/// Waits for a span, suspended time included.
-pub async fn sleep(span: Duration) {
-    sleep_until(now() + span).await;
+/// Waits for a duration, which includes suspended time.
+pub async fn sleep(duration: Duration) {
+    sleep_until(now() + duration).await;
 }
 
-/// Waits until a moment; returns at once where it has passed while the machine was suspended
-/// and `watch` has noticed.
-pub async fn sleep_until(moment: Instant) {
+/// Waits until an instant of this module. If it passes while the machine is suspended,
+/// the wait ends as soon as `watch` has noticed the suspension.
+pub async fn sleep_until(instant: Instant) {
     loop {
-        listener!(WOKEN => woken);
-        let left = moment.saturating_duration_since(now());
-        if left.is_zero() {
+        listener!(RESUMED => resumed);
+        let remaining = instant.saturating_duration_since(now());
+        if remaining.is_zero() {
             return;
         }
         let timer = async {
-            smol::Timer::after(left).await;
+            smol::Timer::after(remaining).await;
         };
-        timer.or(woken).await;
+        timer.or(resumed).await;
     }
 }
 
-/// Waits until a moment, as something that can be held and set anew.
+/// A future that waits until an instant; it can be stored and replaced by a new one.
 pub struct Timer(Pin<Box<dyn Future<Output = ()> + Send>>);
 
 impl Timer {
-    /// Ends at a moment.
-    pub fn at(moment: Instant) -> Self {
-        Self(Box::pin(sleep_until(moment)))
+    /// Creates a timer that ends at an instant.
+    pub fn at(instant: Instant) -> Self {
+        Self(Box::pin(sleep_until(instant)))
     }
 
-    /// Ends after a span.
-    pub fn after(span: Duration) -> Self {
-        Self::at(now() + span)
+    /// Creates a timer that ends after a duration.
+    pub fn after(duration: Duration) -> Self {
+        Self::at(now() + duration)
     }
 }
 
@@ -81,60 +82,63 @@
     }
 }
 
-/// For how long in all the machine was suspended since the process started.
+/// Returns how long the machine was suspended in total since the process first used this
+/// module.
 pub fn suspended() -> Duration {
     let origin = origin();
-    // A thread that is held up between the two finds less, not more.
-    let passed = boot_time().saturating_sub(origin.boot_time) + stepped();
-    passed.saturating_sub(origin.steady.elapsed())
+    // The clocks are read in this order so that a thread that is delayed between the two
+    // reads returns too little, never too much.
+    let elapsed = boot_time().saturating_sub(origin.boot_time) + simulated_suspension();
+    elapsed.saturating_sub(origin.monotonic.elapsed())
 }
 
-/// Whether the machine was suspended since it had been for `before` in all.
+/// Returns whether the machine was suspended since `suspended` returned `before`.
 pub fn was_suspended_since(before: Duration) -> bool {
-    suspended().saturating_sub(before) >= LEAST_SUSPENSION
+    suspended().saturating_sub(before) >= MIN_SUSPENSION
 }
 
-/// Wakes whoever sleeps once the machine was suspended; never ends.
+/// Wakes all sleepers after a suspension of the machine; never returns.
 ///
-/// Timers of the kernel stand still with the steady clock: without this, what should have
-/// ended while the machine was suspended would end as much later.
+/// Timers of the kernel stop with the monotonic clock. Without this task, a wait that
+/// should end during a suspension would end late, by the length of the suspension.
 pub async fn watch() {
-    let mut known = suspended();
+    let mut reported = suspended();
     loop {
-        smol::Timer::after(LOOK_EVERY).await;
-        if !was_suspended_since(known) {
+        smol::Timer::after(SUSPENSION_CHECK_INTERVAL).await;
+        if !was_suspended_since(reported) {
             continue;
         }
         let suspended = suspended();
-        let gap = suspended.saturating_sub(known);
-        known = suspended;
+        let gap = suspended.saturating_sub(reported);
+        reported = suspended;
         let stood_still_ms = gap.as_millis() as u64;
         tracing::warn!(stood_still_ms, "clock: the machine was suspended.");
-        WOKEN.notify(usize::MAX);
+        RESUMED.notify(usize::MAX);
     }
 }
 
-/// For tests: lets so much time pass as if the machine were suspended meanwhile.
-pub fn simulate_suspension(span: Duration) {
-    STEPPED_NS.fetch_add(span.as_nanos() as u64, Ordering::Relaxed);
-    WOKEN.notify(usize::MAX);
+/// Advances the clock as if the machine had been suspended for `duration`; for tests.
+pub fn simulate_suspension(duration: Duration) {
+    SIMULATED_SUSPENSION_NS.fetch_add(duration.as_nanos() as u64, Ordering::Relaxed);
+    RESUMED.notify(usize::MAX);
 }
 
-/// Where both clocks stood when the process first asked.
+/// The readings of both clocks when the process first used this module.
 struct Origin {
-    /// What moments are counted from; the steady clock's reading, but for its own sake only.
+    /// The instant from which the instants of this module are counted. It is a reading of
+    /// the monotonic clock, but must not be compared with later readings of it.
     at: Instant,
-    steady: Instant,
+    monotonic: Instant,
     boot_time: Duration,
 }
 
 fn origin() -> &'static Origin {
     static ORIGIN: OnceLock<Origin> = OnceLock::new();
     ORIGIN.get_or_init(|| {
-        let steady = Instant::now();
+        let monotonic = Instant::now();
         Origin {
-            at: steady,
-            steady,
+            at: monotonic,
+            monotonic,
             boot_time: boot_time(),
         }
     })
@@ -145,16 +149,17 @@
     Duration::new(read.tv_sec as u64, read.tv_nsec as u32)
 }
 
-fn stepped() -> Duration {
-    Duration::from_nanos(STEPPED_NS.load(Ordering::Relaxed))
+fn simulated_suspension() -> Duration {
+    Duration::from_nanos(SIMULATED_SUSPENSION_NS.load(Ordering::Relaxed))
 }
 
-/// Rung when the machine was suspended.
-static WOKEN: Event = Event::new();
-static STEPPED_NS: AtomicU64 = AtomicU64::new(0);
-/// How soon a suspension is noticed by those that sleep; whoever asks for the time knows at
-/// once.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// The two clocks are read one after the other, and a box may be held up in between: one with a
-/// tenth of a core for up to 90 ms. Shorter suspensions count as time, but are not told.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(150);
+/// Notifies all sleepers after a suspension.
+static RESUMED: Event = Event::new();
+static SIMULATED_SUSPENSION_NS: AtomicU64 = AtomicU64::new(0);
+/// How often `watch` looks for a suspension, and so how late sleepers may notice it.
+/// `now` includes a suspension at once.
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest suspension that is reported. The two clocks are read one after the other, and
+/// a box with a tenth of a core may be delayed for up to 90 ms in between. Shorter
+/// suspensions are included in the time, but are not reported.
+const MIN_SUSPENSION: Duration = Duration::from_millis(150);
