--- a/crates/wingspur/src/args.rs
+++ b/crates/wingspur/src/args.rs
@@ -55,7 +55,7 @@
     Submit(SubmitArgs),
 }
 
-/// Check a bundle whole and print all findings.
+/// Check a bundle and print all findings.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
@@ -67,7 +67,7 @@
     pub json: bool,
 }
 
-/// Sign a bundle off by name.
+/// Sign a bundle under your name.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "sign")]
 pub struct SignArgs {
@@ -85,7 +85,7 @@
     pub out: PathBuf,
 }
 
-/// Put a signed bundle into the store; no box takes it before its rollout.
+/// Put a signed bundle into the store; boxes activate it only after its rollout starts.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub struct SubmitArgs {
@@ -97,7 +97,7 @@
     pub store: SocketAddr,
 }
 
-/// Start a rollout, or see how far it is.
+/// Start a rollout, or show its progress.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "rollout")]
 pub struct RolloutArgs {
@@ -113,7 +113,7 @@
     Status(RolloutStatusArgs),
 }
 
-/// Accept a submitted bundle: from then on every box takes it.
+/// Accept a submitted bundle, so that every box activates it.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "start")]
 pub struct StartArgs {
@@ -128,7 +128,7 @@
     pub json: bool,
 }
 
-/// Show which version is in force on each box, and for how long.
+/// Show which version is active on each box, and for how long.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct RolloutStatusArgs {
@@ -141,13 +141,13 @@
     /// the store's IP address and port
     #[argh(option)]
     pub store: SocketAddr,
-    /// trusted authorities in PEM, where boxes speak TLS
+    /// trusted authorities in PEM, if boxes use TLS
     #[argh(option)]
     pub authorities: Option<PathBuf>,
-    /// your certificate in PEM, where boxes speak TLS
+    /// your certificate in PEM, if boxes use TLS
     #[argh(option)]
     pub certificate: Option<PathBuf>,
-    /// your certificate's key in PEM, where boxes speak TLS
+    /// your certificate's key in PEM, if boxes use TLS
     #[argh(option)]
     pub key: Option<PathBuf>,
     /// print the states as JSON
@@ -155,14 +155,14 @@
     pub json: bool,
 }
 
-/// Show what one box says of itself.
+/// Show the status of one box.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
     /// the box's operator address
     #[argh(positional)]
     pub operator_address: SocketAddr,
-    /// print the answer as JSON
+    /// print the status as JSON
     #[argh(switch)]
     pub json: bool,
 }
@@ -183,7 +183,7 @@
     Show(ShowKeyArgs),
 }
 
-/// Make a secret key; an existing file is never written over.
+/// Make a secret key; an existing file is never overwritten.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "new")]
 pub struct NewKeyArgs {
--- a/crates/wingspur/src/bundle.rs
+++ b/crates/wingspur/src/bundle.rs
@@ -18,24 +18,24 @@
     let bundle: Bundle = read_json(&args.bundle)?;
     let findings = check_bundle(&bundle);
     if args.json {
-        let rows: Vec<BTreeMap<&str, &str>> = findings.iter().map(row).collect();
+        let rows: Vec<BTreeMap<&str, &str>> = findings.iter().map(finding_row).collect();
         print_json(&rows)?;
     }
     if findings.is_empty() {
         if !args.json {
-            println!("The bundle is sound.");
+            println!("The bundle is valid.");
         }
         return Ok(());
     }
-    Err(wrong(&args.bundle, &findings))
+    Err(findings_error(&args.bundle, &findings))
 }
 
-/// Signs a bundle that is sound.
+/// Signs a bundle if it passes all checks, and writes it to a new file.
 pub fn sign(args: &SignArgs) -> CommandResult {
     let bundle: Bundle = read_json(&args.bundle)?;
     let findings = check_bundle(&bundle);
     if !findings.is_empty() {
-        return Err(wrong(&args.bundle, &findings));
+        return Err(findings_error(&args.bundle, &findings));
     }
     let key = read_key(&args.key)?;
     let (signed, _) =
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Puts a signed bundle into the store.
+/// Puts a signed bundle into the store and prints its digest.
 pub fn submit(args: &SubmitArgs) -> CommandResult {
     let file: SignedFile = read_json(&args.signed)?;
     let parts = file.services.iter().map(serde_json::to_vec);
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-fn row(finding: &Finding) -> BTreeMap<&str, &str> {
+fn finding_row(finding: &Finding) -> BTreeMap<&str, &str> {
     BTreeMap::from([
         ("field", finding.field.as_str()),
         ("found", finding.found.as_str()),
@@ -74,7 +74,7 @@
     ])
 }
 
-fn wrong(path: &std::path::Path, findings: &[Finding]) -> CommandError {
+fn findings_error(path: &std::path::Path, findings: &[Finding]) -> CommandError {
     let lines: Vec<String> = findings
         .iter()
         .map(|finding| format!("{}: {finding}", path.display()))
--- a/crates/wingspur/src/keys.rs
+++ b/crates/wingspur/src/keys.rs
@@ -1,4 +1,4 @@
-//! `wingspur keys`: signing keys of persons.
+//! `wingspur keys`: the signing keys of operators.
 
 use std::path::Path;
 
@@ -10,35 +10,35 @@
 use crate::args::{NewKeyArgs, ShowKeyArgs};
 use crate::report::{CommandError, write_new};
 
-/// Makes a secret key and shows its public half.
+/// Writes a new secret key to a file and prints its public key.
 pub fn new(args: &NewKeyArgs) -> CommandResult {
     let key = SigningKey::from_bytes(&rand::random());
     write_new(&args.key, &format!("{}\n", STANDARD.encode(key.to_bytes())))?;
-    println!("{}", public(&key));
+    println!("{}", public_key(&key));
     Ok(())
 }
 
-/// Shows the public half of a secret key.
+/// Prints the public key of a secret key.
 pub fn show(args: &ShowKeyArgs) -> CommandResult {
-    println!("{}", public(&read_key(&args.key)?));
+    println!("{}", public_key(&read_key(&args.key)?));
     Ok(())
 }
 
-/// Reads a secret key.
+/// Reads a secret key from a file, as 32 bytes in base64.
 pub fn read_key(path: &Path) -> Result<SigningKey, CommandError> {
-    let wrong = |what: &str| {
+    let input_error = |what: &str| {
         CommandError::WrongInput(format!(
             "{}: {what}; make one by `keys new`",
             path.display()
         ))
     };
-    let text = std::fs::read_to_string(path).map_err(|e| wrong(&e.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|e| input_error(&e.to_string()))?;
     let bytes = STANDARD.decode(text.trim()).ok();
     let bytes = bytes.and_then(|bytes| <[u8; 32]>::try_from(bytes).ok());
-    let bytes = bytes.ok_or_else(|| wrong("not a secret key"))?;
+    let bytes = bytes.ok_or_else(|| input_error("not a secret key"))?;
     Ok(SigningKey::from_bytes(&bytes))
 }
 
-fn public(key: &SigningKey) -> String {
+fn public_key(key: &SigningKey) -> String {
     STANDARD.encode(key.verifying_key().to_bytes())
 }
--- a/crates/wingspur/src/logs.rs
+++ b/crates/wingspur/src/logs.rs
@@ -1,16 +1,17 @@
-//! Log lines to standard output: a bounded queue that never holds up a request.
+//! Writes log lines to standard output through a bounded queue, so that logging never
+//! blocks a request.
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use wingspur_edge::{LogFormat, LogSettings};
 
 use crate::report::CommandError;
 
-/// The running log; lines still in the queue are written when it is closed.
+/// The log of the process; lines still in the queue are written when it is closed.
 pub struct Logs {
     guard: WorkerGuard,
     dropped: ErrorCounter,
-    /// Dropped lines that have been told of.
-    told: usize,
+    /// Number of dropped lines that were reported so far.
+    reported: usize,
 }
 
 impl Logs {
@@ -24,7 +25,7 @@
         })?;
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(MOST_WAITING_LINES)
+            .buffered_lines_limit(MAX_QUEUED_LINES)
             .thread_name("log")
             .finish(std::io::stdout());
         let dropped = writer.error_counter();
@@ -37,27 +38,28 @@
         Ok(Self {
             guard,
             dropped,
-            told: 0,
+            reported: 0,
         })
     }
 
-    /// Tells of lines that were dropped since this was last asked; returns all that were.
+    /// Logs how many lines were dropped since the last call, if any, and returns how many
+    /// were dropped in total.
     pub fn report_dropped(&mut self) -> usize {
-        let all = self.dropped.dropped_lines();
-        if all > self.told {
-            let (lines, told) = (all - self.told, self.told);
-            tracing::warn!(lines, before = told, "log: lines were dropped.");
-            self.told = all;
+        let total = self.dropped.dropped_lines();
+        if total > self.reported {
+            let (lines, reported) = (total - self.reported, self.reported);
+            tracing::warn!(lines, before = reported, "log: lines were dropped.");
+            self.reported = total;
         }
-        all
+        total
     }
 
-    /// Writes what waits, for a moment at most, and ends.
+    /// Writes the queued lines, within a short time limit, and ends the log.
     pub fn close(self) {
         drop(self.guard);
     }
 }
 
-/// Lines that may wait for a slow reader: two megabytes at most, and some seconds of a
-/// storm of failures.
-const MOST_WAITING_LINES: usize = 4096;
+/// Maximum number of lines that wait for a slow reader. They take at most two megabytes,
+/// and hold some seconds of log lines when many requests fail.
+const MAX_QUEUED_LINES: usize = 4096;
--- a/crates/wingspur/src/main.rs
+++ b/crates/wingspur/src/main.rs
@@ -1,4 +1,4 @@
-//! The `wingspur` binary: a box, and the operators' commands.
+//! The `wingspur` binary: runs a box, and has the operators' commands.
 
 mod args;
 mod bundle;
@@ -18,7 +18,7 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let ended = match args.command {
+    let result = match args.command {
         Command::Run(args) => run::run(&args),
         Command::Bundle(args) => match args.command {
             BundleCommand::Check(args) => bundle::check(&args),
@@ -35,7 +35,7 @@
             KeysCommand::Show(args) => keys::show(&args),
         },
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("error: {failure}");
--- a/crates/wingspur/src/report.rs
+++ b/crates/wingspur/src/report.rs
@@ -9,7 +9,7 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// It could not be done now.
+    /// It could not be done; another try may succeed.
     #[error("{0}")]
     Failed(String),
     /// The input is wrong.
@@ -21,12 +21,12 @@
 }
 
 impl CommandError {
-    /// A failure of something that may go better another time.
+    /// Creates a failure that may not occur on another try.
     pub fn failed(error: impl Display) -> Self {
         Self::Failed(error.to_string())
     }
 
-    /// The exit code, as `--help` states them.
+    /// Returns the exit code, as listed by `--help`.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Failed(_) => ExitCode::from(1),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a JSON file; the message names the file and the place.
+/// Reads a JSON file; an error names the file and the position in it.
 pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, CommandError> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|error| {
@@ -49,7 +49,7 @@
     })
 }
 
-/// Writes a file that must not exist yet.
+/// Writes a new file; fails if it exists.
 pub fn write_new(path: &Path, text: &str) -> Result<(), CommandError> {
     use std::io::Write;
     let shown = path.display();
@@ -61,7 +61,7 @@
         .map_err(CommandError::failed)
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &impl serde::Serialize) -> Result<(), CommandError> {
     let text = serde_json::to_string_pretty(value).map_err(CommandError::failed)?;
     println!("{text}");
--- a/crates/wingspur/src/rollout.rs
+++ b/crates/wingspur/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `wingspur rollout`: acceptance of a bundle, and how far it has come.
+//! `wingspur rollout`: accepts a bundle, and shows the progress of its rollout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,8 @@
 use crate::signed_file::SignedFile;
 use crate::store::with_store;
 
-/// What a rollout's start came to.
+/// The result of a rollout's start. If it was not accepted, `version` and `signer` are
+/// those of the bundle that was accepted first.
 #[derive(Serialize)]
 struct StartOutcome {
     accepted: bool,
@@ -27,21 +28,21 @@
     signer: String,
 }
 
-/// What a rollout has come to.
+/// The progress of a rollout.
 #[derive(Serialize)]
 struct RolloutReport {
     accepted_version: Option<u64>,
     boxes: Vec<BoxRow>,
 }
 
-/// One box in a rollout.
+/// The status of one box; `None` if it does not reply.
 #[derive(Serialize)]
 struct BoxRow {
     id: String,
     status: Option<BoxStatus>,
 }
 
-/// Accepts a submitted bundle.
+/// Accepts a submitted bundle; fails with a version conflict if another was first.
 pub fn start(args: &StartArgs) -> CommandResult {
     let file: SignedFile = read_json(&args.signed)?;
     let keys = StoreKeys::new(&file.fleet);
@@ -82,12 +83,12 @@
     }
 }
 
-/// Shows which version is in force on each listed box.
+/// Shows which version is active on each listed box.
 pub fn status(args: &RolloutStatusArgs) -> CommandResult {
     let workers = Workers::start(2);
-    let exchange = || HttpClient::new(workers.spawner(), FaultInjector::default());
-    let peers = exchange().with_identity(identity(args)?);
-    let report = smol::block_on(gather(args, exchange(), &peers));
+    let new_client = || HttpClient::new(workers.spawner(), FaultInjector::default());
+    let peers = new_client().with_identity(identity(args)?);
+    let report = smol::block_on(collect_report(args, new_client(), &peers));
     workers.close();
     let report = report?;
     if args.json {
@@ -112,7 +113,8 @@
     Ok(())
 }
 
-/// Who the operator is towards boxes that speak TLS: all three files, or none.
+/// Loads the operator's TLS identity towards boxes; `None` without TLS. Either all three
+/// files are given or none.
 fn identity(args: &RolloutStatusArgs) -> Result<Option<Arc<TlsIdentity>>, CommandError> {
     let files = match (&args.authorities, &args.certificate, &args.key) {
         (None, None, None) => return Ok(None),
@@ -133,12 +135,12 @@
     Ok(Some(Arc::new(identity)))
 }
 
-async fn gather(
+async fn collect_report(
     args: &RolloutStatusArgs,
-    exchange: HttpClient,
+    client: HttpClient,
     peers: &HttpClient,
 ) -> Result<RolloutReport, CommandError> {
-    let list = exchange.get(args.box_list, "/boxes", TIMEOUT).await;
+    let list = client.get(args.box_list, "/boxes", TIMEOUT).await;
     let list = list.map_err(|error| {
         CommandError::Failed(format!(
             "{}: no box list: {error}; try again",
@@ -148,13 +150,13 @@
     let list: BoxList = serde_json::from_slice(&list).map_err(CommandError::failed)?;
     let mut boxes = Vec::with_capacity(list.boxes.len());
     for listed in &list.boxes {
-        let status = ask_status(peers, &args.fleet, listed).await;
+        let status = fetch_status(peers, &args.fleet, listed).await;
         boxes.push(BoxRow {
             id: listed.id.clone(),
             status,
         });
     }
-    let store = StoreClient::new(args.store, exchange.into(), TIMEOUT);
+    let store = StoreClient::new(args.store, client.into(), TIMEOUT);
     let pointer = load_pointer(&store, &StoreKeys::new(&args.fleet)).await;
     let pointer = pointer.ok().flatten();
     let accepted_version = pointer.map(|(pointer, _)| pointer.version);
@@ -164,8 +166,8 @@
     })
 }
 
-async fn ask_status(
-    exchange: &HttpClient,
+async fn fetch_status(
+    client: &HttpClient,
     fleet: &str,
     listed: &ListedBox,
 ) -> Option<BoxStatus> {
@@ -178,7 +180,7 @@
         message: PeerMessage::Status,
     };
     let body = encode_peer(&envelope);
-    let reply = exchange
+    let reply = client
         .post(listed.peer_address, "/peer", body, TIMEOUT)
         .await
         .ok()?;
--- a/crates/wingspur/src/run.rs
+++ b/crates/wingspur/src/run.rs
@@ -1,4 +1,4 @@
-//! `wingspur run`: an entry box until it is told to stop.
+//! `wingspur run`: runs a box until a signal stops it.
 
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
@@ -15,13 +15,14 @@
 use crate::logs::Logs;
 use crate::report::CommandError;
 
-/// Runs a box; the first signal stops it as planned, an interrupt after that at once.
+/// Runs a box. The first SIGTERM or SIGINT shuts it down gracefully; a SIGINT after that
+/// stops it at once.
 pub fn run(args: &RunArgs) -> CommandResult {
     let settings = load_settings(&args.settings);
     let settings =
         settings.map_err(|error| CommandError::WrongInput(error.to_string()))?;
     if args.check {
-        println!("The settings are sound.");
+        println!("The settings are valid.");
         return Ok(());
     }
     let mut logs = Logs::start(&settings.log)?;
@@ -31,19 +32,19 @@
     let workers = Workers::start(settings.worker_threads);
     let spawner = workers.spawner();
     spawner.detach(wingspur_clock::watch());
-    let ended = smol::block_on(async {
+    let result = smol::block_on(async {
         let running = Running::start(settings, &spawner).await?;
         run_until_stop(&running, &args.settings, &mut signals, &mut logs).await;
         let stopping = async { Some(running.close().await) };
         let interrupted = async {
-            until_interrupted(&mut signals).await;
+            wait_for_interrupt(&mut signals).await;
             None
         };
         Ok(stopping.or(interrupted).await)
     });
     workers.close();
     logs.close();
-    match ended? {
+    match result? {
         Some(0) => Ok(()),
         Some(cut) => Err(CommandError::Failed(format!("{cut} requests were cut"))),
         None => Err(CommandError::Failed(
@@ -52,8 +53,8 @@
     }
 }
 
-/// Runs until a signal to stop; takes up the settings at each SIGHUP, and whenever the
-/// file has changed.
+/// Runs until SIGTERM or SIGINT. Reads the settings file at each SIGHUP and periodically,
+/// and applies the settings if the file has changed.
 async fn run_until_stop(
     running: &Running,
     path: &Path,
@@ -64,7 +65,7 @@
     loop {
         let signalled = async { signals.next().await };
         let elapsed = async {
-            wingspur_clock::sleep(FILE_CHECK).await;
+            wingspur_clock::sleep(SETTINGS_CHECK_INTERVAL).await;
             Some(Ok(Signal::Hup))
         };
         match signalled.or(elapsed).await {
@@ -75,7 +76,7 @@
         let new = match std::fs::read_to_string(path) {
             Ok(new) => new,
             Err(error) => {
-                tracing::warn!(%error, "settings: cannot be read, the old ones stay.");
+                tracing::warn!(%error, "settings: unreadable, the previous ones stay.");
                 continue;
             }
         };
@@ -86,21 +87,23 @@
         match parse_settings(&path.display().to_string(), &text) {
             Ok(settings) => running.reload(settings),
             Err(error) => {
-                tracing::warn!(%error, "settings: not sound, the old ones stay.");
+                tracing::warn!(%error, "settings: invalid, the previous ones stay.");
             }
         }
     }
 }
 
-/// Waits for a person who does not want to wait for a stop. A second order to stop is no
-/// such thing: two rollouts may both give one, and callers are still to be answered.
-async fn until_interrupted(signals: &mut Signals) {
+/// Waits for a SIGINT, with which an operator ends a shutdown at once. A second SIGTERM
+/// does not: two rollouts may both send one, and callers' requests still need a response.
+async fn wait_for_interrupt(signals: &mut Signals) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Int) => return,
             Ok(Signal::Hup) => {}
-            Ok(signal) => tracing::info!(?signal, "stop: told again, it goes on."),
-            Err(error) => tracing::warn!(%error, "stop: a signal was not read."),
+            Ok(signal) => {
+                tracing::info!(?signal, "stop: another signal, the shutdown goes on.")
+            }
+            Err(error) => tracing::warn!(%error, "stop: a signal cannot be read."),
         }
     }
 }
@@ -109,7 +112,7 @@
     matches!(signal, Ok(Signal::Hup))
 }
 
-/// A box over whichever sources its settings name.
+/// A running box of the kind that the settings ask for: with a catalog or without.
 enum Running {
     Own(Box<EntryBox>),
     Edge(Box<EdgeBox>),
@@ -122,16 +125,18 @@
             let started = EntryBox::start(settings, spawner, faults).await;
             return Ok(Self::Own(Box::new(started.map_err(CommandError::failed)?)));
         };
-        let exchange = HttpClient::new(spawner.clone(), FaultInjector::default());
+        let client = HttpClient::new(spawner.clone(), FaultInjector::default());
         let address = sources.store_address;
-        let catalog = catalog(address, exchange.into(), STORE_TIMEOUT, LEASE_TTL);
+        let catalog = catalog(address, client.into(), STORE_TIMEOUT, LEASE_TTL);
         let started = EdgeBox::start(settings, header_names(), catalog, spawner).await;
         Ok(Self::Edge(Box::new(started.map_err(CommandError::failed)?)))
     }
 
     fn reload(&self, settings: Settings) {
         match self {
-            Self::Own(_) => tracing::info!("settings: a restart takes them up."),
+            Self::Own(_) => {
+                tracing::info!("settings: a restart is needed to apply them.")
+            }
             Self::Edge(running) => running.reload(settings),
         }
     }
@@ -143,7 +148,7 @@
         }
     }
 
-    /// Stops as planned; returns how many requests were cut.
+    /// Shuts down gracefully; returns how many requests were cut off.
     async fn close(self) -> usize {
         match self {
             Self::Own(running) => running.close().await.cut_requests,
@@ -152,7 +157,7 @@
     }
 }
 
-/// Tells what starts, with which settings.
+/// Logs the program's version and the main settings.
 fn log_start(settings: &Settings, path: &Path) {
     let catalog = settings.catalog.as_ref();
     let sources = catalog.map_or("own", |catalog| catalog.form.as_str());
@@ -165,13 +170,13 @@
         operator_address = %settings.operator_address,
         sources,
         settings = %path.display(),
-        "start: the box is coming up."
+        "start: the box is starting."
     );
 }
 
-/// A call of the store takes milliseconds; a slow one is as good as none.
+/// Calls of the store normally take milliseconds; a slower one is treated as failed.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long a box counts as there when it does not renew.
+/// How long a box is considered alive without renewing its lease in the store.
 const LEASE_TTL: Duration = Duration::from_secs(10);
-/// The file may change without a signal.
-const FILE_CHECK: Duration = Duration::from_secs(5);
+/// How often the settings file is checked for changes made without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/wingspur/src/status.rs
+++ b/crates/wingspur/src/status.rs
@@ -1,4 +1,4 @@
-//! `wingspur status`: what one box says of itself.
+//! `wingspur status`: shows the status of one box.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::args::StatusArgs;
 use crate::report::{CommandError, print_json};
 
-/// Shows a box's state.
+/// Requests a box's status from its operator address and prints it.
 pub fn status(args: &StatusArgs) -> CommandResult {
     let workers = Workers::start(1);
-    let exchange = HttpClient::new(workers.spawner(), FaultInjector::default());
-    let got = smol::block_on(exchange.get(args.operator_address, "/status", TIMEOUT));
+    let client = HttpClient::new(workers.spawner(), FaultInjector::default());
+    let response = smol::block_on(client.get(args.operator_address, "/status", TIMEOUT));
     workers.close();
-    let got = got.map_err(|error| {
+    let response = response.map_err(|error| {
         let address = args.operator_address;
         CommandError::Failed(format!("{address}: {error}; is this the operator address?"))
     })?;
-    let status: BoxStatus = serde_json::from_slice(&got).map_err(CommandError::failed)?;
+    let status: BoxStatus =
+        serde_json::from_slice(&response).map_err(CommandError::failed)?;
     if args.json {
         return print_json(&status);
     }
