--- a/crates/wingspur-bench/src/backend.rs
+++ b/crates/wingspur-bench/src/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a backend server, with slots, load reports and gray faults.
+//! Simulated backend server with slots, load reports and gray failures.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,37 +16,38 @@
 use smol::net::TcpListener;
 use wingspur_transport::{HttpListener, ListenerOptions, Spawner};
 
-/// A stand-in backend server.
+/// Simulated backend server, which listens on loopback.
 #[derive(Debug)]
 pub struct BackendStandIn {
     state: Arc<ServerState>,
     listener: HttpListener,
 }
 
-/// How a stand-in server works.
+/// Capacity and response time of a simulated server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerPlan {
-    /// Requests that it works on at once.
+    /// Number of requests that the server works on at the same time.
     pub slots: usize,
-    /// The median time of one request, in milliseconds.
+    /// Median processing time of a request, in milliseconds.
     pub median_ms: f64,
-    /// The standard deviation of that time's logarithm.
+    /// Standard deviation of the natural logarithm of the processing time.
     pub deviation_ln: f64,
 }
 
-/// What is wrong with a server's real work; its health answers are always good.
+/// Gray failure of a server: how its real work fails while its health answers stay good.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Gray {
-    /// Nothing.
+    /// The server is healthy.
     #[default]
     Well,
-    /// Work stalls for ever.
+    /// Requests are never answered.
     Stall,
-    /// Work takes so many times longer.
+    /// Processing times are multiplied by this factor.
     Slow(f64),
-    /// This share of the work fails at once.
+    /// Requests fail with this probability, without any processing time.
     Errors(f64),
-    /// Work stalls in every other period.
+    /// Requests whose processing begins in every other period of this length, beginning
+    /// with the first one, are never answered.
     Flap(Duration),
 }
 
@@ -54,8 +55,8 @@
 struct ServerState {
     plan: ServerPlan,
     gray: Mutex<(Gray, Instant)>,
-    places: Semaphore,
-    waiting: AtomicUsize,
+    free_slots: Semaphore,
+    outstanding: AtomicUsize,
     draining: AtomicBool,
     runs: Mutex<HashMap<String, u32>>,
     requests: AtomicU64,
@@ -65,64 +66,68 @@
 type ServerBody = UnsyncBoxBody<Bytes, std::convert::Infallible>;
 
 impl BackendStandIn {
-    /// Starts a well server on a free loopback port.
+    /// Starts a healthy server on a free loopback port.
     pub async fn start(spawner: &Spawner, plan: ServerPlan) -> std::io::Result<Self> {
-        let port = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
+        let socket = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let state = Arc::new(ServerState {
             plan,
             gray: Mutex::new((Gray::Well, Instant::now())),
-            places: Semaphore::new(plan.slots),
-            waiting: AtomicUsize::new(0),
+            free_slots: Semaphore::new(plan.slots),
+            outstanding: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
             runs: Mutex::default(),
             requests: AtomicU64::new(0),
             last_work: Mutex::new(None),
         });
         let shared = state.clone();
-        let handler = move |request, _| answer(shared.clone(), request);
+        let handler = move |request, _| handle_request(shared.clone(), request);
         let options = ListenerOptions::default();
-        let listener = HttpListener::start(port, spawner, options, handler)?;
+        let listener = HttpListener::start(socket, spawner, options, handler)?;
         Ok(Self { state, listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Makes the server sick, or well again.
+    /// Puts a gray failure into effect, or ends it with [`Gray::Well`].
     pub fn set_gray(&self, gray: Gray) {
         *self.state.gray.lock().expect("no holder panics") = (gray, Instant::now());
     }
 
-    /// Has the server say that it leaves.
+    /// Sets whether responses announce that the server is draining.
     pub fn set_draining(&self, draining: bool) {
         self.state.draining.store(draining, Ordering::Release);
     }
 
-    /// Requests for real work that arrived so far.
+    /// Returns the number of requests received so far, health checks not counted.
     pub fn requests(&self) -> u64 {
         self.state.requests.load(Ordering::Relaxed)
     }
 
-    /// When the last request for real work arrived.
+    /// Returns when the last request that is not a health check arrived, or `None` before
+    /// the first one.
     pub fn last_work(&self) -> Option<Instant> {
         *self.state.last_work.lock().expect("no holder panics")
     }
 
-    /// How often each operation ran, by its key.
+    /// Returns how often each operation ran, by its operation key.
+    ///
+    /// An operation counts as run once it has a slot, even if it then stalls or fails.
     pub fn runs(&self) -> HashMap<String, u32> {
         self.state.runs.lock().expect("no holder panics").clone()
     }
 
-    /// Forgets the runs counted so far.
+    /// Clears the counts that [`Self::runs`] returns.
     pub fn clear_runs(&self) {
         self.state.runs.lock().expect("no holder panics").clear();
     }
 }
 
 impl ServerState {
-    fn gray(&self) -> Gray {
+    /// Returns the failure in effect now, where `Flap` is resolved to `Stall` or `Well`.
+    fn current_failure(&self) -> Gray {
         let (gray, since) = *self.gray.lock().expect("no holder panics");
         match gray {
             Gray::Flap(period) => {
@@ -137,9 +142,10 @@
         }
     }
 
-    fn work_time(&self, factor: f64) -> Duration {
+    /// Draws a log-normally distributed processing time and multiplies it by the factor.
+    fn draw_processing_time(&self, factor: f64) -> Duration {
         let mut random = rand::rng();
-        // Box and Muller: two even draws make one normal draw.
+        // Box-Muller transform: two uniform draws give one normally distributed value.
         let (a, b): (f64, f64) = (random.random(), random.random());
         let normal =
             (-2.0 * (1.0 - a).ln()).sqrt() * (2.0 * std::f64::consts::PI * b).cos();
@@ -147,23 +153,29 @@
         Duration::from_secs_f64(ms / 1000.0)
     }
 
+    /// Returns the outstanding requests as a fraction of the slots, at most 1.
     fn utilisation(&self) -> f64 {
-        let waiting = self.waiting.load(Ordering::Relaxed) as f64;
-        (waiting / self.plan.slots as f64).min(1.0)
+        let outstanding = self.outstanding.load(Ordering::Relaxed) as f64;
+        (outstanding / self.plan.slots as f64).min(1.0)
     }
 }
 
-async fn answer(
+async fn handle_request(
     state: Arc<ServerState>,
     request: Request<Incoming>,
 ) -> Response<ServerBody> {
     if request.uri().path() == "/health" {
-        return plain(StatusCode::OK, Bytes::from_static(b"ok"));
+        return plain_response(StatusCode::OK, Bytes::from_static(b"ok"));
     }
     state.requests.fetch_add(1, Ordering::Relaxed);
     *state.last_work.lock().expect("no holder panics") = Some(Instant::now());
-    if state.waiting.load(Ordering::Relaxed) >= state.plan.slots * QUEUE_PER_SLOT {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"shed"));
+    if state.outstanding.load(Ordering::Relaxed)
+        >= state.plan.slots * MAX_OUTSTANDING_PER_SLOT
+    {
+        return plain_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            Bytes::from_static(b"shed"),
+        );
     }
     let (parts, body) = request.into_parts();
     let body = body
@@ -171,30 +183,30 @@
         .await
         .map(|body| body.to_bytes())
         .unwrap_or_default();
-    let _waiting = WaitGuard::enter(&state.waiting);
-    let _place = state.places.acquire().await;
+    let _outstanding = OutstandingGuard::enter(&state.outstanding);
+    let _slot = state.free_slots.acquire().await;
     if let Some(key) = parts.headers.get("idempotency-key")
         && let Ok(key) = key.to_str()
     {
         let mut runs = state.runs.lock().expect("no holder panics");
         *runs.entry(key.to_owned()).or_default() += 1;
     }
-    match state.gray() {
+    match state.current_failure() {
         Gray::Stall => futures_lite::future::pending::<()>().await,
         Gray::Errors(share) if rand::random::<f64>() < share => {
-            return plain(
+            return plain_response(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 Bytes::from_static(b"bad"),
             );
         }
         Gray::Slow(factor) => {
-            smol::Timer::after(state.work_time(factor)).await;
+            smol::Timer::after(state.draw_processing_time(factor)).await;
         }
         Gray::Well | Gray::Errors(_) | Gray::Flap(_) => {
-            smol::Timer::after(state.work_time(1.0)).await;
+            smol::Timer::after(state.draw_processing_time(1.0)).await;
         }
     }
-    let mut response = make_answer(&parts.headers, body);
+    let mut response = make_response(&parts.headers, body);
     let report = format!(
         "JSON {{\"application_utilization\":{:.3}}}",
         state.utilisation()
@@ -205,35 +217,41 @@
             .insert("endpoint-load-metrics", report);
     }
     if state.draining.load(Ordering::Acquire) {
-        let yes = HeaderValue::from_static("1");
-        response.headers_mut().insert("wingspur-draining", yes);
+        let draining = HeaderValue::from_static("1");
+        response.headers_mut().insert("wingspur-draining", draining);
     }
     response
 }
 
-/// The answer names the request that it belongs to; large ones throughout.
-fn make_answer(headers: &hyper::HeaderMap, body: Bytes) -> Response<ServerBody> {
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    let id = text("x-echo").unwrap_or("none").to_owned();
-    let Some(bytes) = text("x-answer-bytes").and_then(|text| text.parse::<u64>().ok())
+/// Makes the response of a successful request.
+///
+/// It echoes the request body or, if that is empty, the `x-echo` header, so that the
+/// caller can tell whose response it is. With `x-answer-bytes` the body has that length
+/// and repeats the `x-echo` value.
+fn make_response(headers: &hyper::HeaderMap, body: Bytes) -> Response<ServerBody> {
+    let header_text =
+        |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    let id = header_text("x-echo").unwrap_or("none").to_owned();
+    let Some(bytes) =
+        header_text("x-answer-bytes").and_then(|text| text.parse::<u64>().ok())
     else {
         let echo = if body.is_empty() {
             Bytes::from(id)
         } else {
             body
         };
-        return plain(StatusCode::OK, echo);
+        return plain_response(StatusCode::OK, echo);
     };
     let chunk = Bytes::from(id.repeat(CHUNK_BYTES / id.len().max(1) + 1));
-    let frames = futures_lite::stream::unfold(bytes, move |left| {
+    let frames = futures_lite::stream::unfold(bytes, move |remaining| {
         let chunk = chunk.clone();
         async move {
-            if left == 0 {
+            if remaining == 0 {
                 return None;
             }
-            let length = left.min(chunk.len() as u64);
+            let length = remaining.min(chunk.len() as u64);
             let frame = Frame::data(chunk.slice(..length as usize));
-            Some((Ok(frame), left - length))
+            Some((Ok(frame), remaining - length))
         }
     });
     let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
@@ -243,27 +261,30 @@
     response
 }
 
-fn plain(status: StatusCode, body: Bytes) -> Response<ServerBody> {
+fn plain_response(status: StatusCode, body: Bytes) -> Response<ServerBody> {
     let mut response = Response::new(Full::new(body).boxed_unsync());
     *response.status_mut() = status;
     response
 }
 
-struct WaitGuard<'a>(&'a AtomicUsize);
+/// Counts a request as outstanding until it is dropped.
+struct OutstandingGuard<'a>(&'a AtomicUsize);
 
-impl<'a> WaitGuard<'a> {
+impl<'a> OutstandingGuard<'a> {
     fn enter(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for WaitGuard<'_> {
+impl Drop for OutstandingGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Beyond this the server sheds load.
-const QUEUE_PER_SLOT: usize = 20;
+/// Number of outstanding requests, queued or in progress, for each slot from which on the
+/// server answers 503.
+const MAX_OUTSTANDING_PER_SLOT: usize = 20;
+/// Approximate length of a chunk of a generated response body.
 const CHUNK_BYTES: usize = 32 << 10;
--- a/crates/wingspur-bench/src/load.rs
+++ b/crates/wingspur-bench/src/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: each request has its time, however late the one before it is.
+//! Open-loop load: each request is sent at its scheduled time, whether or not earlier
+//! ones have been answered.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,30 +18,31 @@
     BackendPool, FaultInjector, HttpClient, SendBody, SendFailure, Spawner,
 };
 
-/// Sends load to some addresses, as the platform's balancer would.
+/// Load generator that sends each request to a random ready address, as the platform's
+/// balancer would.
 #[derive(Debug)]
 pub struct Load {
     spawner: Spawner,
     targets: Vec<Target>,
-    /// Ends with the load.
-    _watching: Vec<smol::Task<()>>,
+    /// Tasks that poll readiness; dropping them cancels them.
+    _readiness_tasks: Vec<smol::Task<()>>,
 }
 
-/// Where load goes, as long as it is ready.
+/// Address that receives load while it is ready.
 #[derive(Debug, Clone)]
 struct Target {
     pool: Arc<BackendPool>,
     ready: Arc<AtomicBool>,
 }
 
-/// What to send.
+/// Rate, duration and mix of a load.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Requests a second, spread evenly.
+    /// Requests per second, sent at equal intervals.
     pub rate_per_s: f64,
-    /// For how long.
+    /// Time during which requests are sent.
     pub duration: Duration,
-    /// The kinds of request, with their weights.
+    /// The kinds of request, with their relative weights. Not empty.
     pub mix: Vec<(RequestKind, f64)>,
 }
 
@@ -51,14 +53,16 @@
     pub method: &'static str,
     /// The path.
     pub path: &'static str,
-    /// Whether each carries a fresh operation key, and this share is sent twice.
+    /// Probability that a once-only request is sent twice with the same operation key.
+    /// Each operation has a new key. `None` for requests without an operation key.
     pub once_only_repeats: Option<f64>,
-    /// For downloads: the answer's length.
+    /// Length of the requested response in bytes, for downloads. `None` for a response
+    /// that echoes the request.
     pub answer_bytes: Option<u64>,
 }
 
 impl RequestKind {
-    /// A plain request.
+    /// Creates a kind of request without operation key or response length.
     pub fn new(method: &'static str, path: &'static str) -> Self {
         Self {
             method,
@@ -69,45 +73,46 @@
     }
 }
 
-/// What came of it.
+/// Results of a load.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadReport {
-    /// Requests sent.
+    /// Number of requests that ended, including those in `broken` and `unsent`.
     pub sent: u64,
-    /// Whole answers of backend servers.
+    /// Complete responses with a status below 500 that carry no result code.
     pub answered: u64,
-    /// Answers of backend servers that are errors.
+    /// Complete responses with a status of 500 or above that carry no result code.
     pub errors: u64,
-    /// Refusals, by result code.
+    /// Refusals by a box (responses that carry a result code), by that code.
     pub refused: BTreeMap<u16, u64>,
-    /// Connections that failed without any answer to a request that was sent.
+    /// Requests that may have been sent, but got no complete response.
     pub broken: u64,
-    /// Requests that could not be sent: no box was there.
+    /// Requests that could not be sent, for instance because no box listened.
     pub unsent: u64,
-    /// Answers that are not the request's own.
+    /// Responses counted in `answered` whose body is not the one expected.
     pub foreign: u64,
-    /// Latency from the time that the request was due, in milliseconds.
+    /// Median latency from the time that the request was due, in milliseconds.
     pub p50_ms: f64,
-    /// As above.
+    /// 99th percentile of the same latency.
     pub p99_ms: f64,
-    /// As above.
+    /// 99.9th percentile of the same latency.
     pub p999_ms: f64,
-    /// Keys of once-only requests that were told `not_run`.
+    /// Keys of once-only requests whose response said `not_run`.
     #[serde(skip)]
     pub not_run_keys: Vec<String>,
-    /// Keys of once-only requests that ended in any other way.
+    /// Keys of once-only requests that ended in any other way, except those that could
+    /// not be sent.
     #[serde(skip)]
     pub other_keys: Vec<String>,
 }
 
 #[derive(Debug)]
-struct Tally {
+struct LoadStats {
     report: LoadReport,
     latency: Histogram<u64>,
 }
 
 impl Load {
-    /// A load on these addresses, whatever they say.
+    /// Creates a generator that sends to all addresses and ignores readiness.
     pub fn new(spawner: &Spawner, addresses: &[SocketAddr]) -> Self {
         let target = |address: &SocketAddr| Target {
             pool: Arc::new(BackendPool::new(*address, spawner.clone())),
@@ -116,30 +121,32 @@
         Self {
             spawner: spawner.clone(),
             targets: addresses.iter().map(target).collect(),
-            _watching: Vec::new(),
+            _readiness_tasks: Vec::new(),
         }
     }
 
-    /// A load on those boxes of a fleet that say they are ready.
+    /// Creates a generator that sends to those boxes of a fleet that report ready.
+    ///
+    /// Boxes count as ready until their first poll has ended.
     pub fn balanced(spawner: &Spawner, settings: &[Settings]) -> Self {
         let addresses: Vec<SocketAddr> = settings
             .iter()
             .map(|settings| settings.caller_address)
             .collect();
         let mut load = Self::new(spawner, &addresses);
-        let exchange =
-            Arc::new(HttpClient::new(spawner.clone(), FaultInjector::default()));
+        let client = Arc::new(HttpClient::new(spawner.clone(), FaultInjector::default()));
         for (target, settings) in load.targets.iter().zip(settings) {
-            let watching = watch(
-                exchange.clone(),
+            let polling = poll_readiness(
+                client.clone(),
                 settings.operator_address,
                 target.ready.clone(),
             );
-            load._watching.push(spawner.spawn(watching));
+            load._readiness_tasks.push(spawner.spawn(polling));
         }
         load
     }
 
+    /// Draws one of the ready targets, or takes the first target if none is ready.
     fn draw_pool(&self) -> Arc<BackendPool> {
         let ready: Vec<&Target> = self
             .targets
@@ -150,9 +157,9 @@
         ready.get(index).unwrap_or(&&self.targets[0]).pool.clone()
     }
 
-    /// Sends the load and waits for all answers.
+    /// Sends the load and waits until every request has ended.
     pub async fn run(&self, options: &LoadOptions) -> LoadReport {
-        let tally = Arc::new(Mutex::new(Tally::new()));
+        let stats = Arc::new(Mutex::new(LoadStats::new()));
         let start = Instant::now();
         let total = (options.rate_per_s * options.duration.as_secs_f64()) as u64;
         let mut tasks = Vec::new();
@@ -161,7 +168,7 @@
             if due > Instant::now() {
                 smol::Timer::at(due).await;
             }
-            let kind = draw(&options.mix);
+            let kind = draw_kind(&options.mix);
             let pool = self.draw_pool();
             let key = kind.once_only_repeats.map(|_| random_id());
             let repeat = kind
@@ -169,32 +176,32 @@
                 .is_some_and(|share| rand::random::<f64>() < share);
             if repeat {
                 let pool = self.draw_pool();
-                let (kind, key, tally) = (kind.clone(), key.clone(), tally.clone());
-                tasks.push(self.spawner.spawn(send_one(pool, kind, key, due, tally)));
+                let (kind, key, stats) = (kind.clone(), key.clone(), stats.clone());
+                tasks.push(self.spawner.spawn(send_one(pool, kind, key, due, stats)));
             }
             tasks.push(
                 self.spawner
-                    .spawn(send_one(pool, kind, key, due, tally.clone())),
+                    .spawn(send_one(pool, kind, key, due, stats.clone())),
             );
         }
         for task in tasks {
             task.await;
         }
-        let tally = Arc::try_unwrap(tally).expect("all tasks have ended");
-        tally.into_inner().expect("no holder panics").close()
+        let stats = Arc::try_unwrap(stats).expect("all tasks have ended");
+        stats.into_inner().expect("no holder panics").into_report()
     }
 }
 
 impl LoadReport {
-    /// Keys of which every request was told `not_run`.
+    /// Returns the keys for which every request that was sent got `not_run`.
     pub fn keys_not_run(&self) -> HashSet<&String> {
-        let others: HashSet<&String> = self.other_keys.iter().collect();
+        let other_keys: HashSet<&String> = self.other_keys.iter().collect();
         let not_run = self.not_run_keys.iter();
-        not_run.filter(|key| !others.contains(key)).collect()
+        not_run.filter(|key| !other_keys.contains(key)).collect()
     }
 }
 
-impl Tally {
+impl LoadStats {
     fn new() -> Self {
         let report = LoadReport {
             sent: 0,
@@ -210,27 +217,35 @@
             not_run_keys: Vec::new(),
             other_keys: Vec::new(),
         };
-        let latency = Histogram::new(3).expect("three digits are allowed");
+        let latency =
+            Histogram::new(3).expect("a precision of three significant digits is valid");
         Self { report, latency }
     }
 
-    fn close(self) -> LoadReport {
-        let at = |quantile| self.latency.value_at_quantile(quantile) as f64 / 1000.0;
+    fn into_report(self) -> LoadReport {
+        let quantile_ms =
+            |quantile| self.latency.value_at_quantile(quantile) as f64 / 1000.0;
         LoadReport {
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
-            p999_ms: at(0.999),
+            p50_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
+            p999_ms: quantile_ms(0.999),
             ..self.report
         }
     }
 }
 
-/// Asks a box for its readiness as often as a balancer would.
-async fn watch(exchange: Arc<HttpClient>, operator: SocketAddr, ready: Arc<AtomicBool>) {
+/// Polls the readiness of a box as often as a balancer would, until it is cancelled.
+async fn poll_readiness(
+    client: Arc<HttpClient>,
+    operator_address: SocketAddr,
+    ready: Arc<AtomicBool>,
+) {
     loop {
-        let got = exchange.get(operator, "/ready", READY_EVERY * 5).await;
-        ready.store(got.is_ok(), Ordering::Release);
-        smol::Timer::after(READY_EVERY).await;
+        let response = client
+            .get(operator_address, "/ready", READINESS_POLL_INTERVAL * 5)
+            .await;
+        ready.store(response.is_ok(), Ordering::Release);
+        smol::Timer::after(READINESS_POLL_INTERVAL).await;
     }
 }
 
@@ -239,7 +254,7 @@
     kind: RequestKind,
     key: Option<String>,
     due: Instant,
-    tally: Arc<Mutex<Tally>>,
+    stats: Arc<Mutex<LoadStats>>,
 ) {
     let id = random_id();
     let mut request = Request::builder()
@@ -257,76 +272,82 @@
         "POST" => SendBody::buffered(Bytes::from(id.clone())),
         _ => SendBody::empty(),
     };
-    let request = request.body(body).expect("the kinds are constants");
-    let ended = exchange(&pool, request).await;
-    let took_us = due.elapsed().as_micros() as u64;
-    let mut tally = tally.lock().expect("no holder panics");
-    tally.report.sent += 1;
-    let (status, code, body) = match ended {
-        Ended::Answered(status, code, body) => (status, code, body),
-        Ended::Broken => {
-            tally.report.broken += 1;
-            tally.report.other_keys.extend(key);
+    let request = request
+        .body(body)
+        .expect("request kinds are constants that form valid requests");
+    let outcome = send_request(&pool, request).await;
+    let latency_us = due.elapsed().as_micros() as u64;
+    let mut stats = stats.lock().expect("no holder panics");
+    stats.report.sent += 1;
+    let (status, code, body) = match outcome {
+        RequestOutcome::Answered(status, code, body) => (status, code, body),
+        RequestOutcome::Interrupted => {
+            stats.report.broken += 1;
+            stats.report.other_keys.extend(key);
             return;
         }
-        Ended::Unsent => {
-            tally.report.unsent += 1;
+        RequestOutcome::Unsent => {
+            stats.report.unsent += 1;
             return;
         }
     };
-    // Values above the histogram's range do not occur: deadlines bound them.
-    let _ = tally.latency.record(took_us.max(1));
+    // Deadlines bound the latency, so no value exceeds the histogram's range.
+    let _ = stats.latency.record(latency_us.max(1));
     if let Some(code) = code {
-        *tally.report.refused.entry(code).or_default() += 1;
+        *stats.report.refused.entry(code).or_default() += 1;
         let not_run = body.windows(9).any(|window| window == b"\"not_run\"");
         match not_run {
-            true => tally.report.not_run_keys.extend(key),
-            false => tally.report.other_keys.extend(key),
+            true => stats.report.not_run_keys.extend(key),
+            false => stats.report.other_keys.extend(key),
         }
         return;
     }
-    tally.report.other_keys.extend(key);
+    stats.report.other_keys.extend(key);
     if status >= 500 {
-        tally.report.errors += 1;
+        stats.report.errors += 1;
         return;
     }
-    tally.report.answered += 1;
-    let own = match kind.answer_bytes {
+    stats.report.answered += 1;
+    let is_matching = match kind.answer_bytes {
         Some(bytes) => body.len() as u64 == bytes && body.starts_with(id.as_bytes()),
         None => body == id.as_bytes(),
     };
-    tally.report.foreign += u64::from(!own);
+    stats.report.foreign += u64::from(!is_matching);
 }
 
-/// How a request ended: with its status, result code and body, or without an answer.
-enum Ended {
+/// How a request ended.
+enum RequestOutcome {
+    /// Complete response with its status, result code and body.
     Answered(u16, Option<u16>, Bytes),
-    Broken,
+    /// The request may have been sent, but got no complete response.
+    Interrupted,
+    /// The request was not sent.
     Unsent,
 }
 
-async fn exchange(pool: &BackendPool, request: Request<SendBody>) -> Ended {
+async fn send_request(pool: &BackendPool, request: Request<SendBody>) -> RequestOutcome {
     let (response, lease) = match pool.send(request).await {
-        Ok(answered) => answered,
-        Err(SendFailure::NotSent { .. }) => return Ended::Unsent,
-        Err(SendFailure::MaybeSent(_)) => return Ended::Broken,
+        Ok(leased) => leased,
+        Err(SendFailure::NotSent { .. }) => return RequestOutcome::Unsent,
+        Err(SendFailure::MaybeSent(_)) => return RequestOutcome::Interrupted,
     };
     let status = response.status().as_u16();
     let code = response.headers().get("wingspur-result");
     let code = code.and_then(|value| value.to_str().ok()?.parse().ok());
     let Ok(body) = response.into_body().collect().await else {
-        return Ended::Broken;
+        return RequestOutcome::Interrupted;
     };
     pool.release(lease);
-    Ended::Answered(status, code, body.to_bytes())
+    RequestOutcome::Answered(status, code, body.to_bytes())
 }
 
-fn draw(mix: &[(RequestKind, f64)]) -> RequestKind {
+/// Draws a kind of request with probabilities in proportion to the weights.
+fn draw_kind(mix: &[(RequestKind, f64)]) -> RequestKind {
     let total: f64 = mix.iter().map(|(_, weight)| weight).sum();
-    let mut at = rand::random::<f64>() * total;
+    let mut remaining = rand::random::<f64>() * total;
     for (kind, weight) in mix {
-        at -= weight;
-        if at < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return kind.clone();
         }
     }
@@ -337,5 +358,5 @@
     format!("{:032x}", rand::random::<u128>())
 }
 
-/// How often readiness is asked for.
-const READY_EVERY: Duration = Duration::from_millis(50);
+/// Pause between two polls of readiness; a poll times out after five times this.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/wingspur-bench/src/store.rs
+++ b/crates/wingspur-bench/src/store.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the platform's key-value service: the etcd v3 JSON subset, in memory.
+//! In-memory simulation of the platform's key-value service, with the subset of the etcd
+//! v3 JSON interface that is used.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,41 +16,41 @@
 use smol::net::TcpListener;
 use wingspur_transport::{HttpListener, ListenerOptions, Spawner};
 
-/// The stand-in; its faults can be changed while it runs.
+/// Simulated store on loopback, whose faults can be changed while it runs.
 #[derive(Debug)]
 pub struct StoreStandIn {
     state: Arc<Mutex<StoreState>>,
     listener: HttpListener,
 }
 
-/// What befalls calls to the store.
+/// Fault that affects all calls to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Nothing.
+    /// Calls work normally.
     #[default]
     None,
-    /// No call is answered or takes effect, and watches are cut.
+    /// No call is answered or takes effect, and open watches are closed.
     Down,
-    /// Each call waits first.
+    /// Each call is delayed by this time before it takes effect.
     Slow(Duration),
-    /// Writes take effect, and no write is answered.
+    /// Writes take effect, but none is answered.
     LoseWriteReplies,
-    /// Every `n`th write takes effect without an answer.
+    /// All writes take effect, but every `n`th one is not answered.
     LoseEveryNthReply(u64),
 }
 
 #[derive(Debug, Default)]
 struct StoreState {
     revision: i64,
-    pairs: BTreeMap<Vec<u8>, Stored>,
+    pairs: BTreeMap<Vec<u8>, StoredValue>,
     watches: Vec<Watch>,
     calls: HashMap<&'static str, u64>,
     fault: StoreFault,
-    writes: u64,
+    write_count: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Stored {
+struct StoredValue {
     value: Vec<u8>,
     mod_revision: i64,
 }
@@ -65,21 +66,21 @@
 impl StoreStandIn {
     /// Starts an empty store on a free loopback port.
     pub async fn start(spawner: &Spawner) -> std::io::Result<Self> {
-        let port = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
+        let socket = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let state = Arc::new(Mutex::new(StoreState::default()));
         let shared = state.clone();
-        let handler = move |request, _| answer(shared.clone(), request);
+        let handler = move |request, _| handle_call(shared.clone(), request);
         let options = ListenerOptions::default();
-        let listener = HttpListener::start(port, spawner, options, handler)?;
+        let listener = HttpListener::start(socket, spawner, options, handler)?;
         Ok(Self { state, listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that the store listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Puts a fault in force.
+    /// Sets the current fault; [`StoreFault::Down`] also closes all open watches.
     pub fn set_fault(&self, fault: StoreFault) {
         let mut state = self.lock();
         state.fault = fault;
@@ -88,26 +89,27 @@
         }
     }
 
-    /// Calls so far, by kind; a watch counts when it is opened.
+    /// Returns the number of calls so far by kind; a watch counts when it is opened.
     pub fn calls(&self) -> HashMap<&'static str, u64> {
         self.lock().calls.clone()
     }
 
-    /// Watches that wait now.
+    /// Returns the number of open watches.
     pub fn open_watches(&self) -> usize {
         let mut state = self.lock();
         state.watches.retain(|watch| !watch.sender.is_closed());
         state.watches.len()
     }
 
-    /// Keys under a prefix, with the bytes of their values.
+    /// Returns the keys that start with a prefix, with the lengths of their values in
+    /// bytes.
     pub fn sizes(&self, prefix: &str) -> Vec<(String, usize)> {
         let state = self.lock();
-        let inside = state
+        let matching = state
             .pairs
             .iter()
             .filter(|(k, _)| k.starts_with(prefix.as_bytes()));
-        inside
+        matching
             .map(|(key, stored)| {
                 (
                     String::from_utf8_lossy(key).into_owned(),
@@ -122,7 +124,7 @@
     }
 }
 
-async fn answer(
+async fn handle_call(
     state: Arc<Mutex<StoreState>>,
     request: Request<Incoming>,
 ) -> Response<StoreBody> {
@@ -144,35 +146,38 @@
         .map(|body| body.to_bytes());
     let body: Option<Value> = body.ok().and_then(|b| serde_json::from_slice(&b).ok());
     let Some(body) = body else {
-        return plain(StatusCode::BAD_REQUEST, "not JSON");
+        return plain_response(StatusCode::BAD_REQUEST, "not JSON");
     };
-    let answered = {
+    let reply = {
         let mut state = state.lock().expect("no holder panics");
         match path.as_str() {
-            "/v3/kv/range" => Answered::Read(state.range(&body)),
-            "/v3/kv/txn" => Answered::Wrote(state.txn(&body), state.loses_reply()),
+            "/v3/kv/range" => CallReply::Read(state.range(&body)),
+            "/v3/kv/txn" => CallReply::Wrote(state.txn(&body), state.loses_reply()),
             "/v3/kv/deleterange" => {
-                Answered::Wrote(state.delete_range(&body), state.loses_reply())
+                CallReply::Wrote(state.delete_range(&body), state.loses_reply())
             }
             "/v3/watch" => return state.watch(&body),
-            _ => return plain(StatusCode::NOT_FOUND, "not in the subset"),
+            _ => return plain_response(StatusCode::NOT_FOUND, "not in the subset"),
         }
     };
-    let (answered, lost) = match answered {
-        Answered::Read(value) => (value, false),
-        Answered::Wrote(value, lost) => (value, lost),
+    let (reply, is_reply_lost) = match reply {
+        CallReply::Read(value) => (value, false),
+        CallReply::Wrote(value, is_reply_lost) => (value, is_reply_lost),
     };
-    if lost {
+    if is_reply_lost {
         futures_lite::future::pending::<()>().await;
     }
-    match answered {
-        Some(value) => plain(StatusCode::OK, &value.to_string()),
-        None => plain(StatusCode::BAD_REQUEST, "a field is missing or too large"),
+    match reply {
+        Some(value) => plain_response(StatusCode::OK, &value.to_string()),
+        None => {
+            plain_response(StatusCode::BAD_REQUEST, "a field is missing or too large")
+        }
     }
 }
 
-/// A call's answer, and for a write whether its reply is lost.
-enum Answered {
+/// Reply of a call, `None` if the call is invalid; for a write also whether the reply is
+/// lost.
+enum CallReply {
     Read(Option<Value>),
     Wrote(Option<Value>, bool),
 }
@@ -180,13 +185,13 @@
 impl StoreState {
     fn range(&mut self, body: &Value) -> Option<Value> {
         self.count("range");
-        let key = bytes(body, "key")?;
-        let kvs: Vec<Value> = match bytes(body, "range_end") {
-            Some(end) => self.pairs.range(key..end).map(pair).collect(),
+        let key = decode_field(body, "key")?;
+        let kvs: Vec<Value> = match decode_field(body, "range_end") {
+            Some(end) => self.pairs.range(key..end).map(kv_json).collect(),
             None => self
                 .pairs
                 .get_key_value(&key)
-                .map(pair)
+                .map(kv_json)
                 .into_iter()
                 .collect(),
         };
@@ -196,12 +201,13 @@
     fn txn(&mut self, body: &Value) -> Option<Value> {
         self.count("txn");
         let holds = body["compare"].as_array()?.iter().all(|compare| {
-            let key = bytes(compare, "key").unwrap_or_default();
-            let wanted = compare["mod_revision"]
+            let key = decode_field(compare, "key").unwrap_or_default();
+            let expected_revision = compare["mod_revision"]
                 .as_str()
                 .and_then(|r| r.parse().ok());
-            let present = self.pairs.get(&key).map_or(0, |stored| stored.mod_revision);
-            wanted == Some(present)
+            let current_revision =
+                self.pairs.get(&key).map_or(0, |stored| stored.mod_revision);
+            expected_revision == Some(current_revision)
         });
         let operations = if holds {
             &body["success"]
@@ -211,11 +217,11 @@
         let mut responses = Vec::new();
         for operation in operations.as_array()? {
             if let Some(put) = operation.get("requestPut") {
-                self.put(bytes(put, "key")?, bytes(put, "value")?)?;
+                self.put(decode_field(put, "key")?, decode_field(put, "value")?)?;
                 responses.push(json!({ "response_put": {} }));
             } else if let Some(range) = operation.get("requestRange") {
-                let key = bytes(range, "key")?;
-                let found = self.pairs.get_key_value(&key).map(pair);
+                let key = decode_field(range, "key")?;
+                let found = self.pairs.get_key_value(&key).map(kv_json);
                 let kvs: Vec<Value> = found.into_iter().collect();
                 responses.push(json!({ "response_range": { "kvs": kvs } }));
             }
@@ -226,26 +232,27 @@
 
     fn delete_range(&mut self, body: &Value) -> Option<Value> {
         self.count("delete");
-        let (from, to) = (bytes(body, "key")?, bytes(body, "range_end")?);
-        let gone: Vec<Vec<u8>> =
+        let (from, to) = (decode_field(body, "key")?, decode_field(body, "range_end")?);
+        let deleted: Vec<Vec<u8>> =
             self.pairs.range(from..to).map(|(k, _)| k.clone()).collect();
         self.revision += 1;
-        for key in &gone {
+        for key in &deleted {
             self.pairs.remove(key);
         }
-        Some(json!({ "header": self.header(), "deleted": gone.len().to_string() }))
+        Some(json!({ "header": self.header(), "deleted": deleted.len().to_string() }))
     }
 
     fn put(&mut self, key: Vec<u8>, value: Vec<u8>) -> Option<()> {
-        if value.len() > MOST_VALUE_BYTES {
+        if value.len() > MAX_VALUE_BYTES {
             return None;
         }
         self.revision += 1;
-        let stored = Stored {
+        let stored = StoredValue {
             value,
             mod_revision: self.revision,
         };
-        let event = json!({ "result": { "events": [{ "kv": pair((&key, &stored)) }] } });
+        let event =
+            json!({ "result": { "events": [{ "kv": kv_json((&key, &stored)) }] } });
         let line = Bytes::from(format!("{event}\n"));
         self.watches.retain(|watch| {
             watch.key != key || watch.sender.try_send(line.clone()).is_ok()
@@ -257,21 +264,22 @@
     fn watch(&mut self, body: &Value) -> Response<StoreBody> {
         self.count("watch");
         let create = &body["create_request"];
-        let Some(key) = bytes(create, "key") else {
-            return plain(StatusCode::BAD_REQUEST, "no key");
+        let Some(key) = decode_field(create, "key") else {
+            return plain_response(StatusCode::BAD_REQUEST, "no key");
         };
         let start = create["start_revision"]
             .as_str()
             .and_then(|r| r.parse().ok());
-        let (sender, receiver) = async_channel::bounded::<Bytes>(WATCH_BACKLOG);
+        let (sender, receiver) =
+            async_channel::bounded::<Bytes>(MAX_BUFFERED_WATCH_LINES);
         let created = Bytes::from_static(b"{\"result\":{\"created\":true}}\n");
-        // The channel is empty and has room.
+        // The channel is still empty, so this cannot fail.
         let _ = sender.try_send(created);
         if let Some(stored) = self.pairs.get(&key)
             && start.is_some_and(|start: i64| start > 0 && stored.mod_revision >= start)
         {
             let event =
-                json!({ "result": { "events": [{ "kv": pair((&key, stored)) }] } });
+                json!({ "result": { "events": [{ "kv": kv_json((&key, stored)) }] } });
             let _ = sender.try_send(Bytes::from(format!("{event}\n")));
         }
         self.watches.push(Watch { key, sender });
@@ -279,11 +287,12 @@
         Response::new(StreamBody::new(frames).boxed_unsync())
     }
 
+    /// Counts a write, and returns whether the current fault suppresses its reply.
     fn loses_reply(&mut self) -> bool {
-        self.writes += 1;
+        self.write_count += 1;
         match self.fault {
             StoreFault::LoseWriteReplies => true,
-            StoreFault::LoseEveryNthReply(n) => self.writes.is_multiple_of(n.max(1)),
+            StoreFault::LoseEveryNthReply(n) => self.write_count.is_multiple_of(n.max(1)),
             StoreFault::None | StoreFault::Down | StoreFault::Slow(_) => false,
         }
     }
@@ -297,7 +306,7 @@
     }
 }
 
-fn pair((key, stored): (&Vec<u8>, &Stored)) -> Value {
+fn kv_json((key, stored): (&Vec<u8>, &StoredValue)) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "value": STANDARD.encode(&stored.value),
@@ -305,16 +314,18 @@
     })
 }
 
-fn bytes(value: &Value, field: &str) -> Option<Vec<u8>> {
+fn decode_field(value: &Value, field: &str) -> Option<Vec<u8>> {
     STANDARD.decode(value.get(field)?.as_str()?).ok()
 }
 
-fn plain(status: StatusCode, text: &str) -> Response<StoreBody> {
+fn plain_response(status: StatusCode, text: &str) -> Response<StoreBody> {
     let body = Full::new(Bytes::copy_from_slice(text.as_bytes()));
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status;
     response
 }
 
-const MOST_VALUE_BYTES: usize = 1 << 20;
-const WATCH_BACKLOG: usize = 1024;
+/// Length of the longest value that the store accepts.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+/// Number of unread lines that a watch may have; one more closes it.
+const MAX_BUFFERED_WATCH_LINES: usize = 1024;
