--- a/crates/wingspur-bench/src/args.rs
+++ b/crates/wingspur-bench/src/args.rs
@@ -1,4 +1,4 @@
-//! The bench's command line.
+//! Command line arguments of the benchmark program.
 
 use std::path::PathBuf;
 
--- a/crates/wingspur-bench/src/commands/capacity.rs
+++ b/crates/wingspur-bench/src/commands/capacity.rs
@@ -1,4 +1,5 @@
-//! `capacity`: slopes, and the page made from them.
+//! Command `capacity`: measures how resource use grows with size, and writes the capacity
+//! page.
 
 use std::process::ExitCode;
 
@@ -11,7 +12,7 @@
 use super::write_json;
 use crate::args::CapacityArgs;
 
-/// Measures, or reads what was measured, and writes the page.
+/// Measures, or reads earlier figures from a file, and writes the page.
 pub fn capacity(args: &CapacityArgs, workers: &Workers) -> Result<ExitCode, String> {
     let mut report = match &args.from {
         Some(path) => {
@@ -22,7 +23,8 @@
         None => smol::block_on(measure_capacity(workers))?,
     };
     if args.price {
-        report.price = smol::block_on(measure_price(PRICE_RATES, &workers.spawner()))?;
+        report.price =
+            smol::block_on(measure_price(PRICE_RATES_PER_S, &workers.spawner()))?;
     }
     write_json(args.json.as_deref(), &report)?;
     let page = render_page(&report);
@@ -38,11 +40,14 @@
     Ok(CapacityReport {
         decisions: measure_decisions()?,
         processes: measure_processes(FLEET_SIZES, &spawner).await?,
-        claims: measure_claims(CLAIM_RATES, &spawner).await?,
-        price: measure_price(PRICE_RATES, &spawner).await?,
+        claims: measure_claims(CLAIM_RATES_PER_S, &spawner).await?,
+        price: measure_price(PRICE_RATES_PER_S, &spawner).await?,
     })
 }
 
+/// Numbers of boxes of the measured fleets.
 const FLEET_SIZES: &[usize] = &[5, 10, 20, 40, 80];
-const PRICE_RATES: &[f64] = &[500.0, 2_000.0, 4_000.0, 8_000.0, 12_000.0];
-const CLAIM_RATES: &[f64] = &[100.0, 1_000.0, 5_000.0];
+/// Rates at which the cost of the request path is measured.
+const PRICE_RATES_PER_S: &[f64] = &[500.0, 2_000.0, 4_000.0, 8_000.0, 12_000.0];
+/// Rates at which once-only requests are measured.
+const CLAIM_RATES_PER_S: &[f64] = &[100.0, 1_000.0, 5_000.0];
--- a/crates/wingspur-bench/src/commands/demo.rs
+++ b/crates/wingspur-bench/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a small deployment while a server stalls.
+//! Command `demo`: runs a small deployment in which one server stalls.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,9 @@
 use super::write_json;
 use crate::args::DemoArgs;
 
-/// Runs the demonstration; fails when a promise did not hold.
+/// Runs the demonstration and prints its results.
+///
+/// The exit code is a failure if a guarantee was violated.
 pub fn demo(args: &DemoArgs, workers: &Workers) -> Result<ExitCode, String> {
     let options = DemoOptions {
         boxes: args.boxes,
@@ -18,11 +20,11 @@
     let report = smol::block_on(run_demo(options, &workers.spawner()))?;
     print_demo(&report);
     write_json(args.json.as_deref(), &report)?;
-    let broken = report.broken_promises();
-    for promise in &broken {
+    let violations = report.broken_promises();
+    for promise in &violations {
         println!("BROKEN: {promise}");
     }
-    Ok(if broken.is_empty() {
+    Ok(if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/wingspur-bench/src/commands/detect.rs
+++ b/crates/wingspur-bench/src/commands/detect.rs
@@ -1,4 +1,4 @@
-//! `detect`: every detection case by every decider.
+//! Command `detect`: replays every detection case with every decider.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,10 @@
 use super::write_json;
 use crate::args::DetectArgs;
 
-/// Replays the cases; fails when the floor was undercut.
+/// Replays the cases, or reads earlier rows from a file, and writes the results.
+///
+/// The exit code is a failure if any run left fewer slots available than the floor
+/// requires.
 pub fn detect(args: &DetectArgs) -> Result<ExitCode, String> {
     let rows = match &args.from {
         Some(path) => {
@@ -29,15 +32,15 @@
             draw_knob(&knob, plot)?;
         }
     }
-    let broken = rows.iter().any(|(_, row)| row.floor_violations > 0);
-    Ok(if broken {
+    let is_floor_violated = rows.iter().any(|(_, row)| row.floor_violations > 0);
+    Ok(if is_floor_violated {
         ExitCode::FAILURE
     } else {
         ExitCode::SUCCESS
     })
 }
 
-/// Replays the cases that were asked for, and prints each row as it comes.
+/// Replays the selected cases, and prints each row as soon as it is complete.
 fn replay_cases(args: &DetectArgs) -> Vec<(String, DetectRow)> {
     let mut rows = Vec::new();
     for (name, user) in [("ispitnica", User::Ispitnica), ("gateway", User::Gateway)] {
--- a/crates/wingspur-bench/src/commands/faults.rs
+++ b/crates/wingspur-bench/src/commands/faults.rs
@@ -1,4 +1,5 @@
-//! `faults`: once-only load and bundles while things fail.
+//! Command `faults`: once-only load and bundle updates while the store, boxes and servers
+//! fail.
 
 use std::process::ExitCode;
 
@@ -8,7 +9,10 @@
 use super::write_json;
 use crate::args::FaultsArgs;
 
-/// Goes through the table; fails when a promise did not hold.
+/// Runs the table of faults and prints a row for each.
+///
+/// The exit code is a failure if an operation ran twice, an operation was falsely
+/// reported as not run, or a box went back to an older bundle.
 pub fn faults(args: &FaultsArgs, workers: &Workers) -> Result<ExitCode, String> {
     let options = FaultOptions {
         rounds: args.rounds,
@@ -28,8 +32,8 @@
         total(|row| row.sent),
         total(|row| row.bundles),
     );
-    let held = duplicates + false_not_run + reversions == 0;
-    Ok(if held {
+    let all_kept = duplicates + false_not_run + reversions == 0;
+    Ok(if all_kept {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/wingspur-bench/src/commands/mod.rs
+++ b/crates/wingspur-bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The bench's commands, a module each.
+//! The commands of the benchmark program, one module each.
 
 mod capacity;
 mod demo;
@@ -10,7 +10,7 @@
 pub use detect::detect;
 pub use faults::faults;
 
-/// Writes figures to a file, if one is named.
+/// Writes a report to a file as JSON; does nothing if `path` is `None`.
 fn write_json(
     path: Option<&std::path::Path>,
     report: &impl serde::Serialize,
--- a/crates/wingspur-bench/src/demo.rs
+++ b/crates/wingspur-bench/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demonstration: a small deployment under load while a server goes gray.
+//! The demonstration: a small deployment under load while one server has a gray failure
+//! (its work stalls, its health answers stay good).
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::{Duration, Instant};
@@ -10,49 +11,52 @@
 
 use crate::{Fleet, Gray, Load, LoadOptions, LoadReport, RequestKind, small_zagreb};
 
-/// How the demonstration is run.
+/// Size and load of a demonstration.
 #[derive(Debug, Clone, Copy)]
 pub struct DemoOptions {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
 }
 
-/// What the demonstration showed.
+/// Measured results of a demonstration.
 #[derive(Debug, Clone, Serialize)]
 pub struct DemoReport {
-    /// The load's own report.
+    /// Results as the callers saw them.
     pub load: LoadReport,
-    /// Refusals by code, as the boxes counted them.
+    /// Refusals by result code, summed over the counters of all boxes.
     pub refusals: BTreeMap<u16, u64>,
-    /// Retries by reason, as the boxes counted them.
+    /// Retries by reason, summed over the counters of all boxes.
     pub retries: BTreeMap<&'static str, u64>,
-    /// From the onset to the verdict at the last box, in milliseconds.
+    /// Time from the onset of the fault until all boxes restrict the faulty server, in
+    /// milliseconds. `None` if that did not happen during the load.
     pub detection_ms: Option<f64>,
-    /// Well servers that any box ever held back.
+    /// Number of servers that any box restricted while they were healthy.
     pub false_ejections: usize,
-    /// Once-only operations that ran more than once.
+    /// Number of once-only operations that ran more than once.
     pub duplicates: usize,
-    /// Once-only operations told *not run* that ran.
+    /// Number of once-only operations that were reported as not run, but ran.
     pub false_not_run: usize,
-    /// Requests cut by the planned stop of all boxes.
+    /// Number of requests interrupted by the planned stop of all boxes.
     pub cut_by_stop: usize,
-    /// Median latency added by one hop, in milliseconds.
+    /// Median latency through a box minus the median latency directly to the servers, in
+    /// milliseconds.
     pub added_p50_ms: f64,
-    /// 99th percentile with a hop less the one without, in milliseconds.
+    /// 99th percentile of latency through a box minus the one directly to the servers, in
+    /// milliseconds.
     pub added_p99_ms: f64,
 }
 
 impl DemoReport {
-    /// The promises that did not hold, in words.
+    /// Returns a description of each guarantee that was violated.
     pub fn broken_promises(&self) -> Vec<String> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let mut expect = |holds: bool, text: &str| {
             if !holds {
-                broken.push(text.to_owned());
+                violations.push(text.to_owned());
             }
         };
         expect(
@@ -71,11 +75,13 @@
         expect(self.cut_by_stop == 0, "a planned stop cut a request");
         expect(self.false_ejections == 0, "a well server was held back");
         expect(self.detection_ms.is_some(), "the sick server was not found");
-        broken
+        violations
     }
 }
 
-/// Runs the demonstration.
+/// Starts the deployment, runs the load with a stalling server, and reports the results.
+///
+/// Fails if the deployment cannot be started.
 pub async fn run_demo(
     options: DemoOptions,
     spawner: &Spawner,
@@ -104,15 +110,15 @@
         duration,
         mix,
     };
-    let callers = Load::new(spawner, &fleet.caller_addresses());
-    let sick = &fleet.servers[0][1];
-    let sick_name = format!("{}-01", fleet.plan().services[0].name);
-    let watching = watch(&fleet, sick, &sick_name, duration);
+    let load_generator = Load::new(spawner, &fleet.caller_addresses());
+    let faulty = &fleet.servers[0][1];
+    let faulty_name = format!("{}-01", fleet.plan().services[0].name);
+    let monitoring = monitor_ejections(&fleet, faulty, &faulty_name, duration);
     let (report, (detection_ms, false_ejections)) =
-        futures_lite::future::zip(callers.run(&load), watching).await;
-    sick.set_gray(Gray::Well);
-    let (added_p50_ms, added_p99_ms) = measure_hop(&fleet, spawner).await;
-    let (refusals, retries) = counters(&fleet);
+        futures_lite::future::zip(load_generator.run(&load), monitoring).await;
+    faulty.set_gray(Gray::Well);
+    let (added_p50_ms, added_p99_ms) = measure_added_latency(&fleet, spawner).await;
+    let (refusals, retries) = sum_counters(&fleet);
     let (duplicates, false_not_run) = fleet.check_once_only(&report);
     let cut_by_stop = fleet.close().await;
     Ok(DemoReport {
@@ -129,68 +135,75 @@
     })
 }
 
-/// Makes the server stall a third into the load, and watches who is held back.
-async fn watch(
+/// Makes the server stall after a third of the load, and checks every 10 ms which servers
+/// the boxes restrict.
+///
+/// Returns the detection time in milliseconds and the number of falsely restricted
+/// servers.
+async fn monitor_ejections(
     fleet: &Fleet,
-    sick: &crate::BackendStandIn,
-    sick_name: &str,
+    faulty: &crate::BackendStandIn,
+    faulty_name: &str,
     duration: Duration,
 ) -> (Option<f64>, usize) {
     let end = Instant::now() + duration;
     let onset = Instant::now() + duration / 3;
-    let sick_full = format!("{}/{sick_name}", fleet.plan().services[0].name);
+    let faulty_path = format!("{}/{faulty_name}", fleet.plan().services[0].name);
     let mut detected = None;
-    let mut falsely: HashSet<String> = HashSet::new();
+    let mut falsely_restricted: HashSet<String> = HashSet::new();
     let mut stalled = false;
     while Instant::now() < end {
         smol::Timer::after(Duration::from_millis(10)).await;
         if !stalled && Instant::now() >= onset {
-            sick.set_gray(Gray::Stall);
+            faulty.set_gray(Gray::Stall);
             stalled = true;
         }
-        let out: Vec<Vec<String>> = fleet
+        let restricted: Vec<Vec<String>> = fleet
             .boxes
             .iter()
             .flatten()
             .map(|running| running.restricted_servers())
             .collect();
-        for name in out.iter().flatten() {
-            if *name != sick_full || !stalled {
-                falsely.insert(name.clone());
+        for name in restricted.iter().flatten() {
+            if *name != faulty_path || !stalled {
+                falsely_restricted.insert(name.clone());
             }
         }
-        let by_all = out.iter().all(|names| names.contains(&sick_full));
-        if stalled && by_all && detected.is_none() {
+        let restricted_by_all =
+            restricted.iter().all(|names| names.contains(&faulty_path));
+        if stalled && restricted_by_all && detected.is_none() {
             detected = Some(onset.elapsed().as_secs_f64() * 1000.0);
         }
     }
-    (detected, falsely.len())
+    (detected, falsely_restricted.len())
 }
 
-/// The same light load through a box and straight to a server, in turn.
-async fn measure_hop(fleet: &Fleet, spawner: &Spawner) -> (f64, f64) {
+/// Sends the same light load first directly to the servers and then through the boxes.
+///
+/// Returns the differences of the median and of the 99th percentile, in milliseconds.
+async fn measure_added_latency(fleet: &Fleet, spawner: &Spawner) -> (f64, f64) {
     let options = LoadOptions {
         rate_per_s: 200.0,
         duration: Duration::from_secs(2),
         mix: vec![(RequestKind::new("GET", "/exam/page/7"), 1.0)],
     };
-    let direct: Vec<_> = fleet.servers[0]
+    let server_addresses: Vec<_> = fleet.servers[0]
         .iter()
         .map(|server| server.address())
         .collect();
-    let straight = Load::new(spawner, &direct).run(&options).await;
-    let through = Load::new(spawner, &fleet.caller_addresses())
+    let direct = Load::new(spawner, &server_addresses).run(&options).await;
+    let proxied = Load::new(spawner, &fleet.caller_addresses())
         .run(&options)
         .await;
     (
-        through.p50_ms - straight.p50_ms,
-        through.p99_ms - straight.p99_ms,
+        proxied.p50_ms - direct.p50_ms,
+        proxied.p99_ms - direct.p99_ms,
     )
 }
 
 type Counters = (BTreeMap<u16, u64>, BTreeMap<&'static str, u64>);
 
-fn counters(fleet: &Fleet) -> Counters {
+fn sum_counters(fleet: &Fleet) -> Counters {
     let mut refusals = BTreeMap::new();
     let mut retries = BTreeMap::new();
     let reasons = [
--- a/crates/wingspur-bench/src/main.rs
+++ b/crates/wingspur-bench/src/main.rs
@@ -1,4 +1,5 @@
-//! The bench: demonstration, experiments and capacity measurements.
+//! Command line program that runs the demonstration, the experiments and the capacity
+//! measurements.
 
 mod args;
 mod commands;
@@ -18,14 +19,14 @@
         .init();
     let args: Args = argh::from_env();
     let workers = Workers::start(4);
-    let ended = match args.command {
+    let result = match args.command {
         Command::Demo(args) => commands::demo(&args, &workers),
         Command::Detect(args) => commands::detect(&args),
         Command::Faults(args) => commands::faults(&args, &workers),
         Command::Capacity(args) => commands::capacity(&args, &workers),
     };
     workers.close();
-    match ended {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("error: {error}");
