--- a/tests/soak/src/boxes.rs
+++ b/tests/soak/src/boxes.rs
@@ -1,4 +1,5 @@
-//! The boxes: real processes, started, stopped and ended by their ids only.
+//! Starts, signals and kills the boxes, which are real processes. Each signal goes to one
+//! process id.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -12,50 +13,52 @@
 
 use crate::budget::Budget;
 
-/// What sets one box apart.
+/// Settings that differ from box to box.
 pub struct BoxSpec {
-    /// Its id.
+    /// Box id.
     pub id: String,
-    /// Where it stands.
+    /// Data centre of the box.
     pub data_centre: String,
-    /// Its share of a core; the strongest box of a data centre is its hub.
+    /// Share of a CPU core. The box with the greatest share in a data centre becomes its
+    /// hub.
     pub cpu_share: f64,
-    /// When it would be killed after it was told to stop; none for never.
+    /// Seconds after the stop signal at which the platform would kill the box; `None` for
+    /// never.
     pub kill_after_s: Option<f64>,
-    /// The retry budget that it is told.
+    /// Retry budget in the settings of the box.
     pub budget: Budget,
 }
 
-/// One box, running or not.
+/// One box, whether its process is running or not.
 pub struct SoakBox {
-    /// Where callers come in.
-    pub callers: SocketAddr,
-    /// Where operators read.
-    pub operators: SocketAddr,
-    /// Whether it stands still.
-    pub frozen: bool,
-    /// Whether it was told to stop.
-    stopping: bool,
+    /// Address for client requests.
+    pub caller_address: SocketAddr,
+    /// Address of the operator interface.
+    pub operator_address: SocketAddr,
+    /// Whether the process is suspended by SIGSTOP.
+    pub suspended: bool,
+    /// Whether SIGTERM was sent to the current process.
+    stop_signalled: bool,
     id: String,
     program: PathBuf,
     settings: Value,
     path: PathBuf,
     log: PathBuf,
     running: Option<Child>,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
 }
 
 impl SoakBox {
-    /// A box that is not started yet; its files go into `folder`.
+    /// Creates a box without starting it. Its settings file and its log go into `folder`.
     pub fn new(spec: &BoxSpec, program: &Path, store: SocketAddr, folder: &Path) -> Self {
-        let (callers, operators) = (free_address(), free_address());
+        let (caller_address, operator_address) = (free_address(), free_address());
         let mut settings = json!({
             "box_id": spec.id,
             "data_centre": spec.data_centre,
             "fleet": "soak",
-            "caller_address": callers,
+            "caller_address": caller_address,
             "peer_address": free_address(),
-            "operator_address": operators,
+            "operator_address": operator_address,
             "worker_threads": 1,
             "cpu_share": spec.cpu_share,
             "catalog": {"form": "kv", "store_address": store},
@@ -71,47 +74,49 @@
             settings["drain"]["kill_after_s"] = json!(kill_after_s);
         }
         let created = Self {
-            callers,
-            operators,
-            frozen: false,
-            stopping: false,
+            caller_address,
+            operator_address,
+            suspended: false,
+            stop_signalled: false,
             id: spec.id.clone(),
             program: program.to_owned(),
             path: folder.join(format!("{}.json", spec.id)),
             log: folder.join(format!("{}.log", spec.id)),
             settings,
             running: None,
-            ended: None,
+            exit_status: None,
         };
         created.write_settings();
         created
     }
 
-    /// Writes another log filter into the settings file; the box is not told.
+    /// Writes another log filter into the settings file, without signalling the box to
+    /// reload.
     pub fn set_filter(&mut self, filter: &str) {
         self.settings["log"]["filter"] = json!(filter);
         self.write_settings();
     }
 
-    /// How the process that ran last ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status of the last process that ended, or `None` if none has
+    /// ended or its status could not be read.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.reap();
-        self.ended
+        self.exit_status
     }
 
     fn write_settings(&self) {
         let written = std::fs::write(&self.path, self.settings.to_string());
-        written.expect("the folder takes files");
+        written.expect("the folder is writable");
     }
 
-    /// Starts the box, unless it runs.
+    /// Starts the process, unless it is running already.
     pub fn start(&mut self) {
         self.reap();
         if self.running.is_some() {
             return;
         }
         let log = File::options().create(true).append(true).open(&self.log);
-        let log = log.expect("the folder takes files");
+        let log = log.expect("the folder is writable");
         let mut command = Command::new(&self.program);
         command.arg("run").arg(&self.path);
         command
@@ -121,42 +126,46 @@
         let started = command.spawn();
         self.running =
             Some(started.unwrap_or_else(|error| panic!("{}: {error}", self.id)));
-        self.stopping = false;
+        self.stop_signalled = false;
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process, if it is running.
     pub fn signal(&mut self, signal: Signal) {
         self.reap();
         if let Some(child) = &self.running
             && let Some(pid) = Pid::from_raw(child.id() as i32)
         {
-            // It may have ended just now.
+            // Fails if the process has ended in the meantime, which is harmless.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells the process to stop, once.
+    /// Sends SIGTERM to the process; further calls do nothing until it is started again.
     pub fn stop(&mut self) {
-        if !self.stopping {
+        if !self.stop_signalled {
             self.signal(Signal::TERM);
-            self.stopping = true;
+            self.stop_signalled = true;
         }
     }
 
-    /// Lets the process stand still, or go on.
-    pub fn freeze(&mut self, frozen: bool) {
-        self.signal(if frozen { Signal::STOP } else { Signal::CONT });
-        self.frozen = frozen;
+    /// Suspends the process with SIGSTOP, or resumes it with SIGCONT.
+    pub fn set_suspended(&mut self, suspended: bool) {
+        self.signal(if suspended {
+            Signal::STOP
+        } else {
+            Signal::CONT
+        });
+        self.suspended = suspended;
     }
 
-    /// Whether the process runs.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         self.reap();
         self.running.is_some()
     }
 
-    /// Ends the process.
-    pub fn close(mut self) {
+    /// Kills the process, if it is running, and waits until it has ended.
+    pub fn kill(mut self) {
         if let Some(mut child) = self.running.take() {
             let _ = child.kill();
             let _ = child.wait();
@@ -169,8 +178,8 @@
         };
         match child.try_wait() {
             Ok(None) => {}
-            Ok(ended) => {
-                self.ended = ended;
+            Ok(exit_status) => {
+                self.exit_status = exit_status;
                 self.running = None;
             }
             Err(error) => {
@@ -181,17 +190,19 @@
     }
 }
 
-/// Asks a box; none where it does not listen, or says no.
-pub fn ask(operators: SocketAddr, path: &str) -> Option<Value> {
-    let answer = try_call(operators, "GET", path, &[("host", "box")], b"")?;
-    let body = serde_json::from_slice(&answer.body).unwrap_or_default();
-    (answer.status == 200).then_some(body)
+/// Fetches a page of a box's operator interface as JSON. Returns `None` if the box does
+/// not respond or the status is not 200.
+pub fn fetch_json(operator_address: SocketAddr, path: &str) -> Option<Value> {
+    let response = try_call(operator_address, "GET", path, &[("host", "box")], b"")?;
+    let body = serde_json::from_slice(&response.body).unwrap_or_default();
+    (response.status == 200).then_some(body)
 }
 
-/// A port that is free now, and that the kernel gives to no connection while the box is down.
+/// Returns an address with a port that is free now. The port lies below the ephemeral
+/// range, so the kernel assigns it to no connection while the box is down.
 fn free_address() -> SocketAddr {
     loop {
-        let port = rand::rng().random_range(BELOW_EPHEMERAL);
+        let port = rand::rng().random_range(PORTS_BELOW_EPHEMERAL);
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() {
             return address;
@@ -199,4 +210,4 @@
     }
 }
 
-const BELOW_EPHEMERAL: std::ops::Range<u16> = 12_000..32_000;
+const PORTS_BELOW_EPHEMERAL: std::ops::Range<u16> = 12_000..32_000;
--- a/tests/soak/src/budget.rs
+++ b/tests/soak/src/budget.rs
@@ -1,46 +1,48 @@
-//! The retry budget of a service, checked over every window of its length.
+//! Checks the retry budget of a service over every window of the budget's length.
 
 use std::time::{Duration, Instant};
 
-/// What resends a service may be asked to bear, as the boxes are told.
+/// Limit on the resends to a service, as it stands in the settings of the boxes.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
     /// Resends allowed as a share of the requests.
     pub ratio: f64,
-    /// The span over which both are counted.
+    /// Length of the window over which requests and resends are counted.
     pub window: Duration,
-    /// Resends allowed in any window whatever the requests.
+    /// Resends allowed in any window in addition, however few requests there are.
     pub slack: f64,
 }
 
-/// A window, and what was used of the resends that it allows.
+/// Use of the retry budget in one window.
 #[derive(Debug, Clone, Copy)]
 pub struct WindowUse {
-    /// When the window begins.
+    /// Start of the window.
     pub from: Instant,
-    /// The resends in it.
+    /// Number of resends in the window.
     pub spent: usize,
-    /// The requests that count for it.
+    /// Number of requests from which the allowed resends are computed.
     pub requests: usize,
-    /// The resends that these allow.
+    /// Number of resends that the budget allows in the window.
     pub allowed: f64,
 }
 
 impl Budget {
-    /// The window in which the greatest share was used; moments are in the order of time.
-    /// Requests count in whichever has most of the windows `shifts` lengths before.
+    /// Returns the window with the greatest share of its budget used, or `None` if there
+    /// are no resends. `requests` and `resends` must be sorted by time. Requests are
+    /// counted in a window that begins earlier by each of `shifts` (in window lengths),
+    /// and the greatest count is used.
     pub fn fullest(
         &self,
         requests: &[Instant],
         resends: &[Instant],
         shifts: &[f64],
     ) -> Option<WindowUse> {
-        let begins = resends.iter().flat_map(|at| {
-            let ends_there = at.checked_sub(self.window);
-            [Some(*at), ends_there].into_iter().flatten()
+        let starts = resends.iter().flat_map(|at| {
+            let ending_there = at.checked_sub(self.window);
+            [Some(*at), ending_there].into_iter().flatten()
         });
-        let used = begins.map(|from| self.window_use(from, requests, resends, shifts));
-        used.max_by(|a, b| a.share().total_cmp(&b.share()))
+        let uses = starts.map(|from| self.window_use(from, requests, resends, shifts));
+        uses.max_by(|a, b| a.share().total_cmp(&b.share()))
     }
 
     fn window_use(
@@ -50,10 +52,10 @@
         resends: &[Instant],
         shifts: &[f64],
     ) -> WindowUse {
-        let before = |shift: f64| from.checked_sub(self.window.mul_f64(shift));
+        let window_start = |shift: f64| from.checked_sub(self.window.mul_f64(shift));
         let counted = shifts
             .iter()
-            .filter_map(|shift| before(*shift))
+            .filter_map(|shift| window_start(*shift))
             .map(|from| count_in(requests, from, from + self.window));
         let requests = counted.max().unwrap_or(0);
         WindowUse {
@@ -66,14 +68,15 @@
 }
 
 impl WindowUse {
-    /// The part of what is allowed that was used; above 1, the budget was passed.
+    /// Returns the resends divided by the allowed resends; above 1 the budget was
+    /// exceeded.
     pub fn share(&self) -> f64 {
         self.spent as f64 / self.allowed
     }
 }
 
-/// How many moments lie within a span, both ends included.
+/// Counts the moments from `from` to `to`, both included. `moments` must be sorted.
 fn count_in(moments: &[Instant], from: Instant, to: Instant) -> usize {
-    let before = moments.partition_point(|at| *at < from);
-    moments.partition_point(|at| *at <= to) - before
+    let earlier = moments.partition_point(|at| *at < from);
+    moments.partition_point(|at| *at <= to) - earlier
 }
--- a/tests/soak/src/calls.rs
+++ b/tests/soak/src/calls.rs
@@ -1,4 +1,4 @@
-//! The callers: a few threads that send requests and note what came of each.
+//! Client threads that send requests under faults and record the result of each.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -7,70 +7,72 @@
 
 use wingspur_tests::try_call;
 
-/// A request and its outcome.
+/// A finished request and its result.
 #[derive(Debug, Clone)]
-pub struct Called {
+pub struct FinishedCall {
     /// The request's id.
     pub id: String,
-    /// The box that was asked.
+    /// Number of the box to which the request was sent.
     pub box_index: usize,
-    /// Whether it may run once only.
+    /// Whether the request must run at most once.
     pub once_only: bool,
-    /// When it was sent.
+    /// When sending began.
     pub sent: Instant,
-    /// When its end came.
+    /// When the response was read, or the connection ended.
     pub ended: Instant,
-    /// The status; 0 for a connection that ended without an answer, none where nobody
-    /// listened.
+    /// Status of the response; 0 if the connection ended without a response, `None` if
+    /// the box did not accept the connection.
     pub status: Option<u16>,
-    /// Whether the answer is the request's own and whole; a refusal always is.
-    pub own: bool,
+    /// Whether a response with status 200 is complete and belongs to this request. Always
+    /// true for other statuses, and without a response.
+    pub is_own: bool,
 }
 
-/// The running callers.
+/// The running client threads.
 pub struct Callers {
     stop: Arc<AtomicBool>,
-    called: Arc<Mutex<Vec<Called>>>,
+    calls: Arc<Mutex<Vec<FinishedCall>>>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
 impl Callers {
-    /// Starts callers of some boxes; a box that does not listen is asked again.
+    /// Starts the client threads, which send requests to the boxes in turn, also to boxes
+    /// that do not listen.
     pub fn start(boxes: Vec<SocketAddr>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let called = Arc::new(Mutex::new(Vec::new()));
+        let calls = Arc::new(Mutex::new(Vec::new()));
         let next = Arc::new(AtomicUsize::new(0));
-        let threads = (0..CALLERS).map(|_| {
-            let (stop, called, next) = (stop.clone(), called.clone(), next.clone());
+        let threads = (0..CALLER_COUNT).map(|_| {
+            let (stop, calls, next) = (stop.clone(), calls.clone(), next.clone());
             let boxes = boxes.clone();
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let one = call_one(&boxes, number);
-                    called.lock().expect("no holder panics").push(one);
-                    std::thread::sleep(PAUSE);
+                    let call = call_one(&boxes, number);
+                    calls.lock().expect("no holder panics").push(call);
+                    std::thread::sleep(PAUSE_BETWEEN_CALLS);
                 }
             })
         });
         Self {
             threads: threads.collect(),
             stop,
-            called,
+            calls,
         }
     }
 
-    /// Ends the callers and returns all requests.
-    pub fn close(self) -> Vec<Called> {
+    /// Stops the client threads and returns all finished requests.
+    pub fn close(self) -> Vec<FinishedCall> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             thread.join().expect("callers do not panic");
         }
-        let called = self.called.lock().expect("no holder panics");
-        called.clone()
+        let calls = self.calls.lock().expect("no holder panics");
+        calls.clone()
     }
 }
 
-fn call_one(boxes: &[SocketAddr], number: usize) -> Called {
+fn call_one(boxes: &[SocketAddr], number: usize) -> FinishedCall {
     let box_index = number % boxes.len();
     let once_only = number.is_multiple_of(3);
     let (method, path) = match once_only {
@@ -84,24 +86,26 @@
         ("x-wingspur-request-deadline-ms", "4000"),
     ];
     let sent = Instant::now();
-    let answer = try_call(boxes[box_index], method, path, &headers, b"");
+    let response = try_call(boxes[box_index], method, path, &headers, b"");
     let ended = Instant::now();
-    let own = answer.as_ref().is_none_or(|answer| {
-        let echoed = answer.headers.get("x-wingspur-request-id");
-        let whole = answer.whole && answer.body == b"own body";
-        answer.status != 200 || (whole && echoed.is_some_and(|echoed| *echoed == id))
+    let is_own = response.as_ref().is_none_or(|response| {
+        let echoed = response.headers.get("x-wingspur-request-id");
+        let is_complete = response.whole && response.body == b"own body";
+        response.status != 200
+            || (is_complete && echoed.is_some_and(|echoed| *echoed == id))
     });
-    Called {
-        status: answer.map(|answer| answer.status),
+    FinishedCall {
+        status: response.map(|response| response.status),
         id,
         box_index,
         once_only,
         sent,
         ended,
-        own,
+        is_own,
     }
 }
 
-const CALLERS: usize = 12;
-/// With answers of some milliseconds, about four hundred requests a second.
-const PAUSE: Duration = Duration::from_millis(20);
+const CALLER_COUNT: usize = 12;
+/// With responses that take some milliseconds, the callers together send about 400
+/// requests a second.
+const PAUSE_BETWEEN_CALLS: Duration = Duration::from_millis(20);
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Soak: real boxes on loopback, with the promises checked from outside.
+//! Soak test: runs real boxes on loopback and checks the service's promises from outside.
 
 mod boxes;
 mod budget;
@@ -59,9 +59,9 @@
 /// Which seeds to play.
 #[derive(Debug, Clone)]
 enum Seeds {
-    /// So many, from the first.
+    /// This many seeds, counted up from the first.
     Count(u64),
-    /// These.
+    /// The seeds of this range.
     Range(Range<u64>),
 }
 
@@ -81,40 +81,42 @@
         Seeds::Count(count) => first..first + count,
         Seeds::Range(seeds) => seeds,
     };
-    let held = match args.planned {
+    let all_held = match args.planned {
         true => play_all_planned(&args, seeds),
         false => play_all(&args, seeds),
     };
-    match held {
+    match all_held {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
 }
 
-/// Plays faults until a seed breaks a promise.
+/// Plays faults with one seed after the other until a promise is broken. Returns whether
+/// all promises held.
 fn play_all(args: &Args, mut seeds: Range<u64>) -> bool {
     let setup = Setup {
         program: args.program.clone(),
-        boxes: args.boxes.clamp(1, MOST_BOXES),
+        boxes: args.boxes.clamp(1, MAX_BOXES),
         span: Duration::from_secs(args.seconds),
     };
     seeds.all(|seed| play_seed(&setup, seed))
 }
 
-/// Plays planned work with all seeds, and sums up.
+/// Plays planned work with all seeds and prints a summary. Returns whether all promises
+/// held.
 fn play_all_planned(args: &Args, seeds: Range<u64>) -> bool {
-    let boxes = args.boxes.clamp(1, MOST_BOXES);
+    let boxes = args.boxes.clamp(1, MAX_BOXES);
     let setup = planned::Setup {
         program: args.program.clone(),
         boxes,
-        servers: args.servers.unwrap_or(2 * boxes).max(LEAST_SERVERS),
-        data_centres: args.data_centres.clamp(1, MOST_DATA_CENTRES),
+        servers: args.servers.unwrap_or(2 * boxes).max(MIN_SERVERS),
+        data_centres: args.data_centres.clamp(1, MAX_DATA_CENTRES),
         span: Duration::from_secs(args.seconds),
         tells_twice: args.told_twice,
     };
-    let is_one = seeds.clone().count() == 1;
+    let is_single = seeds.clone().count() == 1;
     let verdicts: Vec<Verdict> = seeds
-        .map(|seed| play_planned(&setup, seed, &args.logs, is_one))
+        .map(|seed| play_planned(&setup, seed, &args.logs, is_single))
         .collect();
     let broken: Vec<&Verdict> = verdicts
         .iter()
@@ -131,7 +133,9 @@
     broken.is_empty()
 }
 
-/// Plays a seed; when a promise breaks, looks for the shortest plan that breaks one.
+/// Plays a seed. If a promise is broken, removes faults from the plan one by one, as long
+/// as a promise is still broken without them, and prints the remaining ones. Returns
+/// whether all promises held.
 fn play_seed(setup: &Setup, seed: u64) -> bool {
     let plan = Plan::draw(seed, setup.boxes, setup.span);
     plan.faults.iter().for_each(|fault| println!("  {fault}"));
@@ -171,8 +175,8 @@
     }
 }
 
-/// A few dozen processes, as a rule.
-const MOST_BOXES: usize = 60;
-const MOST_DATA_CENTRES: usize = 3;
-/// Four for each service, so that some can be taken away.
-const LEAST_SERVERS: usize = 12;
+/// Limits the number of processes on one machine to a few dozen.
+const MAX_BOXES: usize = 60;
+const MAX_DATA_CENTRES: usize = 3;
+/// Four servers for each of the three services, so that some can be removed.
+const MIN_SERVERS: usize = 12;
--- a/tests/soak/src/plan.rs
+++ b/tests/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, from a seed.
+//! Draws from a seed which faults occur and when.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -7,54 +7,55 @@
 use rand::{RngExt, SeedableRng};
 use wingspur_tests::{Reply, StoreFault};
 
-/// The faults of one play, by time.
+/// The faults of one play.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The faults.
+    /// Faults in the order in which they begin.
     pub faults: Vec<Fault>,
 }
 
-/// One fault and its end.
+/// One fault with its start and duration.
 #[derive(Debug, Clone)]
 pub struct Fault {
-    /// When it begins, from the start of the calls.
+    /// Start, counted from when the callers begin.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts: Duration,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// What goes wrong, or is changed.
+/// A failure, or a change of the fleet or of its configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultKind {
-    /// A box is told to stop, and started again.
+    /// A box gets SIGTERM, and is started again at the end.
     Stop(usize),
-    /// A box is killed, and started again.
+    /// A box is killed, and started again at the end.
     Kill(usize),
-    /// All boxes are killed at once, and started again.
+    /// All boxes are killed at once, and started again at the end.
     KillAll,
-    /// A box stands still.
+    /// A box is suspended.
     Freeze(usize),
-    /// A box is told that its settings may have changed.
+    /// A box gets SIGHUP, so that it reads its settings again.
     Reload(usize),
-    /// The store is out of order.
+    /// The store fails in this way.
     Store(StoreFault),
-    /// The store forgets its history.
+    /// The store drops the history of its changes, as after a compaction.
     ForgetHistory,
-    /// A new version of the configuration.
+    /// A new version of the configuration is written.
     Change,
-    /// A server does this to half of its requests.
+    /// A server handles half of its requests in this way.
     Server(usize, Reply),
-    /// A server says that it leaves, and comes back as a new run.
+    /// A server announces that it is draining, and is replaced by a new instance at the
+    /// end.
     Leave(usize),
 }
 
 impl Plan {
-    /// Draws the faults of a seed.
+    /// Draws the faults of a seed, which begin in the first 80 % of `span`.
     pub fn draw(seed: u64, boxes: usize, span: Duration) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let count = (span.as_secs_f64() * FAULTS_A_SECOND) as usize;
+        let count = (span.as_secs_f64() * FAULTS_PER_SECOND) as usize;
         let mut faults: Vec<Fault> = (0..count)
             .map(|_| Fault {
                 at: span.mul_f64(random.random_range(0.05..0.8)),
@@ -66,7 +67,7 @@
         Self { faults }
     }
 
-    /// The same without one fault.
+    /// Returns this plan without the fault at `index`.
     pub fn without(&self, index: usize) -> Self {
         let mut faults = self.faults.clone();
         faults.remove(index);
@@ -114,7 +115,7 @@
     REPLIES[random.random_range(0..REPLIES.len())]
 }
 
-/// Backend servers of the one service.
+/// Number of backend servers; all belong to one service.
 pub const SERVERS: usize = 8;
-/// Some overlap: they last for 1.6 s on average.
-const FAULTS_A_SECOND: f64 = 0.8;
+/// Some faults overlap, since they last 1.6 s on average.
+const FAULTS_PER_SECOND: f64 = 0.8;
--- a/tests/soak/src/planned/callers.rs
+++ b/tests/soak/src/planned/callers.rs
@@ -1,4 +1,5 @@
-//! Callers that keep connections until the box is gone, and note what each request met.
+//! Client threads that keep their connections until the box closes them, and record the
+//! outcome of each request.
 
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,26 +12,26 @@
 use rand::{RngExt, SeedableRng};
 use wingspur_tests::{Answer, read_kept_answer};
 
-use crate::planned::operator::{HOST, IDLE_LIMIT, ROUTES, RouteKind};
+use crate::planned::operator::{HOST, IDLE_TIMEOUT, ROUTES, RouteKind};
 use crate::planned::record::{BoxIndex, Call, Outcome};
 use crate::planned::servers::{pattern, spawn};
 
 /// A box as the platform's balancer sees it.
 pub struct BoxView {
-    /// The box.
+    /// Number of the box.
     pub index: BoxIndex,
-    /// Where callers come in.
-    pub callers: SocketAddr,
-    /// Whether it gets new connections.
-    pub takes_callers: AtomicBool,
-    /// Requests that wait for an answer.
+    /// Address for client requests.
+    pub caller_address: SocketAddr,
+    /// Whether the balancer sends new connections to the box.
+    pub in_rotation: AtomicBool,
+    /// Number of requests that wait for a response.
     pub in_flight: AtomicUsize,
 }
 
-/// The boxes among which callers choose.
+/// Boxes among which callers choose; boxes are added during a play.
 pub type Views = Arc<RwLock<Vec<Arc<BoxView>>>>;
 
-/// The running callers.
+/// The running client threads.
 pub struct Callers {
     stop: Arc<AtomicBool>,
     calls: Arc<Mutex<Vec<Call>>>,
@@ -38,14 +39,14 @@
 }
 
 impl Callers {
-    /// Starts callers; what each asks follows from the seed.
+    /// Starts `count` client threads. The seed decides their requests.
     pub fn start(count: usize, seed: u64, views: &Views) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let calls = Arc::new(Mutex::new(Vec::new()));
         let threads = (0..count).map(|number| {
             let mut caller = Caller {
                 number,
-                asked: 0,
+                sent_requests: 0,
                 random: StdRng::seed_from_u64(seed ^ ((number as u64 + 1) << 32)),
                 views: views.clone(),
                 kept: None,
@@ -53,8 +54,8 @@
             let (stop, calls) = (stop.clone(), calls.clone());
             spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    let called = caller.call_and_rest();
-                    calls.lock().expect("no holder panics").extend(called);
+                    let finished = caller.call_and_pause();
+                    calls.lock().expect("no holder panics").extend(finished);
                 }
             })
         });
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Ends the callers and returns all requests.
+    /// Stops the client threads and returns all requests.
     pub fn close(self) -> Vec<Call> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -78,7 +79,7 @@
 /// One caller with at most one connection.
 struct Caller {
     number: usize,
-    asked: usize,
+    sent_requests: usize,
     random: StdRng,
     views: Views,
     kept: Option<Connection>,
@@ -86,14 +87,14 @@
 
 /// A connection to a box.
 struct Connection {
-    reader: BufReader<Counted>,
+    reader: BufReader<CountingStream>,
     view: Arc<BoxView>,
-    used: usize,
-    backoff_since: Instant,
+    requests_sent: usize,
+    idle_since: Instant,
 }
 
-/// A stream that counts what was read.
-struct Counted {
+/// A stream that counts the bytes read from it.
+struct CountingStream {
     stream: TcpStream,
     bytes: usize,
 }
@@ -105,57 +106,61 @@
     work_ms: u64,
     body_bytes: usize,
     in_chunks: bool,
-    answer_bytes: usize,
+    response_bytes: usize,
     pieces: usize,
 }
 
 impl Caller {
-    /// Sends one request, if a box can be reached, and rests.
-    fn call_and_rest(&mut self) -> Option<Call> {
+    /// Sends one request and pauses. Returns `None` after a short pause if no box could
+    /// be reached.
+    fn call_and_pause(&mut self) -> Option<Call> {
         let Some(mut connection) = self.connection() else {
-            std::thread::sleep(UNREACHED_PAUSE);
+            std::thread::sleep(UNREACHABLE_PAUSE);
             return None;
         };
         let draft = self.draft();
-        let (call, stays) = connection.call(&draft, &mut self.random);
-        self.kept = stays.then_some(connection);
-        std::thread::sleep(self.rest());
+        let (call, can_be_kept) = connection.call(&draft, &mut self.random);
+        self.kept = can_be_kept.then_some(connection);
+        std::thread::sleep(self.draw_pause());
         Some(call)
     }
 
-    /// The kept connection if it still stands, or a new one.
+    /// Returns the kept connection or opens a new one; `None` if no box can be reached.
     fn connection(&mut self) -> Option<Connection> {
-        let fresh = self.random.random_bool(FRESH_SHARE);
-        // Some do not look first: their requests cross the box's close.
-        let looks = self.random.random_bool(LOOKING_SHARE);
-        let kept = self.kept.take().filter(|_| !fresh);
-        let kept = kept.filter(|kept| !looks || kept.stands());
+        let opens_new = self.random.random_bool(NEW_CONNECTION_SHARE);
+        // Some requests go out without a check of the connection first, so that they
+        // cross the close by the box.
+        let checks_first = self.random.random_bool(CHECK_FIRST_SHARE);
+        let kept = self.kept.take().filter(|_| !opens_new);
+        let kept = kept.filter(|kept| !checks_first || kept.is_open());
         kept.or_else(|| Connection::open(self.choose()?))
     }
 
-    /// A box that takes callers; any where none does.
+    /// Chooses a box to which the balancer sends new connections, or any box if there is
+    /// none.
     fn choose(&mut self) -> Option<Arc<BoxView>> {
         let views = self.views.read().expect("no holder panics");
-        let takes = |view: &&Arc<BoxView>| view.takes_callers.load(Ordering::Relaxed);
-        let taking: Vec<_> = views.iter().filter(takes).collect();
-        let chosen = taking.choose(&mut self.random).copied();
+        let is_in_rotation =
+            |view: &&Arc<BoxView>| view.in_rotation.load(Ordering::Relaxed);
+        let in_rotation_views: Vec<_> = views.iter().filter(is_in_rotation).collect();
+        let chosen = in_rotation_views.choose(&mut self.random).copied();
         chosen.or_else(|| views.choose(&mut self.random)).cloned()
     }
 
     fn draft(&mut self) -> Draft {
-        self.asked += 1;
+        self.sent_requests += 1;
         let random = &mut self.random;
         let route = draw_route(random);
         let kind = ROUTES[route].kind;
         let slow = random.random_bool(SLOW_SHARE);
         let with_body = kind != RouteKind::Download && random.random_bool(BODY_SHARE);
         let long_body = random.random_bool(LONG_BODY_SHARE);
-        let (answer_bytes, pieces) = match kind {
+        let (response_bytes, pieces) = match kind {
             RouteKind::Download => (random.random_range(1_100_000..2_000_000), 40),
             RouteKind::Read | RouteKind::OnceOnly => (random.random_range(20..20_000), 1),
         };
         Draft {
-            id: format!("c{}-{}", self.number, self.asked),
+            id: format!("c{}-{}", self.number, self.sent_requests),
             route,
             work_ms: match slow {
                 true => 40.0 * 37.5_f64.powf(random.random_range(0.0..1.0)),
@@ -167,16 +172,17 @@
                 (true, true) => random.random_range(50_000..150_000),
             },
             in_chunks: random.random_bool(0.5),
-            answer_bytes,
+            response_bytes,
             pieces,
         }
     }
 
-    /// Mostly moments; now and then nearly as long as a connection may rest.
-    fn rest(&mut self) -> Duration {
-        let longest = match self.random.random_bool(LONG_REST_SHARE) {
-            true => IDLE_LIMIT.mul_f64(0.8),
-            false => SHORT_REST,
+    /// Draws the pause before the next request: mostly short, sometimes nearly as long as
+    /// a connection may be idle.
+    fn draw_pause(&mut self) -> Duration {
+        let longest = match self.random.random_bool(LONG_PAUSE_SHARE) {
+            true => IDLE_TIMEOUT.mul_f64(0.8),
+            false => MAX_SHORT_PAUSE,
         };
         longest.mul_f64(self.random.random_range(0.0..1.0))
     }
@@ -184,14 +190,15 @@
 
 impl Connection {
     fn open(view: Arc<BoxView>) -> Option<Self> {
-        let stream = TcpStream::connect_timeout(&view.callers, CONNECT_LIMIT).ok()?;
+        let stream =
+            TcpStream::connect_timeout(&view.caller_address, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(ANSWER_LIMIT)).ok()?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
         Some(Self {
-            reader: BufReader::new(Counted { stream, bytes: 0 }),
+            reader: BufReader::new(CountingStream { stream, bytes: 0 }),
             view,
-            used: 0,
-            backoff_since: Instant::now(),
+            requests_sent: 0,
+            idle_since: Instant::now(),
         })
     }
 
@@ -199,20 +206,21 @@
         &self.reader.get_ref().stream
     }
 
-    /// Whether the box has not closed it.
-    fn stands(&self) -> bool {
+    /// Returns whether the box has kept the connection open.
+    fn is_open(&self) -> bool {
         match self.peek() {
             Ok(length) => length > 0,
             Err(error) => error.kind() == ErrorKind::WouldBlock,
         }
     }
 
-    /// Whether bytes have come that belong to no request.
+    /// Returns whether bytes have arrived that belong to no request.
     fn has_surplus(&self) -> bool {
         !self.reader.buffer().is_empty() || self.peek().is_ok_and(|length| length > 0)
     }
 
-    /// How many bytes could be read now, at most one.
+    /// Returns how many bytes can be read now, at most one; 0 if the box has closed the
+    /// connection. Fails with `WouldBlock` if there are none yet.
     fn peek(&self) -> std::io::Result<usize> {
         let stream = self.stream();
         stream.set_nonblocking(true)?;
@@ -221,20 +229,21 @@
         peeked
     }
 
-    /// Sends a request and reads its answer; whether the connection stays.
+    /// Sends a request and reads its response. Also returns whether the connection can be
+    /// kept.
     fn call(&mut self, draft: &Draft, random: &mut StdRng) -> (Call, bool) {
         self.view.in_flight.fetch_add(1, Ordering::Relaxed);
-        let rested = self.backoff_since.elapsed();
+        let idle_for = self.idle_since.elapsed();
         let surplus = self.has_surplus();
         let read_before = self.reader.get_ref().bytes;
         let began = Instant::now();
         let written = draft.write(self.stream(), random).is_ok();
         let sent = written.then(Instant::now);
-        let answer = read_kept_answer(&mut self.reader);
+        let response = read_kept_answer(&mut self.reader);
         let ended = Instant::now();
         self.view.in_flight.fetch_sub(1, Ordering::Relaxed);
-        let closes = answer.as_ref().is_none_or(|answer| {
-            let connection = answer.headers.get("connection");
+        let will_close = response.as_ref().is_none_or(|response| {
+            let connection = response.headers.get("connection");
             connection.is_some_and(|value| value.eq_ignore_ascii_case("close"))
         });
         let waited = ended.saturating_duration_since(sent.unwrap_or(began));
@@ -242,22 +251,22 @@
             id: draft.id.clone(),
             box_index: self.view.index,
             route: draft.route,
-            before: self.used,
-            rested,
+            requests_before: self.requests_sent,
+            idle_for,
             began,
             sent,
             ended,
-            outcome: match answer {
+            outcome: match response {
                 _ if surplus => Outcome::Surplus,
-                Some(answer) => judge(&answer, draft),
-                None if waited >= ANSWER_LIMIT => Outcome::Silence,
+                Some(response) => classify(&response, draft),
+                None if waited >= RESPONSE_TIMEOUT => Outcome::Silence,
                 None => Outcome::Broken,
             },
             read_bytes: self.reader.get_ref().bytes - read_before,
         };
-        self.used += 1;
-        self.backoff_since = ended;
-        (call, written && !closes)
+        self.requests_sent += 1;
+        self.idle_since = ended;
+        (call, written && !will_close)
     }
 }
 
@@ -276,7 +285,7 @@
             DEADLINE.as_millis(),
             self.work_ms,
             self.body_bytes,
-            self.answer_bytes,
+            self.response_bytes,
             self.pieces,
         );
         let body = pattern(&self.id, self.body_bytes);
@@ -299,7 +308,7 @@
     }
 }
 
-impl Read for Counted {
+impl Read for CountingStream {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let length = self.stream.read(buffer)?;
         self.bytes += length;
@@ -307,20 +316,20 @@
     }
 }
 
-/// Whether an answer is the request's own in all parts.
-fn judge(answer: &Answer, draft: &Draft) -> Outcome {
-    let status = answer.status;
-    if answer.headers.contains_key("wingspur-result") {
+/// Classifies a response, and checks that its id, stamp and body belong to the request.
+fn classify(response: &Answer, draft: &Draft) -> Outcome {
+    let status = response.status;
+    if response.headers.contains_key("wingspur-result") {
         return Outcome::Refusal { status };
     }
-    let echoed = answer.headers.get("x-wingspur-request-id");
-    let stamped = answer.headers.contains_key("x-wingspur-server-stamp");
+    let echoed = response.headers.get("x-wingspur-request-id");
+    let stamped = response.headers.contains_key("x-wingspur-server-stamp");
     let body = match status {
-        200 => pattern(&draft.id, draft.answer_bytes),
+        200 => pattern(&draft.id, draft.response_bytes),
         500 => b"failed".to_vec(),
         _ => b"late".to_vec(),
     };
-    let own = echoed == Some(&draft.id) && stamped && answer.body == body;
+    let own = echoed == Some(&draft.id) && stamped && response.body == body;
     Outcome::Answer { status, own }
 }
 
@@ -335,19 +344,20 @@
     0
 }
 
-/// What a caller allows; longer than any route.
+/// Deadline that callers set for each request; longer than the timeout of any route.
 pub const DEADLINE: Duration = Duration::from_millis(4000);
-/// Two routes' time beyond the deadline: an answer that comes later never comes.
-const ANSWER_LIMIT: Duration = Duration::from_millis(6000);
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-const UNREACHED_PAUSE: Duration = Duration::from_millis(30);
-const SHORT_REST: Duration = Duration::from_millis(60);
-/// Requests for which a new connection is opened though one is kept.
-const FRESH_SHARE: f64 = 0.1;
-const LOOKING_SHARE: f64 = 0.5;
-const LONG_REST_SHARE: f64 = 0.06;
-/// Enough that nearly every stop meets one of them.
+/// Two seconds beyond the deadline; a response that has not arrived by then counts as
+/// missing.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(6000);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(30);
+const MAX_SHORT_PAUSE: Duration = Duration::from_millis(60);
+/// Share of the requests for which a new connection is opened although one is kept.
+const NEW_CONNECTION_SHARE: f64 = 0.1;
+const CHECK_FIRST_SHARE: f64 = 0.5;
+const LONG_PAUSE_SHARE: f64 = 0.06;
+/// High enough that nearly every stop of a box meets a slow request.
 const SLOW_SHARE: f64 = 0.15;
 const BODY_SHARE: f64 = 0.4;
-/// Longer than what a box keeps to send again.
+/// Share of the bodies that are longer than what a box keeps for a resend.
 const LONG_BODY_SHARE: f64 = 0.1;
--- a/tests/soak/src/planned/mod.rs
+++ b/tests/soak/src/planned/mod.rs
@@ -1,4 +1,4 @@
-//! Planned work alone, in overlapping series: nothing else goes wrong, so all must hold.
+//! Plays overlapping planned work without any faults, so all promises must hold.
 
 mod callers;
 mod operator;
@@ -21,23 +21,19 @@
 
 pub use play::Setup;
 
-/// What came of a seed.
+/// Result of a seed.
 pub struct Verdict {
     /// The seed.
     pub seed: u64,
-    /// How often each promise was broken.
+    /// How often each promise was broken, by its name.
     pub broken: BTreeMap<&'static str, usize>,
 }
 
-/// Plays a seed and prints what came of it; logs stay only where a promise was broken.
-pub fn play_planned(
-    setup: &Setup,
-    seed: u64,
-    logs: &Path,
-    is_talkative: bool,
-) -> Verdict {
+/// Plays a seed and prints the result. The logs are kept only if a promise was broken.
+/// `print_tasks` prints the schedule first.
+pub fn play_planned(setup: &Setup, seed: u64, logs: &Path, print_tasks: bool) -> Verdict {
     let schedule = Schedule::draw(seed, setup.boxes, setup.span);
-    if is_talkative {
+    if print_tasks {
         schedule.tasks.iter().for_each(|task| println!("  {task}"));
     }
     let folder = make_folder(logs, seed);
@@ -48,10 +44,10 @@
     for finding in &findings {
         let times = broken.entry(finding.promise).or_default();
         *times += 1;
-        if *times <= MOST_PRINTED {
+        if *times <= MAX_PRINTED {
             println!("  {}: {}", finding.promise, finding.text);
-            let story = finding.story.iter().take(MOST_STORY_LINES);
-            story.for_each(|line| println!("      {line}"));
+            let timeline = finding.timeline.iter().take(MAX_TIMELINE_LINES);
+            timeline.for_each(|line| println!("      {line}"));
         }
     }
     if findings.is_empty() {
@@ -64,7 +60,7 @@
 }
 
 fn make_folder(logs: &Path, seed: u64) -> PathBuf {
-    // Several soaks may play the same seed.
+    // The process id keeps soaks apart that play the same seed at the same time.
     let name = format!("{seed}-{}", std::process::id());
     let folder = logs.join(name);
     std::fs::create_dir_all(&folder).expect("the folder for logs can be made");
@@ -77,23 +73,25 @@
     }
 }
 
-/// The play in a line.
+/// Returns a one-line summary of the play.
 fn summary(record: &Record, findings: &[Finding], margins: &Margins) -> String {
     let mut line = match findings.len() {
         0 => "all promises held".to_owned(),
         count => format!("{count} FINDINGS"),
     };
-    let answered = |status: u16| {
+    let with_status = |status: u16| {
         let calls = record.calls.iter();
-        let good = calls.filter(|call| {
+        let matching = calls.filter(|call| {
             matches!(call.outcome, Outcome::Answer { status: s, .. } if s == status)
         });
-        good.count()
+        matching.count()
     };
     let refused = record.calls.iter();
     let refused = refused.filter(|call| matches!(call.outcome, Outcome::Refusal { .. }));
-    let lives = record.lives.iter().flatten();
-    let stops = lives.filter(|life| life.told.is_some()).count();
+    let instances = record.instances.iter().flatten();
+    let stops = instances
+        .filter(|instance| instance.stop_sent.is_some())
+        .count();
     let used = margins.budget.map_or("none".to_owned(), |(service, used)| {
         let (share, allowed) = (used.share(), used.allowed);
         let (spent, name) = (used.spent, SERVICES[service]);
@@ -106,19 +104,19 @@
          (for {} ms); {stops} stops, \
          {} configurations; budget used {used}; behind {} ms, leaving {} ms",
         record.calls.len(),
-        answered(200),
-        answered(500),
+        with_status(200),
+        with_status(500),
         refused.count(),
         margins.unread,
-        margins.unread_for.as_millis(),
+        margins.longest_unread.as_millis(),
         record.versions.len(),
-        margins.behind.as_millis(),
-        margins.leaving.as_millis(),
+        margins.configuration_lag.as_millis(),
+        margins.draining_lag.as_millis(),
     );
     line
 }
 
-/// Writes all findings and what was done, beside the boxes' logs.
+/// Writes all findings and the work that was done to a file beside the logs of the boxes.
 fn write_findings(
     folder: &Path,
     setup: &Setup,
@@ -129,7 +127,7 @@
     let mut text = format!("seed {seed}, {setup:?}\n\n");
     for finding in findings {
         let _ = writeln!(text, "{}: {}", finding.promise, finding.text);
-        for line in &finding.story {
+        for line in &finding.timeline {
             let _ = writeln!(text, "    {line}");
         }
     }
@@ -142,6 +140,7 @@
     }
 }
 
-const MOST_PRINTED: usize = 3;
-/// A window of a budget holds dozens of resends; the file has all of them.
-const MOST_STORY_LINES: usize = 12;
+const MAX_PRINTED: usize = 3;
+/// The timeline of a budget window may hold dozens of resends; the file of findings has
+/// all of them.
+const MAX_TIMELINE_LINES: usize = 12;
--- a/tests/soak/src/planned/operator.rs
+++ b/tests/soak/src/planned/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: writes configurations, and keeps which were in force when.
+//! Writes configurations as an operator does, and records each version with its routes
+//! and when it was written.
 
 use std::time::{Duration, Instant};
 
@@ -9,28 +10,28 @@
 
 /// A route that callers use.
 pub struct Route {
-    /// Its name, and its path's first part.
+    /// Name of the route, and first segment of its path.
     pub name: &'static str,
-    /// What may be done with its requests.
+    /// Kind of the requests of the route.
     pub kind: RouteKind,
-    /// Its part of the requests.
+    /// Weight of the route when callers draw a route.
     pub share: u32,
 }
 
-/// What may be done with the requests of a route.
+/// Kind of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// They may be repeated.
+    /// Requests that may be sent again.
     Read,
-    /// They run at most once.
+    /// Requests that must run at most once.
     OnceOnly,
-    /// They may be repeated, and their answers are long.
+    /// Requests that may be sent again and have long responses.
     Download,
 }
 
 /// The operator of one play.
 pub struct Operator {
-    /// The configurations so far.
+    /// All configurations written so far, oldest first.
     pub versions: Vec<Version>,
     moved_to: ServiceIndex,
     weights: [u32; 2],
@@ -40,11 +41,11 @@
 /// A change of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Other timeouts.
+    /// The timeout of all routes changes.
     Timeout,
-    /// A route leads to another service.
+    /// The route `move` leads to another service.
     Route,
-    /// The parts of a route that is split change.
+    /// The weights of the route `split` change.
     Weights,
 }
 
@@ -55,7 +56,7 @@
             versions: Vec::new(),
             moved_to: CHOICES,
             weights: [1, 1],
-            timeout_ms: LEAST_TIMEOUT_MS,
+            timeout_ms: MIN_TIMEOUT_MS,
         };
         operator.write(store);
         operator
@@ -65,7 +66,7 @@
     pub fn change(&mut self, change: Change, store: &PlatformStore) {
         match change {
             Change::Timeout => {
-                self.timeout_ms = LEAST_TIMEOUT_MS + (self.timeout_ms + 170) % 600;
+                self.timeout_ms = MIN_TIMEOUT_MS + (self.timeout_ms + 170) % 600;
             }
             Change::Route => self.moved_to = CHOICES + ARCHIVE - self.moved_to,
             Change::Weights => self.weights = [self.weights[1] % 3 + 1, self.weights[0]],
@@ -74,15 +75,15 @@
     }
 
     fn write(&mut self, store: &PlatformStore) {
-        // Versions rise by uneven steps.
-        let before = self.versions.last().map_or(0, |version| version.number);
-        let number = before + 1 + before % 3;
+        // Version numbers rise in uneven steps, since they need not be consecutive.
+        let previous = self.versions.last().map_or(0, |version| version.number);
+        let number = previous + 1 + previous % 3;
         let written = Instant::now();
         store.put("op/config", &self.configuration(number));
         self.versions.push(Version {
             number,
             written,
-            taken: Instant::now(),
+            acknowledged: Instant::now(),
             services: ROUTES.iter().map(|route| self.services_of(route)).collect(),
         });
     }
@@ -107,7 +108,8 @@
             "services": services,
             "limits": {
                 "max_head_bytes": 16384, "max_body_bytes": 1048576,
-                "head_timeout_ms": 3000, "idle_timeout_ms": IDLE_LIMIT.as_millis() as u64,
+                "head_timeout_ms": 3000,
+                "idle_timeout_ms": IDLE_TIMEOUT.as_millis() as u64,
             },
         })
     }
@@ -118,33 +120,33 @@
             RouteKind::OnceOnly => "once_only",
             RouteKind::Download => "download",
         };
-        let mut written = json!({
+        let mut fields = json!({
             "name": route.name, "host": HOST, "path_prefix": format!("/{}/", route.name),
             "class": class, "timeout_ms": self.timeout_ms, "target_latency_ms": 1000,
             "priority": 1, "max_attempts": 3,
         });
         let services = self.services_of(route);
         match services.len() {
-            1 => written["service"] = json!(SERVICES[services[0]]),
+            1 => fields["service"] = json!(SERVICES[services[0]]),
             _ => {
                 let targets = services.iter().zip(self.weights);
                 let targets = targets.map(|(service, weight)| {
                     json!({"service": SERVICES[*service], "weight": weight})
                 });
-                written["targets"] = targets.collect();
+                fields["targets"] = targets.collect();
             }
         }
-        written
+        fields
     }
 }
 
-/// The services.
+/// Names of the services.
 pub const SERVICES: [&str; 3] = ["reads", "choices", "archive"];
 const READS: ServiceIndex = 0;
 const CHOICES: ServiceIndex = 1;
 const ARCHIVE: ServiceIndex = 2;
 
-/// The routes.
+/// Routes of every configuration.
 pub const ROUTES: [Route; 5] = [
     route("read", RouteKind::Read, 40),
     route("once", RouteKind::OnceOnly, 25),
@@ -157,9 +159,10 @@
     Route { name, kind, share }
 }
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "site.example";
-/// How long a caller's connection may rest.
-pub const IDLE_LIMIT: Duration = Duration::from_millis(3000);
-/// The shortest time that any route has; the longest has 600 ms more.
-pub const LEAST_TIMEOUT_MS: u64 = 2800;
+/// How long a client connection may be idle before the box closes it.
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Shortest timeout that any version of a route has; the longest is less than 600 ms
+/// longer.
+pub const MIN_TIMEOUT_MS: u64 = 2800;
--- a/tests/soak/src/planned/play/box_work.rs
+++ b/tests/soak/src/planned/play/box_work.rs
@@ -1,4 +1,5 @@
-//! Work on boxes: stopped in series, started again, told to reload, added.
+//! Planned work on boxes: stopping them in series, starting them again, reloading and
+//! adding them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,31 +8,32 @@
 use rand::RngExt;
 use rustix::process::Signal;
 
-use super::{BUDGET, Later, Play, PlayedBox};
+use super::{BUDGET, FollowUp, Play, PlayedBox};
 use crate::boxes::{BoxSpec, SoakBox};
 use crate::planned::callers::BoxView;
-use crate::planned::record::{BoxIndex, Life};
+use crate::planned::record::{BoxIndex, BoxInstance};
 use crate::planned::servers::spawn;
 use crate::planned::watching::watch_box;
 
 impl Play<'_> {
-    /// Stops the next box of a series, while it answers requests if that comes soon.
-    pub(super) fn go_on_with_series(&mut self, number: usize, now: Instant) {
+    /// Stops the next box of a series once it is due, preferably while it has requests in
+    /// flight. Skips a box that is removed or that cannot be stopped in time.
+    pub(super) fn continue_series(&mut self, number: usize, now: Instant) {
         let series = &self.series[number];
         let Some(index) = series.boxes.front().copied().filter(|_| series.due <= now)
         else {
             return;
         };
-        let waited = now.saturating_duration_since(series.due);
+        let overdue = now.saturating_duration_since(series.due);
         let next = &self.boxes[index];
-        let busy = next.view.in_flight.load(Ordering::Relaxed) > 0;
-        let away = self.boxes.iter().filter(|b| !b.takes_callers()).count();
-        let held_up = !next.takes_callers() || away >= self.boxes.len() / 2;
-        if next.for_good || waited > SERIES_PATIENCE {
+        let has_requests = next.view.in_flight.load(Ordering::Relaxed) > 0;
+        let out_of_rotation = self.boxes.iter().filter(|b| !b.in_rotation()).count();
+        let is_blocked = !next.in_rotation() || out_of_rotation >= self.boxes.len() / 2;
+        if next.is_removed || overdue > MAX_SERIES_WAIT {
             self.series[number].boxes.pop_front();
             return;
         }
-        if held_up || (!busy && waited < BUSY_PATIENCE) {
+        if is_blocked || (!has_requests && overdue < MAX_WAIT_FOR_REQUEST) {
             return;
         }
         self.stop(index);
@@ -42,83 +44,97 @@
 
     pub(super) fn stop(&mut self, index: BoxIndex) {
         let stopped = &mut self.boxes[index];
-        let Some(life) = stopped.lives.last_mut().filter(|life| life.told.is_none())
+        let Some(instance) = stopped
+            .instances
+            .last_mut()
+            .filter(|instance| instance.stop_sent.is_none())
         else {
             return;
         };
-        life.told = Some(Instant::now());
+        instance.stop_sent = Some(Instant::now());
         stopped.process.stop();
         let in_flight = stopped.view.in_flight.load(Ordering::Relaxed);
-        self.note(format!(
+        self.log_work(format!(
             "box-{index} is told to stop, {in_flight} in flight"
         ));
         if self.setup.tells_twice {
-            let after = self.random.random_range(0..MOST_BETWEEN_SIGNALS_MS);
-            self.plan(Duration::from_millis(after), Later::TellAgain(index));
+            let after = self.random.random_range(0..MAX_BETWEEN_SIGNALS_MS);
+            self.plan(Duration::from_millis(after), FollowUp::StopAgain(index));
         }
     }
 
-    /// Tells a box to stop that is stopping already, as two operators at once would.
-    pub(super) fn tell_again(&mut self, index: BoxIndex) {
-        if !self.boxes[index].stops() {
+    /// Sends SIGTERM once more to a box that is stopping already, as two operators at
+    /// once would.
+    pub(super) fn stop_again(&mut self, index: BoxIndex) {
+        if !self.boxes[index].is_stopping() {
             return;
         }
         self.boxes[index].process.signal(Signal::TERM);
-        self.note(format!("box-{index} is told to stop once more"));
+        self.log_work(format!("box-{index} is told to stop once more"));
     }
 
-    /// Notes which processes have ended; those that were told to are started again.
-    pub(super) fn note_ends(&mut self) {
+    /// Records which processes have ended, and plans the start of each box that is not
+    /// removed.
+    pub(super) fn record_ended_processes(&mut self) {
         for index in 0..self.boxes.len() {
-            let ended = &mut self.boxes[index];
-            let runs = ended.process.runs();
-            let open = ended.lives.last_mut().filter(|life| life.ended.is_none());
-            let Some(life) = open else { continue };
-            if runs {
-                life.seen = Instant::now();
+            let played = &mut self.boxes[index];
+            let is_running = played.process.is_running();
+            let unfinished = played
+                .instances
+                .last_mut()
+                .filter(|instance| instance.ended.is_none());
+            let Some(instance) = unfinished else { continue };
+            if is_running {
+                instance.last_seen_running = Instant::now();
                 continue;
             }
-            let well = ended.process.ended().is_some_and(|status| status.success());
-            life.ended = Some(Instant::now());
-            life.well = well;
-            let comes_back = !ended.for_good;
-            self.note(format!("box-{index} has ended"));
-            if comes_back {
+            let exited_cleanly = played
+                .process
+                .exit_status()
+                .is_some_and(|status| status.success());
+            instance.ended = Some(Instant::now());
+            instance.exited_cleanly = exited_cleanly;
+            let is_restarted = !played.is_removed;
+            self.log_work(format!("box-{index} has ended"));
+            if is_restarted {
                 let pause = self.random.random_range(50..700);
-                self.plan(Duration::from_millis(pause), Later::Start(index));
+                self.plan(Duration::from_millis(pause), FollowUp::Start(index));
             }
         }
     }
 
     pub(super) fn start_box(&mut self, index: BoxIndex) {
         let started = &mut self.boxes[index];
-        if started.for_good && !started.lives.is_empty() {
+        if started.is_removed && !started.instances.is_empty() {
             return;
         }
-        started.lives.push(Life {
+        started.instances.push(BoxInstance {
             started: Instant::now(),
-            seen: Instant::now(),
-            told: None,
+            last_seen_running: Instant::now(),
+            stop_sent: None,
             ended: None,
-            well: true,
+            exited_cleanly: true,
         });
         started.process.start();
-        self.note(format!("box-{index} is started"));
+        self.log_work(format!("box-{index} is started"));
     }
 
-    /// Tells most boxes to read their settings; one that starts could not hear it yet.
+    /// Sends SIGHUP to most boxes, after changing their log filter if `changed`. A box
+    /// that is starting is left out, since it cannot handle the signal yet.
     pub(super) fn reload(&mut self, changed: bool) {
         let filter = ["info", "info,hyper=warn", "info,wingspur_edge=info"];
         let filter = filter[self.random.random_range(0..filter.len())];
         for index in 0..self.boxes.len() {
-            let told = &mut self.boxes[index];
-            if self.random.random_bool(0.2) || !(told.takes_callers() || told.stops()) {
+            let reloaded = &mut self.boxes[index];
+            if self.random.random_bool(0.2)
+                || !(reloaded.in_rotation() || reloaded.is_stopping())
+            {
                 continue;
             }
             if changed {
-                told.process.set_filter(filter);
+                reloaded.process.set_filter(filter);
             }
-            told.process.signal(Signal::HUP);
+            reloaded.process.signal(Signal::HUP);
         }
     }
 
@@ -128,40 +144,41 @@
         let spec = BoxSpec {
             id: format!("box-{index}"),
             data_centre: self.data_centre(index),
-            // A box that is added later is as strong as the strongest can be.
+            // A box that is added later gets a greater share than any initial box.
             cpu_share: shares.get(index).copied().unwrap_or(1.0),
-            kill_after_s: Some(GRACE.as_secs_f64()),
+            kill_after_s: Some(KILL_AFTER.as_secs_f64()),
             budget: BUDGET,
         };
         let address = self.store.address;
         let process = SoakBox::new(&spec, &self.setup.program, address, self.folder);
         let view = Arc::new(BoxView {
             index,
-            callers: process.callers,
-            takes_callers: AtomicBool::new(false),
+            caller_address: process.caller_address,
+            in_rotation: AtomicBool::new(false),
             in_flight: Default::default(),
         });
-        let operators = process.operators;
+        let operator_address = process.operator_address;
         let (watched, readings) = (view.clone(), self.readings.clone());
         let stop = self.stop_watching.clone();
-        let watching = move || watch_box(&watched, operators, &readings, &stop);
+        let watching = move || watch_box(&watched, operator_address, &readings, &stop);
         self.watchers.push(spawn(watching));
         self.boxes.push(PlayedBox {
             process,
             view: view.clone(),
-            lives: Vec::new(),
-            for_good: false,
+            instances: Vec::new(),
+            is_removed: false,
         });
         self.start_box(index);
         self.views.write().expect("no holder panics").push(view);
     }
 }
 
-/// When the platform would kill a box that was told to stop.
-pub const GRACE: Duration = Duration::from_secs(8);
-/// How long a series waits for its next box to answer a request.
-const BUSY_PATIENCE: Duration = Duration::from_millis(300);
-/// How long it waits for the box to be back, and for enough others.
-const SERIES_PATIENCE: Duration = Duration::from_secs(6);
-/// A stop takes half a second and what is in flight.
-const MOST_BETWEEN_SIGNALS_MS: u64 = 1500;
+/// Time after the stop signal at which the platform would kill a box.
+pub const KILL_AFTER: Duration = Duration::from_secs(8);
+/// How long a series waits for its next box to have a request in flight.
+const MAX_WAIT_FOR_REQUEST: Duration = Duration::from_millis(300);
+/// How long a series waits for its next box, and for more than half of all boxes, to be
+/// in rotation.
+const MAX_SERIES_WAIT: Duration = Duration::from_secs(6);
+/// A stop takes half a second and the time of the requests in flight.
+const MAX_BETWEEN_SIGNALS_MS: u64 = 1500;
--- a/tests/soak/src/planned/play/mod.rs
+++ b/tests/soak/src/planned/play/mod.rs
@@ -1,4 +1,5 @@
-//! One play of planned work: starts all parts, does the work in time, gathers the record.
+//! Runs one play of planned work: starts all parts, does the work at its time, and
+//! collects the record.
 
 mod box_work;
 mod server_work;
@@ -18,30 +19,30 @@
 use crate::budget::Budget;
 use crate::planned::callers::{BoxView, Callers, Views};
 use crate::planned::operator::{Change, Operator, SERVICES};
-use crate::planned::record::{BoxIndex, Call, Life, Reading, Record, RunId};
+use crate::planned::record::{BoxIndex, BoxInstance, Call, InstanceId, Reading, Record};
 use crate::planned::schedule::{PlannedWork, Schedule};
-use crate::planned::servers::{Ledger, Server};
+use crate::planned::servers::{ArrivalLog, Server};
 
-pub use box_work::GRACE;
+pub use box_work::KILL_AFTER;
 
-/// What is played.
+/// Parameters of a play.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// The program that each box runs.
     pub program: PathBuf,
-    /// How many boxes there are at first.
+    /// Number of boxes at the start.
     pub boxes: usize,
-    /// How many backend servers there are at first.
+    /// Number of backend servers at the start.
     pub servers: usize,
-    /// Over how many data centres both are spread.
+    /// Number of data centres over which boxes and servers are spread.
     pub data_centres: usize,
-    /// For how long work begins.
+    /// Length of the part of the play in which work begins.
     pub span: Duration,
-    /// Whether a box that was told to stop is told once more while it stops.
+    /// Whether a stopping box gets SIGTERM once more.
     pub tells_twice: bool,
 }
 
-/// A play under way.
+/// State of a running play.
 struct Play<'a> {
     setup: &'a Setup,
     schedule: &'a Schedule,
@@ -55,10 +56,10 @@
     readings: Arc<Mutex<Vec<Reading>>>,
     watchers: Vec<JoinHandle<()>>,
     servers: Vec<Server>,
-    ledger: Ledger,
-    left: HashMap<RunId, Instant>,
+    arrivals: ArrivalLog,
+    withdrawn_at: HashMap<InstanceId, Instant>,
     series: Vec<Series>,
-    later: Vec<(Instant, Later)>,
+    follow_ups: Vec<(Instant, FollowUp)>,
     work: Vec<(Instant, String)>,
 }
 
@@ -66,39 +67,40 @@
 struct PlayedBox {
     process: SoakBox,
     view: Arc<BoxView>,
-    lives: Vec<Life>,
-    /// Whether it is not started again.
-    for_good: bool,
+    instances: Vec<BoxInstance>,
+    /// Whether the box is removed and not started again once it has ended.
+    is_removed: bool,
 }
 
-/// A series under way.
+/// A running series of stops.
 struct Series {
     boxes: VecDeque<BoxIndex>,
     gap: Duration,
     due: Instant,
 }
 
-/// What follows from work that was begun.
-enum Later {
+/// A later step of work that has begun.
+enum FollowUp {
     Start(BoxIndex),
-    TellAgain(BoxIndex),
+    StopAgain(BoxIndex),
     Configure(Change),
     Replace(usize),
     Leave(usize),
     End(usize),
 }
 
-/// Plays a schedule, with the boxes' files in `folder`.
+/// Plays a schedule and returns the record. The files of the boxes go into `folder`.
 pub fn play(setup: &Setup, schedule: &Schedule, seed: u64, folder: &Path) -> Record {
     let mut play = Play::start(setup, schedule, seed, folder);
-    play.wait_until_all_take_callers();
-    let count = CALLERS_LEAST + CALLERS_A_BOX * setup.boxes;
+    play.wait_until_all_in_rotation();
+    let count = MIN_CALLERS + CALLERS_PER_BOX * setup.boxes;
     let callers = Callers::start(count, seed, &play.views);
     let began = Instant::now();
-    play.follow(began);
-    // What was spent before the last stop must not be spent again after it.
+    play.run_schedule(began);
+    // The callers go on for a whole window, so that the checks see whether a box spends
+    // again after its start what was spent before the last stop.
     std::thread::sleep(BUDGET.window + TAIL);
-    play.note_ends();
+    play.record_ended_processes();
     let calls = callers.close();
     play.close(began, calls)
 }
@@ -124,10 +126,10 @@
             readings: Arc::new(Mutex::new(Vec::new())),
             watchers: Vec::new(),
             servers: Vec::new(),
-            ledger: Arc::new(Mutex::new(Vec::new())),
-            left: HashMap::new(),
+            arrivals: Arc::new(Mutex::new(Vec::new())),
+            withdrawn_at: HashMap::new(),
             series: Vec::new(),
-            later: Vec::new(),
+            follow_ups: Vec::new(),
             work: Vec::new(),
         };
         for number in 0..setup.servers {
@@ -139,25 +141,26 @@
         play
     }
 
-    fn wait_until_all_take_callers(&self) {
-        let until = Instant::now() + MOST_WAIT;
-        while Instant::now() < until && self.boxes.iter().any(|b| !b.takes_callers()) {
+    fn wait_until_all_in_rotation(&self) {
+        let until = Instant::now() + MAX_WAIT;
+        while Instant::now() < until && self.boxes.iter().any(|b| !b.in_rotation()) {
             std::thread::sleep(TICK);
         }
     }
 
-    /// Begins work in time, and what follows from it, until all is done.
-    fn follow(&mut self, began: Instant) {
+    /// Begins the tasks of the schedule at their time and does their later steps until
+    /// all is done.
+    fn run_schedule(&mut self, began: Instant) {
         let schedule = self.schedule;
         let mut tasks = schedule.tasks.iter().peekable();
-        let (end, limit) = (began + self.setup.span, began + self.setup.span + MOST_WAIT);
+        let (end, limit) = (began + self.setup.span, began + self.setup.span + MAX_WAIT);
         loop {
             let now = Instant::now();
             while let Some(task) = tasks.next_if(|task| began + task.at <= now) {
-                self.note(format!("{:?}", task.work));
+                self.log_work(format!("{:?}", task.work));
                 self.begin(&task.work, now);
             }
-            self.go_on(now);
+            self.continue_work(now);
             let done = tasks.peek().is_none() && self.is_done();
             if now >= limit || (now >= end && done) {
                 return;
@@ -181,60 +184,61 @@
                         1 => Change::Route,
                         _ => Change::Weights,
                     };
-                    self.plan(STORM_GAP * step, Later::Configure(change));
+                    self.plan(STORM_GAP * step, FollowUp::Configure(change));
                 }
             }
-            PlannedWork::Change(change) => self.plan(NOW, Later::Configure(*change)),
+            PlannedWork::Change(change) => self.plan(NOW, FollowUp::Configure(*change)),
             PlannedWork::AddServers(service, count) => {
                 (0..*count).for_each(|_| self.add_server(*service));
             }
             PlannedWork::Release(service, count) => self.release(*service, *count),
             PlannedWork::Empty(service) => {
                 if let Some(server) = self.spare_server(*service) {
-                    self.plan(NOW, Later::Leave(server));
+                    self.plan(NOW, FollowUp::Leave(server));
                 }
             }
             PlannedWork::Vanish(service) => {
                 if let Some(server) = self.spare_server(*service) {
-                    self.vanish(server);
+                    self.remove_entry(server);
                 }
             }
             PlannedWork::AddBox => self.add_box(),
             PlannedWork::RemoveBox(index) => {
-                self.boxes[*index].for_good = true;
+                self.boxes[*index].is_removed = true;
                 self.stop(*index);
             }
         }
     }
 
-    /// Does what has become due since the last tick.
-    fn go_on(&mut self, now: Instant) {
-        self.note_ends();
-        let later = std::mem::take(&mut self.later);
-        let (due, rest): (Vec<_>, Vec<_>) =
-            later.into_iter().partition(|(at, _)| *at <= now);
-        self.later = rest;
-        due.into_iter().for_each(|(_, later)| self.take_up(later));
+    /// Does the steps that have become due since the last tick.
+    fn continue_work(&mut self, now: Instant) {
+        self.record_ended_processes();
+        let planned = std::mem::take(&mut self.follow_ups);
+        let (due, pending): (Vec<_>, Vec<_>) =
+            planned.into_iter().partition(|(at, _)| *at <= now);
+        self.follow_ups = pending;
+        due.into_iter()
+            .for_each(|(_, follow_up)| self.run_follow_up(follow_up));
         for number in 0..self.series.len() {
-            self.go_on_with_series(number, now);
+            self.continue_series(number, now);
         }
     }
 
-    fn take_up(&mut self, later: Later) {
-        match later {
-            Later::Start(index) => self.start_box(index),
-            Later::TellAgain(index) => self.tell_again(index),
-            Later::Configure(change) => {
+    fn run_follow_up(&mut self, follow_up: FollowUp) {
+        match follow_up {
+            FollowUp::Start(index) => self.start_box(index),
+            FollowUp::StopAgain(index) => self.stop_again(index),
+            FollowUp::Configure(change) => {
                 self.operator.change(change, &self.store);
                 let number = self.operator.versions.last().map_or(0, |v| v.number);
-                self.note(format!("configuration {number}: {change:?}"));
+                self.log_work(format!("configuration {number}: {change:?}"));
             }
-            Later::Replace(old) => {
+            FollowUp::Replace(old) => {
                 self.add_server(self.servers[old].service);
-                self.plan(OLD_LEAVES_AFTER, Later::Leave(old));
+                self.plan(DRAIN_OLD_AFTER, FollowUp::Leave(old));
             }
-            Later::Leave(server) => self.leave(server),
-            Later::End(server) => self.end_server(server),
+            FollowUp::Leave(server) => self.drain_server(server),
+            FollowUp::End(server) => self.end_server(server),
         }
     }
 
@@ -242,26 +246,30 @@
         format!("dc-{}", number % self.setup.data_centres)
     }
 
-    fn plan(&mut self, after: Duration, later: Later) {
-        self.later.push((Instant::now() + after, later));
+    fn plan(&mut self, after: Duration, follow_up: FollowUp) {
+        self.follow_ups.push((Instant::now() + after, follow_up));
     }
 
-    fn note(&mut self, text: String) {
+    fn log_work(&mut self, text: String) {
         self.work.push((Instant::now(), text));
     }
 
-    /// Whether all boxes are back and nothing is left to do but to end servers.
+    /// Returns whether all boxes are running again, or have ended if they are removed,
+    /// and only ends of servers are left to do.
     fn is_done(&self) -> bool {
         let series_done = self.series.iter().all(|series| series.boxes.is_empty());
-        let ends_only = |(_, later): &(Instant, Later)| matches!(later, Later::End(_));
-        let back = |played: &PlayedBox| {
-            let last = played.lives.last();
-            match played.for_good {
-                true => last.is_some_and(|life| life.ended.is_some()),
-                false => last.is_some_and(|life| life.told.is_none()),
+        let is_end =
+            |(_, follow_up): &(Instant, FollowUp)| matches!(follow_up, FollowUp::End(_));
+        let is_back = |played: &PlayedBox| {
+            let last = played.instances.last();
+            match played.is_removed {
+                true => last.is_some_and(|instance| instance.ended.is_some()),
+                false => last.is_some_and(|instance| instance.stop_sent.is_none()),
             }
         };
-        series_done && self.later.iter().all(ends_only) && self.boxes.iter().all(back)
+        series_done
+            && self.follow_ups.iter().all(is_end)
+            && self.boxes.iter().all(is_back)
     }
 
     fn close(self, began: Instant, calls: Vec<Call>) -> Record {
@@ -269,24 +277,24 @@
         for watcher in self.watchers {
             watcher.join().expect("watchers do not panic");
         }
-        let mut lives = Vec::new();
+        let mut instances = Vec::new();
         for played in self.boxes {
-            played.process.close();
-            lives.push(played.lives);
+            played.process.kill();
+            instances.push(played.instances);
         }
         self.servers.iter().for_each(Server::end);
-        // Copied: a server whose box has gone may still be at work.
-        let arrivals = self.ledger.lock().expect("no holder panics").clone();
+        // Copied, since a server whose box has ended may still be handling a request.
+        let arrivals = self.arrivals.lock().expect("no holder panics").clone();
         let readings =
             std::mem::take(&mut *self.readings.lock().expect("no holder panics"));
         Record {
             began,
             calls,
             arrivals,
-            lives,
+            instances,
             readings,
             versions: self.operator.versions,
-            left: self.left,
+            withdrawn_at: self.withdrawn_at,
             budget: BUDGET,
             work: self.work,
         }
@@ -294,32 +302,34 @@
 }
 
 impl PlayedBox {
-    /// Whether it was told to stop and has not ended.
-    fn stops(&self) -> bool {
-        let last = self.lives.last();
-        last.is_some_and(|life| life.told.is_some() && life.ended.is_none())
+    /// Returns whether SIGTERM was sent and the process has not ended.
+    fn is_stopping(&self) -> bool {
+        let last = self.instances.last();
+        last.is_some_and(|instance| {
+            instance.stop_sent.is_some() && instance.ended.is_none()
+        })
     }
 
-    fn takes_callers(&self) -> bool {
-        self.view.takes_callers.load(Ordering::Relaxed)
+    fn in_rotation(&self) -> bool {
+        self.view.in_rotation.load(Ordering::Relaxed)
     }
 }
 
-/// Small enough that a short play presses it.
+/// Small enough that a short play comes near the limit.
 const BUDGET: Budget = Budget {
     ratio: 0.2,
     window: Duration::from_secs(3),
     slack: 8.0,
 };
-const CALLERS_LEAST: usize = 16;
-/// With them, a box of a small play gets some twenty requests a second.
-const CALLERS_A_BOX: usize = 3;
+const MIN_CALLERS: usize = 16;
+/// In a small play this gives a box some 20 requests a second.
+const CALLERS_PER_BOX: usize = 3;
 const NOW: Duration = Duration::ZERO;
 const TICK: Duration = Duration::from_millis(10);
-const MOST_WAIT: Duration = Duration::from_secs(30);
-/// After the window that begins with the last work.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Time to wait after the budget window that begins with the last work.
 const TAIL: Duration = Duration::from_millis(500);
 const STORM_GAP: Duration = Duration::from_millis(80);
-/// Two seconds of storm.
+/// At `STORM_GAP` a storm lasts two seconds.
 const STORM_STEPS: u32 = 25;
-const OLD_LEAVES_AFTER: Duration = Duration::from_millis(300);
+const DRAIN_OLD_AFTER: Duration = Duration::from_millis(300);
--- a/tests/soak/src/planned/play/server_work.rs
+++ b/tests/soak/src/planned/play/server_work.rs
@@ -1,4 +1,4 @@
-//! Work on backend servers: added, released, emptied, taken away.
+//! Planned work on backend servers: adding, replacing, draining and removing them.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use rand::seq::SliceRandom;
 use serde_json::json;
 
-use super::{Later, Play};
+use super::{FollowUp, Play};
 use crate::planned::operator::SERVICES;
-use crate::planned::record::{RunId, ServiceIndex};
+use crate::planned::record::{InstanceId, ServiceIndex};
 use crate::planned::servers::Server;
 
 impl Play<'_> {
@@ -19,7 +19,7 @@
             service,
             self.data_centre(number / SERVICES.len()),
             self.schedule.shedding == Some(service),
-            self.ledger.clone(),
+            self.arrivals.clone(),
         );
         self.servers.push(server);
         self.announce(number, "ready");
@@ -31,53 +31,60 @@
             "service": SERVICES[server.service], "address": server.address,
             "data_centre": server.data_centre, "slots": 8, "state": state, "cold_ms": 0,
         });
-        self.store.put(&server_key(&server.run), &entry);
-        self.note(format!("server i-{number} is {state}"));
+        self.store.put(&server_key(&server.instance), &entry);
+        self.log_work(format!("server i-{number} is {state}"));
     }
 
-    /// Replaces servers, a few at a time: the new one first.
+    /// Replaces servers, a few at a time. Each new server starts before the old one
+    /// drains.
     pub(super) fn release(&mut self, service: ServiceIndex, count: usize) {
         let mut old: Vec<usize> = self.ready_servers(service);
         old.shuffle(&mut self.random);
-        for (place, server) in old.into_iter().take(count).enumerate() {
-            let step = (place / RELEASED_TOGETHER) as u32;
-            self.plan(RELEASE_GAP * step, Later::Replace(server));
+        for (index, server) in old.into_iter().take(count).enumerate() {
+            let step = (index / RELEASE_BATCH) as u32;
+            self.plan(RELEASE_GAP * step, FollowUp::Replace(server));
         }
     }
 
-    /// A server says that it leaves, serves on for a while, and ends.
-    pub(super) fn leave(&mut self, number: usize) {
-        if self.left.contains_key(&self.servers[number].run) {
+    /// Announces that a server is draining; it works on for a while and ends. Does
+    /// nothing for a server that was withdrawn before.
+    pub(super) fn drain_server(&mut self, number: usize) {
+        if self
+            .withdrawn_at
+            .contains_key(&self.servers[number].instance)
+        {
             return;
         }
         self.announce(number, "leaving");
-        self.note_left(number);
+        self.record_withdrawal(number);
     }
 
-    /// A server's entry goes without a word.
-    pub(super) fn vanish(&mut self, number: usize) {
-        let run = self.servers[number].run.clone();
-        self.store.remove(&server_key(&run));
-        self.note(format!("server {run} is announced no longer"));
-        self.note_left(number);
+    /// Removes the catalog entry of a server without draining it; it works on for a while
+    /// and ends.
+    pub(super) fn remove_entry(&mut self, number: usize) {
+        let instance = self.servers[number].instance.clone();
+        self.store.remove(&server_key(&instance));
+        self.log_work(format!("server {instance} is announced no longer"));
+        self.record_withdrawal(number);
     }
 
-    /// A server ends, and its entry with it.
+    /// Removes the catalog entry of a server and ends the server.
     pub(super) fn end_server(&mut self, number: usize) {
-        let run = self.servers[number].run.clone();
-        self.store.remove(&server_key(&run));
+        let instance = self.servers[number].instance.clone();
+        self.store.remove(&server_key(&instance));
         self.servers[number].end();
-        self.note(format!("server {run} ends"));
+        self.log_work(format!("server {instance} ends"));
     }
 
-    fn note_left(&mut self, number: usize) {
-        let run = self.servers[number].run.clone();
-        self.left.insert(run, Instant::now());
-        let more = Duration::from_millis(self.random.random_range(0..3000));
-        self.plan(SERVES_ON + more, Later::End(number));
+    fn record_withdrawal(&mut self, number: usize) {
+        let instance = self.servers[number].instance.clone();
+        self.withdrawn_at.insert(instance, Instant::now());
+        let extra = Duration::from_millis(self.random.random_range(0..3000));
+        self.plan(WORKS_ON + extra, FollowUp::End(number));
     }
 
-    /// A server that its service can do without.
+    /// Draws a ready server that can be withdrawn; `None` if the service has only two or
+    /// fewer.
     pub(super) fn spare_server(&mut self, service: ServiceIndex) -> Option<usize> {
         let ready = self.ready_servers(service);
         let drawn = self.random.random_range(0..ready.len().max(1));
@@ -88,17 +95,17 @@
         let numbers = 0..self.servers.len();
         let ready = numbers.filter(|number| {
             let server = &self.servers[*number];
-            server.service == service && !self.left.contains_key(&server.run)
+            server.service == service && !self.withdrawn_at.contains_key(&server.instance)
         });
         ready.collect()
     }
 }
 
-fn server_key(run: &RunId) -> String {
-    format!("servers/{run}")
+fn server_key(instance: &InstanceId) -> String {
+    format!("servers/{instance}")
 }
 
-const RELEASED_TOGETHER: usize = 2;
+const RELEASE_BATCH: usize = 2;
 const RELEASE_GAP: Duration = Duration::from_millis(700);
-/// A leaving server serves on for the bound and a little longer.
-const SERVES_ON: Duration = Duration::from_millis(2500);
+/// A withdrawn server works on for the bound of 2 s and a little longer.
+const WORKS_ON: Duration = Duration::from_millis(2500);
--- a/tests/soak/src/planned/promises/budgets.rs
+++ b/tests/soak/src/planned/promises/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budget of each service, in every window.
+//! Checks the retry budget of each service in every window.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use crate::planned::record::{Arrival, BoxIndex, Call, ServiceIndex};
 
 impl Checks<'_> {
-    /// The resends of each service stay within its budget in every window.
+    /// Checks that the resends of each service stay within its budget in every window.
     pub(super) fn check_budgets(&mut self) {
         let record = self.record;
         for service in 0..SERVICES.len() {
@@ -17,12 +17,15 @@
             let resends = self.resends_of(service);
             let fullest = record.budget.fullest(&requests, &resends, &COUNTED_BEFORE);
             let Some(fullest) = fullest else { continue };
-            let most = self.margins.budget.map_or(0.0, |(_, most)| most.share());
-            if fullest.share() > most {
+            let max_share = self
+                .margins
+                .budget
+                .map_or(0.0, |(_, max_share)| max_share.share());
+            if fullest.share() > max_share {
                 self.margins.budget = Some((service, fullest));
             }
             if fullest.share() > 1.0 {
-                self.find_budget(service, &fullest);
+                self.report_budget(service, &fullest);
             }
         }
     }
@@ -32,7 +35,7 @@
         let is_for = |call: &&Call| match self.arrivals_of(call).first() {
             Some(first) => first.service == service,
             None => {
-                let version = &record.versions[record.newest_taken(call.began)];
+                let version = &record.versions[record.newest_acknowledged(call.began)];
                 version.services[call.route].contains(&service)
             }
         };
@@ -43,8 +46,8 @@
     }
 
     fn resends_of(&self, service: ServiceIndex) -> Vec<Instant> {
-        let beyond_first = self.arrivals.values().flat_map(|arrivals| &arrivals[1..]);
-        let mut at: Vec<Instant> = beyond_first
+        let resends = self.arrivals.values().flat_map(|arrivals| &arrivals[1..]);
+        let mut at: Vec<Instant> = resends
             .filter(|arrival| arrival.service == service)
             .map(|arrival| arrival.at)
             .collect();
@@ -52,7 +55,7 @@
         at
     }
 
-    fn find_budget(&mut self, service: ServiceIndex, used: &WindowUse) {
+    fn report_budget(&mut self, service: ServiceIndex, used: &WindowUse) {
         let record = self.record;
         let (from, to) = (used.from, used.from + record.budget.window);
         let text = format!(
@@ -64,44 +67,56 @@
             used.requests,
             used.allowed,
         );
-        let beyond = self.arrivals.iter().filter_map(|(id, arrivals)| {
-            let beyond = arrivals[1..].iter();
+        let resends = self.arrivals.iter().filter_map(|(id, arrivals)| {
+            let resends = arrivals[1..].iter();
             let in_window =
                 |a: &&&Arrival| a.service == service && a.at >= from && a.at <= to;
-            let beyond: Vec<_> = beyond.filter(in_window).collect();
-            (!beyond.is_empty()).then_some((*id, beyond))
+            let resends: Vec<_> = resends.filter(in_window).collect();
+            (!resends.is_empty()).then_some((*id, resends))
         });
         let boxes: HashMap<&str, BoxIndex> = record
             .calls
             .iter()
             .map(|call| (call.id.as_str(), call.box_index))
             .collect();
-        let mut story: Vec<(Instant, String)> = beyond
+        let mut timeline: Vec<(Instant, String)> = resends
             .flat_map(|(id, arrivals)| {
-                let asked = boxes.get(id).copied().unwrap_or_default();
+                let box_index = boxes.get(id).copied().unwrap_or_default();
                 arrivals.into_iter().map(move |arrival| {
-                    let run = &arrival.run;
-                    (arrival.at, format!("{id} from box-{asked} again at {run}"))
+                    let instance = &arrival.instance;
+                    (
+                        arrival.at,
+                        format!("{id} from box-{box_index} again at {instance}"),
+                    )
                 })
             })
             .collect();
-        let started = record.lives.iter().enumerate().flat_map(|(number, lives)| {
-            let started = lives
+        let started =
+            record
+                .instances
                 .iter()
-                .filter(|life| life.started >= from - record.budget.window);
-            started.map(move |life| (life.started, format!("box-{number} is started")))
-        });
-        story.extend(started.filter(|(at, _)| *at <= to));
-        story.sort();
-        let story = story.into_iter();
-        let story = story.map(|(at, line)| format!("{:.3} s {line}", record.seconds(at)));
+                .enumerate()
+                .flat_map(|(number, instances)| {
+                    let started = instances.iter().filter(|instance| {
+                        instance.started >= from - record.budget.window
+                    });
+                    started.map(move |instance| {
+                        (instance.started, format!("box-{number} is started"))
+                    })
+                });
+        timeline.extend(started.filter(|(at, _)| *at <= to));
+        timeline.sort();
+        let timeline = timeline.into_iter();
+        let timeline =
+            timeline.map(|(at, line)| format!("{:.3} s {line}", record.seconds(at)));
         self.findings.push(Finding {
             promise: "budget",
             text,
-            story: story.collect(),
+            timeline: timeline.collect(),
         });
     }
 }
 
-/// Requests count in the window itself, or half a window or a window before it.
+/// Requests are counted in the window itself, half a window before it and a window before
+/// it, and the greatest count is used. In window lengths.
 const COUNTED_BEFORE: [f64; 3] = [0.0, 0.5, 1.0];
--- a/tests/soak/src/planned/promises/versions.rs
+++ b/tests/soak/src/planned/promises/versions.rs
@@ -1,4 +1,5 @@
-//! Configurations: in force everywhere in time, and never an older one again.
+//! Checks that configurations are activated on all boxes in time, and that no box goes
+//! back to an older one.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,72 +8,87 @@
 use crate::planned::record::{BoxIndex, Call};
 
 impl<'a> Checks<'a> {
-    /// A box in touch handles no request as only a configuration of long ago allows.
+    /// Checks that a settled box sends each request to a service that a current
+    /// configuration allows, or one that was replaced within the bound.
     pub(super) fn check_route(&mut self, call: &'a Call) {
         let record = self.record;
-        if !record.in_touch(call.box_index, call.began) {
+        if !record.is_settled(call.box_index, call.began) {
             return;
         }
         let bound = call.began.checked_sub(CONFIGURATION_BOUND);
-        let oldest = bound.map_or(0, |at| record.newest_taken(at));
-        let wrong = self.arrivals_of(call).iter().any(|arrival| {
-            let may_hold = record.versions[oldest..].iter();
-            let mut may_hold = may_hold.filter(|version| version.written <= arrival.at);
-            !may_hold
+        let oldest = bound.map_or(0, |at| record.newest_acknowledged(at));
+        let is_outdated = self.arrivals_of(call).iter().any(|arrival| {
+            let allowed = record.versions[oldest..].iter();
+            let mut allowed = allowed.filter(|version| version.written <= arrival.at);
+            !allowed
                 .any(|version| version.services[call.route].contains(&arrival.service))
         });
-        if wrong {
+        if is_outdated {
             let number = record.versions[oldest].number;
             let text = format!("was handled by a configuration older than {number}");
-            self.find_call(CONFIGURATION, call, &text);
+            self.report_call(CONFIGURATION, call, &text);
         }
     }
 
-    /// Versions never go back within a life, and each is in force in time.
+    /// Checks that versions never go back within an instance of a box, and that each is
+    /// activated in time.
     pub(super) fn check_versions(&mut self) {
         let record = self.record;
         let mut newest: HashMap<(BoxIndex, usize), u64> = HashMap::new();
         for reading in &record.readings {
-            let (index, asked) = (reading.box_index, reading.asked);
-            let before = record.life_at(index, asked).map(|(life, _)| life);
-            let after = record.life_at(index, reading.told).map(|(life, _)| life);
-            let Some(life) = before.filter(|_| before == after) else {
+            let (index, requested_at) = (reading.box_index, reading.requested_at);
+            let instance_before = record
+                .instance_at(index, requested_at)
+                .map(|(instance, _)| instance);
+            let instance_after = record
+                .instance_at(index, reading.received_at)
+                .map(|(instance, _)| instance);
+            let Some(instance) =
+                instance_before.filter(|_| instance_before == instance_after)
+            else {
                 continue;
             };
-            let known = newest.entry((index, life)).or_default();
+            let known = newest.entry((index, instance)).or_default();
             if reading.version < *known {
                 let text =
                     format!("box-{index} went from {known} to {}", reading.version);
-                self.find_at("versions", asked, text);
+                self.report_at("versions", requested_at, text);
             }
-            let known = newest.entry((index, life)).or_default();
+            let known = newest.entry((index, instance)).or_default();
             *known = reading.version.max(*known);
-            if record.in_touch(index, reading.told) {
-                self.check_behind(index, asked, reading.version);
+            if record.is_settled(index, reading.received_at) {
+                self.check_configuration_lag(index, requested_at, reading.version);
             }
         }
     }
 
-    fn check_behind(&mut self, index: BoxIndex, asked: Instant, version: u64) {
+    fn check_configuration_lag(
+        &mut self,
+        index: BoxIndex,
+        requested_at: Instant,
+        version: u64,
+    ) {
         let newer = self
             .record
             .versions
             .iter()
             .find(|newer| newer.number > version);
-        let Some(newer) = newer.filter(|newer| newer.taken < asked) else {
+        let Some(newer) = newer.filter(|newer| newer.acknowledged < requested_at) else {
             return;
         };
-        let behind = asked - newer.taken;
-        self.margins.behind = self.margins.behind.max(behind);
-        if behind > CONFIGURATION_BOUND {
-            let (number, ms) = (newer.number, behind.as_millis());
+        let configuration_lag = requested_at - newer.acknowledged;
+        self.margins.configuration_lag =
+            self.margins.configuration_lag.max(configuration_lag);
+        if configuration_lag > CONFIGURATION_BOUND {
+            let (number, ms) = (newer.number, configuration_lag.as_millis());
             let text =
                 format!("box-{index} has {version}, {ms} ms after {number} was taken");
-            self.find_at(CONFIGURATION, asked, text);
+            self.report_at(CONFIGURATION, requested_at, text);
         }
     }
 }
 
 const CONFIGURATION: &str = "configuration";
-/// In force everywhere after this: the users' bound.
+/// Time within which a configuration must be active on all boxes; the users set the
+/// bound.
 const CONFIGURATION_BOUND: Duration = Duration::from_secs(2);
--- a/tests/soak/src/planned/record.rs
+++ b/tests/soak/src/planned/record.rs
@@ -1,171 +1,173 @@
-//! What callers, servers and the operator noted in a play, for the checks.
+//! Record of what callers, servers and the operator observed during a play; the checks
+//! read it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::budget::Budget;
 
-/// A box by its number.
+/// Number of a box.
 pub type BoxIndex = usize;
-/// One run of a backend server.
-pub type RunId = String;
-/// A service by its number.
+/// Id of one instance of a backend server.
+pub type InstanceId = String;
+/// Number of a service, an index into `SERVICES`.
 pub type ServiceIndex = usize;
 
-/// All that was noted.
+/// Everything that was recorded during a play.
 pub struct Record {
-    /// When callers began.
+    /// When the callers began.
     pub began: Instant,
-    /// The requests, as their callers saw them.
+    /// Requests as their callers observed them.
     pub calls: Vec<Call>,
-    /// The same requests where they arrived at servers.
+    /// Arrivals of the requests at servers.
     pub arrivals: Vec<Arrival>,
-    /// The lives of each box.
-    pub lives: Vec<Vec<Life>>,
-    /// What boxes told of the version in force.
+    /// Instances of each box, oldest first.
+    pub instances: Vec<Vec<BoxInstance>>,
+    /// Versions that the boxes reported as active.
     pub readings: Vec<Reading>,
-    /// The configurations, in order.
+    /// Configurations in the order in which they were written.
     pub versions: Vec<Version>,
-    /// When the store had taken that a run of a server leaves, or is gone.
-    pub left: HashMap<RunId, Instant>,
-    /// The retry budget that the boxes were told.
+    /// When the store had stored that an instance of a server is draining, or had removed
+    /// its entry.
+    pub withdrawn_at: HashMap<InstanceId, Instant>,
+    /// Retry budget in the settings of the boxes.
     pub budget: Budget,
-    /// What was done, with the moment.
+    /// Descriptions of the work that was done, with the time.
     pub work: Vec<(Instant, String)>,
 }
 
-/// A request and what came of it.
+/// A request and its outcome.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// The request's id.
     pub id: String,
-    /// The box that was asked.
+    /// Box to which the request was sent.
     pub box_index: BoxIndex,
-    /// The route by its number.
+    /// Number of the route, an index into `ROUTES`.
     pub route: usize,
-    /// Requests that the connection had carried before.
-    pub before: usize,
-    /// How long the connection had rested.
-    pub rested: Duration,
+    /// Number of earlier requests on the same connection.
+    pub requests_before: usize,
+    /// How long the connection had been idle.
+    pub idle_for: Duration,
     /// When sending began.
     pub began: Instant,
-    /// When the last byte had been sent; none if the connection ended before.
+    /// When the last byte had been sent; `None` if the connection ended before.
     pub sent: Option<Instant>,
-    /// When the answer was whole, or the connection ended.
+    /// When the response was complete, the connection ended, or the caller gave up.
     pub ended: Instant,
-    /// What came back.
+    /// Outcome of a request as its caller saw it.
     pub outcome: Outcome,
-    /// Bytes of the answer that had come by then.
+    /// Bytes of the response that had arrived by then.
     pub read_bytes: usize,
 }
 
-/// What came back.
+/// Outcome of a request as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer of a server.
+    /// A complete response of a server.
     Answer {
         /// The status.
         status: u16,
-        /// Whether it is the request's own in all parts.
+        /// Whether the id, the stamp and the body belong to the request.
         own: bool,
     },
-    /// An answer that the box made itself.
+    /// An error response of the box itself.
     Refusal {
         /// The status.
         status: u16,
     },
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete response.
     Broken,
-    /// Nothing came until the caller gave up.
+    /// No complete response arrived before the caller gave up.
     Silence,
-    /// Bytes came where no request waited for an answer.
+    /// Bytes arrived on the connection while no request waited for a response.
     Surplus,
 }
 
-/// A request where it arrived at a server.
+/// Arrival of a request at a server.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     /// The request's id.
     pub id: String,
-    /// The run of the server.
-    pub run: RunId,
+    /// Instance of the server.
+    pub instance: InstanceId,
     /// The server's service.
     pub service: ServiceIndex,
     /// When it arrived.
     pub at: Instant,
-    /// What the server did with it.
+    /// How the server handled the request.
     pub work: Work,
-    /// When the server's answer was written, or could not be.
+    /// When the server had written its response, or failed to; `None` before that.
     pub ended: Option<Instant>,
-    /// Whether the body is the one that was sent.
+    /// Whether the body that arrived is the one that the caller sent.
     pub body_as_sent: bool,
 }
 
-/// What a server does with a request.
+/// How a server handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// It is for another run.
+    /// The request is meant for another instance of the server and is refused.
     Misdirected,
-    /// It is refused before it runs.
+    /// The request is refused before it runs.
     Shed,
-    /// It runs, and succeeds.
+    /// The request runs and succeeds.
     Succeeds,
-    /// It runs, and the server says that it failed.
+    /// The request runs and the server responds that it failed.
     Fails,
-    /// It runs until its deadline.
+    /// The request runs until its deadline and times out.
     Late,
 }
 
 impl Work {
-    /// Whether the request runs.
+    /// Returns whether the request runs.
     pub fn runs(self) -> bool {
         !matches!(self, Self::Misdirected | Self::Shed)
     }
 }
 
-/// One life of a box.
+/// One instance of a box: the lifetime of one process.
 #[derive(Debug, Clone, Copy)]
-pub struct Life {
-    /// When it was started.
+pub struct BoxInstance {
+    /// When the process was started.
     pub started: Instant,
-    /// When it was told to stop.
-    pub told: Option<Instant>,
-    /// When its process was last found running.
-    pub seen: Instant,
-    /// When its process was found ended.
+    /// When SIGTERM was sent; `None` before that.
+    pub stop_sent: Option<Instant>,
+    /// When the process was last found running.
+    pub last_seen_running: Instant,
+    /// When the process was found to have ended; `None` before that.
     pub ended: Option<Instant>,
-    /// Whether the process said that all went well.
-    pub well: bool,
+    /// Whether the process exited with success; true while it is running.
+    pub exited_cleanly: bool,
 }
 
-/// What a box told of itself.
+/// Status that a box reported.
 #[derive(Debug, Clone, Copy)]
 pub struct Reading {
     /// The box.
     pub box_index: BoxIndex,
-    /// When it was asked.
-    pub asked: Instant,
-    /// When it had answered.
-    pub told: Instant,
-    /// The version in force.
+    /// When the status was requested.
+    pub requested_at: Instant,
+    /// When the response was received.
+    pub received_at: Instant,
+    /// Version of the active configuration.
     pub version: u64,
 }
 
 /// A configuration that the operator wrote.
 #[derive(Debug, Clone)]
 pub struct Version {
-    /// Its number.
+    /// Version number.
     pub number: u64,
-    /// When it was written.
+    /// When the write to the store began.
     pub written: Instant,
-    /// When the store had taken it.
-    pub taken: Instant,
-    /// The services that each route leads to.
+    /// When the store had acknowledged the write.
+    pub acknowledged: Instant,
+    /// Services to which each route leads, by route number.
     pub services: Vec<Vec<ServiceIndex>>,
 }
 
 impl Record {
-    /// The arrivals of each request, in the order of time.
+    /// Returns the arrivals of each request, in the order of time, by request id.
     pub fn arrivals_by_id(&self) -> HashMap<&str, Vec<&Arrival>> {
         let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         for arrival in &self.arrivals {
@@ -177,39 +179,50 @@
         by_id
     }
 
-    /// The life of a box at a moment.
-    pub fn life_at(&self, box_index: BoxIndex, at: Instant) -> Option<(usize, &Life)> {
-        let lives = self.lives[box_index].iter().enumerate();
-        lives.rev().find(|(_, life)| life.started <= at)
+    /// Returns the newest instance of a box that was started by `at`, with its number;
+    /// `None` if there is none.
+    pub fn instance_at(
+        &self,
+        box_index: BoxIndex,
+        at: Instant,
+    ) -> Option<(usize, &BoxInstance)> {
+        let instances = self.instances[box_index].iter().enumerate();
+        instances.rev().find(|(_, instance)| instance.started <= at)
     }
 
-    /// Whether a box has run undisturbed for so long that bounds hold for it.
-    pub fn in_touch(&self, box_index: BoxIndex, at: Instant) -> bool {
-        self.life_at(box_index, at).is_some_and(|(_, life)| {
-            life.started + CONTACT <= at && life.told.is_none_or(|told| told > at)
-        })
+    /// Returns whether a box has been running undisturbed for long enough at `at` that
+    /// the time bounds hold for it.
+    pub fn is_settled(&self, box_index: BoxIndex, at: Instant) -> bool {
+        self.instance_at(box_index, at)
+            .is_some_and(|(_, instance)| {
+                instance.started + SETTLE_TIME <= at
+                    && instance.stop_sent.is_none_or(|stop_sent| stop_sent > at)
+            })
     }
 
-    /// When a box was told to stop, if that was before a moment in its life.
-    pub fn told_before(&self, box_index: BoxIndex, at: Instant) -> Option<Instant> {
-        let (_, life) = self.life_at(box_index, at)?;
-        life.told.filter(|told| *told <= at)
+    /// Returns when SIGTERM was sent to the instance of a box that is current at `at`, or
+    /// `None` if it was not sent by then.
+    pub fn stop_sent_before(&self, box_index: BoxIndex, at: Instant) -> Option<Instant> {
+        let (_, instance) = self.instance_at(box_index, at)?;
+        instance.stop_sent.filter(|stop_sent| *stop_sent <= at)
     }
 
-    /// The place of the newest configuration that the store had taken at a moment.
-    pub fn newest_taken(&self, at: Instant) -> usize {
+    /// Returns the index of the newest configuration that the store had acknowledged at
+    /// `at`; 0 if there was none.
+    pub fn newest_acknowledged(&self, at: Instant) -> usize {
         self.versions
-            .partition_point(|version| version.taken <= at)
+            .partition_point(|version| version.acknowledged <= at)
             .saturating_sub(1)
     }
 
-    /// Seconds since callers began; below zero before.
+    /// Returns the seconds from when the callers began to `at`; negative for earlier
+    /// moments.
     pub fn seconds(&self, at: Instant) -> f64 {
         let after = at.saturating_duration_since(self.began).as_secs_f64();
         after - self.began.saturating_duration_since(at).as_secs_f64()
     }
 }
 
-/// Bounds hold for a box that was neither started nor told to stop for this long: the
-/// platform's figure.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Time bounds hold for a box that was started at least this long ago and is not
+/// stopping; the platform sets the figure.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
--- a/tests/soak/src/planned/schedule.rs
+++ b/tests/soak/src/planned/schedule.rs
@@ -1,4 +1,4 @@
-//! Which planned work comes when, from a seed.
+//! Draws from a seed which planned work is done and when.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -13,58 +13,59 @@
 /// The planned work of one play.
 #[derive(Debug, Clone)]
 pub struct Schedule {
-    /// The work, by time.
+    /// Tasks in the order in which they begin.
     pub tasks: Vec<Task>,
-    /// The service whose servers refuse half of their work, if there is one.
+    /// Service whose servers refuse half of their requests; `None` if no service does.
     pub shedding: Option<ServiceIndex>,
-    /// The share of a core of each box.
+    /// Share of a CPU core of each initial box.
     pub cpu_shares: Vec<f64>,
 }
 
-/// Some work and its moment.
+/// A piece of work and when it begins.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// When it begins, from the start of the calls.
+    /// Start, counted from when the callers begin.
     pub at: Duration,
-    /// What is done.
+    /// A kind of planned work.
     pub work: PlannedWork,
 }
 
-/// What is done.
+/// A kind of planned work.
 #[derive(Debug, Clone)]
 pub enum PlannedWork {
     /// Boxes are stopped one after the other, and each is started again.
     Series {
-        /// The boxes, in this order.
+        /// The boxes in the order in which they are stopped.
         boxes: Vec<BoxIndex>,
-        /// The least time from one to the next.
+        /// Shortest time from one stop to the next.
         gap: Duration,
     },
-    /// Most boxes are told that their settings may have changed.
+    /// Most boxes get SIGHUP, so that they read their settings again.
     Reload {
-        /// Whether they have.
+        /// Whether the settings files are changed first.
         changed: bool,
     },
-    /// Many configurations, one soon after the other.
+    /// Many configurations are written at short intervals.
     Storm,
-    /// One configuration.
+    /// One configuration is written.
     Change(Change),
-    /// New servers.
+    /// This many servers are added to a service.
     AddServers(ServiceIndex, usize),
-    /// Servers are replaced by new ones, a few at a time.
+    /// This many servers of a service are replaced by new ones, a few at a time.
     Release(ServiceIndex, usize),
-    /// A server leaves and ends; not the last two.
+    /// A server of a service drains and ends, unless only two are left.
     Empty(ServiceIndex),
-    /// A server's entry is removed without a word, and it ends later; not the last two.
+    /// The catalog entry of a server is removed without draining and the server ends
+    /// later, unless only two are left.
     Vanish(ServiceIndex),
-    /// A box more.
+    /// A box is added.
     AddBox,
     /// A box is stopped for good.
     RemoveBox(BoxIndex),
 }
 
 impl Schedule {
-    /// Draws the work of a seed.
+    /// Draws the planned work of a seed.
     pub fn draw(seed: u64, boxes: usize, span: Duration) -> Self {
         let mut drawing = Drawing {
             random: StdRng::seed_from_u64(seed),
@@ -78,10 +79,10 @@
         let mut tasks = drawing.tasks;
         tasks.sort_by_key(|task| task.at);
         let random = &mut drawing.random;
-        let sheds = random.random_bool(SHEDDING_SEEDS);
+        let has_shedding = random.random_bool(SHEDDING_SEED_SHARE);
         Self {
             tasks,
-            shedding: sheds.then(|| random.random_range(0..SERVICES.len())),
+            shedding: has_shedding.then(|| random.random_range(0..SERVICES.len())),
             cpu_shares: (0..boxes)
                 .map(|_| f64::from(random.random_range(1..10)) / 10.0)
                 .collect(),
@@ -95,7 +96,7 @@
     }
 }
 
-/// A schedule under way.
+/// A schedule while it is being drawn.
 struct Drawing {
     random: StdRng,
     span: Duration,
@@ -108,16 +109,19 @@
         self.tasks.push(Task { at, work });
     }
 
-    /// A series over half of the boxes, and one over all that begins before it is over.
+    /// Adds a series of stops over half of the boxes, and one over all boxes that begins
+    /// before the first one has ended.
     fn add_series(&mut self, boxes: usize) {
         let mut order: Vec<BoxIndex> = (0..boxes).collect();
         order.shuffle(&mut self.random);
         let half = order[..boxes.div_ceil(2)].to_vec();
         order.shuffle(&mut self.random);
-        for (within, boxes, most) in [(0.05..0.15, half, 0.4), (0.2..0.35, order, 0.5)] {
-            let longest = self.span.mul_f64(most / boxes.len() as f64);
+        for (within, boxes, max_share) in
+            [(0.05..0.15, half, 0.4), (0.2..0.35, order, 0.5)]
+        {
+            let max_gap = self.span.mul_f64(max_share / boxes.len() as f64);
             let drawn = Duration::from_millis(self.random.random_range(40..700));
-            let gap = drawn.min(longest);
+            let gap = drawn.min(max_gap);
             self.add(within, PlannedWork::Series { boxes, gap });
         }
     }
@@ -128,7 +132,9 @@
         }
         for _ in 0..self.random.random_range(3..8) {
             let changes = [Change::Timeout, Change::Route, Change::Weights];
-            let change = *changes.choose(&mut self.random).expect("it is not empty");
+            let change = *changes
+                .choose(&mut self.random)
+                .expect("there are changes to choose from");
             self.add(0.05..0.95, PlannedWork::Change(change));
         }
         for _ in 0..self.random.random_range(2..6) {
@@ -157,5 +163,5 @@
     }
 }
 
-/// Seeds in which a service refuses half of its work.
-const SHEDDING_SEEDS: f64 = 0.6;
+/// Share of the seeds in which a service refuses half of its requests.
+const SHEDDING_SEED_SHARE: f64 = 0.6;
--- a/tests/soak/src/planned/servers.rs
+++ b/tests/soak/src/planned/servers.rs
@@ -1,4 +1,5 @@
-//! Backend servers that work as long as each request asks, and note all that arrives.
+//! Backend servers that work on each request for as long as its headers say, and record
+//! all arrivals.
 
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,55 +10,55 @@
 use rand::RngExt;
 use wingspur_tests::{Head, read_body, read_request_head};
 
-use crate::planned::record::{Arrival, RunId, ServiceIndex, Work};
+use crate::planned::record::{Arrival, InstanceId, ServiceIndex, Work};
 
-/// One run of a backend server.
+/// One instance of a backend server.
 pub struct Server {
-    /// Its id, a new one for each run.
-    pub run: RunId,
-    /// Its service.
+    /// Id of the instance; each start of a server gets a new one.
+    pub instance: InstanceId,
+    /// Service of the server.
     pub service: ServiceIndex,
-    /// Where it stands.
+    /// Data centre of the server.
     pub data_centre: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     ended: Arc<AtomicBool>,
 }
 
-/// What arrives at all servers.
-pub type Ledger = Arc<Mutex<Vec<Arrival>>>;
+/// Arrivals at all servers, shared by their threads.
+pub type ArrivalLog = Arc<Mutex<Vec<Arrival>>>;
 
-/// What a server's connections share.
-struct Inner {
-    run: RunId,
+/// State that the connections of a server share.
+struct ServerState {
+    instance: InstanceId,
     service: ServiceIndex,
     sheds: bool,
     ended: Arc<AtomicBool>,
-    ledger: Ledger,
+    arrivals: ArrivalLog,
 }
 
 impl Server {
-    /// Starts a run; one that sheds refuses half of its work before it runs.
+    /// Starts an instance. With `sheds`, it refuses half of its requests before they run.
     pub fn start(
-        run: RunId,
+        instance: InstanceId,
         service: ServiceIndex,
         data_centre: String,
         sheds: bool,
-        ledger: Ledger,
+        arrivals: ArrivalLog,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let ended = Arc::new(AtomicBool::new(false));
-        let inner = Arc::new(Inner {
-            run: run.clone(),
+        let state = Arc::new(ServerState {
+            instance: instance.clone(),
             service,
             sheds,
             ended: ended.clone(),
-            ledger,
+            arrivals,
         });
-        spawn(move || accept(&listener, &inner));
+        spawn(move || accept(&listener, &state));
         Self {
-            run,
+            instance,
             service,
             data_centre,
             address,
@@ -65,105 +66,112 @@
         }
     }
 
-    /// Takes no further connection, and closes each once it rests.
+    /// Makes the server accept no further connection, and close each connection once it
+    /// is idle.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Release);
-        // Wakes the thread that accepts; it does not matter whether this one succeeds.
+        // Wakes the accepting thread, whether or not this connection succeeds.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-fn accept(listener: &TcpListener, inner: &Arc<Inner>) {
+fn accept(listener: &TcpListener, state: &Arc<ServerState>) {
     for stream in listener.incoming().flatten() {
-        if inner.ended.load(Ordering::Acquire) {
+        if state.ended.load(Ordering::Acquire) {
             return;
         }
-        let inner = inner.clone();
-        spawn(move || serve(&inner, stream));
+        let state = state.clone();
+        spawn(move || serve(&state, stream));
     }
 }
 
-fn serve(inner: &Inner, stream: TcpStream) {
+fn serve(state: &ServerState, stream: TcpStream) {
     let Ok(mut writer) = stream.try_clone() else {
         return;
     };
-    // Without this the pieces of a long answer would wait for one another.
+    // Without this the pieces of a long response would be delayed by Nagle's algorithm.
     let _ = stream.set_nodelay(true);
     let mut reader = BufReader::new(stream);
-    while wait_for_request(inner, &mut reader) {
+    while wait_for_request(state, &mut reader) {
         let Some(request) = read_request_head(&mut reader) else {
             return;
         };
-        if !inner.answer(request, &mut reader, &mut writer) {
+        if !state.handle(request, &mut reader, &mut writer) {
             return;
         }
     }
 }
 
-/// Whether a request begins before the server ends.
-fn wait_for_request(inner: &Inner, reader: &mut BufReader<TcpStream>) -> bool {
-    let set = |reader: &BufReader<TcpStream>, limit| {
-        reader.get_ref().set_read_timeout(Some(limit)).is_ok()
+/// Waits for the next request. Returns false if the server ends or the connection closes
+/// before one begins.
+fn wait_for_request(state: &ServerState, reader: &mut BufReader<TcpStream>) -> bool {
+    let set_read_timeout_to = |reader: &BufReader<TcpStream>, timeout| {
+        reader.get_ref().set_read_timeout(Some(timeout)).is_ok()
     };
-    while set(reader, REST_CHECK) {
+    while set_read_timeout_to(reader, END_CHECK_INTERVAL) {
         match reader.fill_buf() {
             Ok([]) => return false,
-            Ok(_) => return set(reader, REQUEST_LIMIT),
+            Ok(_) => return set_read_timeout_to(reader, REQUEST_TIMEOUT),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return false,
         }
-        if inner.ended.load(Ordering::Acquire) {
+        if state.ended.load(Ordering::Acquire) {
             return false;
         }
     }
     false
 }
 
-impl Inner {
-    /// Does what a request asks; whether the connection stays.
-    fn answer(
+impl ServerState {
+    /// Handles a request and responds to it. Returns whether the connection can be kept.
+    fn handle(
         &self,
         request: Head,
         reader: &mut impl BufRead,
         writer: &mut TcpStream,
     ) -> bool {
-        let asked = Asked::read(&request);
-        let work = self.choose(&request, &asked);
-        let index = self.note(&asked, work);
-        let is_long = asked.body_bytes >= LONG_BODY_BYTES;
-        let answers_first = is_long && rand::rng().random_range(0.0..1.0) < EARLY_SHARE;
-        if !answers_first && !self.receive(index, &request, &asked, reader) {
+        let options = RequestOptions::read(&request);
+        let work = self.choose_work(&request, &options);
+        let index = self.record_arrival(&options, work);
+        let is_long = options.body_bytes >= LONG_BODY_BYTES;
+        let responds_first =
+            is_long && rand::rng().random_range(0.0..1.0) < EARLY_RESPONSE_SHARE;
+        if !responds_first && !self.receive_body(index, &request, &options, reader) {
             return false;
         }
         if work.runs() {
-            std::thread::sleep(asked.work.min(asked.deadline));
+            std::thread::sleep(options.work.min(options.deadline));
         }
-        let written = self.write(work, &asked, writer).is_ok();
-        self.ledger.lock().expect("no holder panics")[index].ended = Some(Instant::now());
-        // Who answers first still reads the body, so that the connection can stay.
-        written && (!answers_first || self.receive(index, &request, &asked, reader))
+        let written = self.respond(work, &options, writer).is_ok();
+        self.arrivals.lock().expect("no holder panics")[index].ended =
+            Some(Instant::now());
+        // A server that responded first still reads the body, so that the connection can
+        // be kept.
+        written
+            && (!responds_first || self.receive_body(index, &request, &options, reader))
     }
 
-    /// Reads the body, and notes whether it is the one that was sent.
-    fn receive(
+    /// Reads the body and records whether it is the one that was sent. Returns whether it
+    /// could be read completely.
+    fn receive_body(
         &self,
         index: usize,
         request: &Head,
-        asked: &Asked,
+        options: &RequestOptions,
         reader: &mut impl BufRead,
     ) -> bool {
         let Some(body) = read_body(reader, &request.headers) else {
             return false;
         };
-        let mut ledger = self.ledger.lock().expect("no holder panics");
-        ledger[index].body_as_sent = body == pattern(&asked.id, asked.body_bytes);
+        let mut arrivals = self.arrivals.lock().expect("no holder panics");
+        arrivals[index].body_as_sent = body == pattern(&options.id, options.body_bytes);
         true
     }
 
-    fn choose(&self, request: &Head, asked: &Asked) -> Work {
+    fn choose_work(&self, request: &Head, options: &RequestOptions) -> Work {
         let expected = request.headers.get("x-wingspur-expected-instance");
         let drawn = rand::rng().random_range(0.0..1.0);
-        if expected.is_some_and(|expected| *expected != self.run) {
+        if expected.is_some_and(|expected| *expected != self.instance) {
             return Work::Misdirected;
         }
         if self.sheds && rand::rng().random_range(0.0..1.0) < SHED_SHARE {
@@ -171,37 +179,37 @@
         }
         match drawn < FAILURE_SHARE {
             true => Work::Fails,
-            false if asked.work > asked.deadline => Work::Late,
+            false if options.work > options.deadline => Work::Late,
             false => Work::Succeeds,
         }
     }
 
-    fn note(&self, asked: &Asked, work: Work) -> usize {
-        let mut ledger = self.ledger.lock().expect("no holder panics");
-        ledger.push(Arrival {
-            id: asked.id.clone(),
-            run: self.run.clone(),
+    fn record_arrival(&self, options: &RequestOptions, work: Work) -> usize {
+        let mut arrivals = self.arrivals.lock().expect("no holder panics");
+        arrivals.push(Arrival {
+            id: options.id.clone(),
+            instance: self.instance.clone(),
             service: self.service,
             at: Instant::now(),
             work,
             ended: None,
             body_as_sent: true,
         });
-        ledger.len() - 1
+        arrivals.len() - 1
     }
 
-    fn write(
+    fn respond(
         &self,
         work: Work,
-        asked: &Asked,
+        options: &RequestOptions,
         writer: &mut TcpStream,
     ) -> std::io::Result<()> {
-        let stamp = format!("x-wingspur-server-stamp: {}\r\n", self.run);
-        let mark = "x-wingspur-not-executed: 1\r\n";
-        let body = pattern(&asked.id, asked.answer_bytes);
+        let stamp = format!("x-wingspur-server-stamp: {}\r\n", self.instance);
+        let not_executed = "x-wingspur-not-executed: 1\r\n";
+        let body = pattern(&options.id, options.response_bytes);
         let (status, header, body) = match work {
-            Work::Misdirected => ("421 Misdirected Request", mark, &[][..]),
-            Work::Shed => ("503 Service Unavailable", mark, &[][..]),
+            Work::Misdirected => ("421 Misdirected Request", not_executed, &[][..]),
+            Work::Shed => ("503 Service Unavailable", not_executed, &[][..]),
             Work::Fails => ("500 Internal Server Error", stamp.as_str(), &b"failed"[..]),
             Work::Late => ("504 Gateway Timeout", stamp.as_str(), &b"late"[..]),
             Work::Succeeds => ("200 OK", stamp.as_str(), &body[..]),
@@ -209,13 +217,13 @@
         let head = format!(
             "HTTP/1.1 {status}\r\nx-wingspur-request-id: {}\r\n{header}\
              content-length: {}\r\n\r\n",
-            asked.id,
+            options.id,
             body.len()
         );
         writer.write_all(head.as_bytes())?;
-        for piece in body.chunks((body.len() / asked.pieces).max(1)) {
+        for piece in body.chunks((body.len() / options.pieces).max(1)) {
             writer.write_all(piece)?;
-            if asked.pieces > 1 {
+            if options.pieces > 1 {
                 std::thread::sleep(PIECE_PAUSE);
             }
         }
@@ -223,17 +231,17 @@
     }
 }
 
-/// What a request asks of its server.
-struct Asked {
+/// What the headers of a request ask of its server.
+struct RequestOptions {
     id: String,
     work: Duration,
     deadline: Duration,
     body_bytes: usize,
-    answer_bytes: usize,
+    response_bytes: usize,
     pieces: usize,
 }
 
-impl Asked {
+impl RequestOptions {
     fn read(request: &Head) -> Self {
         let number = |name: &str| {
             let text = request.headers.get(name)?;
@@ -246,35 +254,36 @@
             work: ms("x-soak-work-ms").unwrap_or_default(),
             deadline: ms("x-wingspur-request-deadline-ms").unwrap_or(Duration::MAX),
             body_bytes: number("x-soak-body-bytes").unwrap_or(0) as usize,
-            answer_bytes: number("x-soak-answer-bytes").unwrap_or(0) as usize,
+            response_bytes: number("x-soak-answer-bytes").unwrap_or(0) as usize,
             pieces: number("x-soak-pieces").unwrap_or(1).max(1) as usize,
         }
     }
 }
 
-/// The bytes of a body, which follow from the request's id.
+/// Returns the bytes of a body, which are derived from the request id.
 pub fn pattern(id: &str, length: usize) -> Vec<u8> {
     id.bytes().cycle().take(length).collect()
 }
 
-/// Starts a thread with a small stack: a play has thousands of connections.
-pub fn spawn(run: impl FnOnce() + Send + 'static) -> std::thread::JoinHandle<()> {
+/// Starts a thread with a small stack, since a play has thousands of connections.
+pub fn spawn(body: impl FnOnce() + Send + 'static) -> std::thread::JoinHandle<()> {
     let builder = std::thread::Builder::new().stack_size(STACK_BYTES);
-    builder.spawn(run).expect("the machine has threads left")
+    builder.spawn(body).expect("a thread can be started")
 }
 
-/// Well servers fail a few in a hundred.
+/// Share of the requests that fail on healthy servers.
 const FAILURE_SHARE: f64 = 0.04;
-/// Enough that resends press the budget to its limit.
+/// High enough that resends use the retry budget up.
 const SHED_SHARE: f64 = 0.5;
-/// Bodies that do not fit into what sockets hold at once.
+/// Bodies from this length do not fit into the socket buffers at once.
 const LONG_BODY_BYTES: usize = 50_000;
-/// Of the requests with a long body, those that are answered before it is read.
-const EARLY_SHARE: f64 = 0.3;
-/// How often a resting connection looks whether its server has ended.
-const REST_CHECK: Duration = Duration::from_millis(500);
-/// A request that has begun is here within this, or never.
-const REQUEST_LIMIT: Duration = Duration::from_secs(10);
-/// Forty pieces of a long answer take less than half a second.
+/// Share of the requests with a long body that get their response before the body is
+/// read.
+const EARLY_RESPONSE_SHARE: f64 = 0.3;
+/// Interval at which an idle connection checks whether its server has ended.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Read timeout within a request that has begun.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// At this pause the 40 pieces of a long response take less than half a second.
 const PIECE_PAUSE: Duration = Duration::from_millis(12);
 const STACK_BYTES: usize = 256 << 10;
--- a/tests/soak/src/planned/watching.rs
+++ b/tests/soak/src/planned/watching.rs
@@ -1,46 +1,47 @@
-//! Asks a box again and again whether it takes callers and which version is in force.
+//! Polls a box for its readiness and the version of its active bundle.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::boxes::ask;
+use crate::boxes::fetch_json;
 use crate::planned::callers::BoxView;
 use crate::planned::record::Reading;
 
-/// Watches a box until told to stop; like the platform's balancer, it takes the box out
-/// after two questions in a row without a good answer.
+/// Polls a box until `stop` is set. Like the platform's balancer, it takes the box out of
+/// rotation after two polls in a row that found it not ready, and back into rotation
+/// after one that found it ready.
 pub fn watch_box(
     view: &BoxView,
-    operators: SocketAddr,
+    operator_address: SocketAddr,
     readings: &Mutex<Vec<Reading>>,
     stop: &AtomicBool,
 ) {
-    let mut misses = 0;
+    let mut failed_polls = 0;
     while !stop.load(Ordering::Relaxed) {
-        let asked = Instant::now();
-        let status = ask(operators, "/status");
+        let requested_at = Instant::now();
+        let status = fetch_json(operator_address, "/status");
         let ready = status
             .as_ref()
             .is_some_and(|status| status["ready"] == true);
-        misses = if ready { 0 } else { misses + 1 };
-        if ready || misses >= MOST_MISSES {
-            view.takes_callers.store(ready, Ordering::Relaxed);
+        failed_polls = if ready { 0 } else { failed_polls + 1 };
+        if ready || failed_polls >= MAX_FAILED_POLLS {
+            view.in_rotation.store(ready, Ordering::Relaxed);
         }
         let version = status.and_then(|status| status["bundle_version"].as_u64());
         if let Some(version) = version.filter(|version| *version > 0) {
             readings.lock().expect("no holder panics").push(Reading {
                 box_index: view.index,
-                asked,
-                told: Instant::now(),
+                requested_at,
+                received_at: Instant::now(),
                 version,
             });
         }
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Well within the half second for which a stopping box still takes callers.
-const ASK_EVERY: Duration = Duration::from_millis(100);
-const MOST_MISSES: u32 = 2;
+/// Short against the 500 ms for which a stopping box still accepts connections.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_FAILED_POLLS: u32 = 2;
--- a/tests/soak/src/promises.rs
+++ b/tests/soak/src/promises.rs
@@ -1,107 +1,111 @@
-//! What must hold, checked against what callers and backend servers saw.
+//! Checks the service's promises against what callers and backend servers observed under
+//! faults.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::budget::Budget;
-use crate::calls::Called;
+use crate::calls::FinishedCall;
 
-/// What the servers saw, and what was done to the boxes.
-pub struct Seen {
-    /// All arrivals at servers, by time, with the request's id.
+/// What the backend servers observed, and the faults that hit the boxes.
+pub struct Observations {
+    /// Arrivals of requests at all servers, with the request id, in order of time.
     pub arrivals: Vec<(Instant, String)>,
-    /// How often each request ran.
-    pub ran: HashMap<String, usize>,
-    /// Arrivals at servers that had said long ago that they leave.
-    pub late_at_leaving: Vec<String>,
-    /// For each box, the spans in which its requests may be cut.
-    pub hits: Vec<Vec<(Instant, Instant)>>,
-    /// Versions that went back on a box.
+    /// How often each request ran on a server, by request id.
+    pub run_counts: HashMap<String, usize>,
+    /// Ids of requests that reached a server too long after it had announced that it is
+    /// draining.
+    pub late_arrivals: Vec<String>,
+    /// For each box, the spans of time in which a fault may interrupt its requests.
+    pub disturbances: Vec<Vec<(Instant, Instant)>>,
+    /// Messages about boxes that went back to an older version of the configuration.
     pub reversions: Vec<String>,
-    /// When the last fault was over and the boxes had time to recover.
+    /// When the last fault was over and the boxes had had time to recover.
     pub calm_from: Instant,
 }
 
-/// Every promise that did not hold, a line each.
-pub fn broken_promises(called: &[Called], seen: &Seen) -> Vec<String> {
-    let mut broken = seen.reversions.clone();
-    let late = seen.late_at_leaving.iter();
-    broken.extend(late.map(|id| format!("leaving: {id} reached a server that had left")));
-    for one in called {
-        broken.extend(broken_by(one, seen));
+/// Checks all promises and returns one line for each violation.
+pub fn broken_promises(calls: &[FinishedCall], observed: &Observations) -> Vec<String> {
+    let mut violations = observed.reversions.clone();
+    let late = observed.late_arrivals.iter();
+    violations
+        .extend(late.map(|id| format!("leaving: {id} reached a server that had left")));
+    for call in calls {
+        violations.extend(violation_by(call, observed));
     }
-    broken.extend(over_budget(called, seen));
-    broken.extend(not_recovered(called, seen));
-    broken
+    violations.extend(over_budget(calls, observed));
+    violations.extend(not_recovered(calls, observed));
+    violations
 }
 
-fn broken_by(one: &Called, seen: &Seen) -> Option<String> {
-    let ran = seen.ran.get(&one.id).copied().unwrap_or(0);
-    let id = &one.id;
-    if !one.own {
+fn violation_by(call: &FinishedCall, observed: &Observations) -> Option<String> {
+    let times_run = observed.run_counts.get(&call.id).copied().unwrap_or(0);
+    let id = &call.id;
+    if !call.is_own {
         return Some(format!("whole answers: {id} got what is not its own"));
     }
-    if one.once_only && ran > 1 {
-        return Some(format!("once only: {id} ran {ran} times"));
+    if call.once_only && times_run > 1 {
+        return Some(format!("once only: {id} ran {times_run} times"));
     }
-    if one.once_only && ran > 0 && one.status == Some(503) {
+    if call.once_only && times_run > 0 && call.status == Some(503) {
         return Some(format!("not run: {id} was told so and ran"));
     }
-    let spans = &seen.hits[one.box_index];
-    let hit = spans
+    let spans = &observed.disturbances[call.box_index];
+    let was_disturbed = spans
         .iter()
-        .any(|(from, to)| one.sent <= *to && one.ended >= *from);
-    if one.status == Some(0) && !hit {
+        .any(|(from, to)| call.sent <= *to && call.ended >= *from);
+    if call.status == Some(0) && !was_disturbed {
         return Some(format!(
             "planned stops: {id} was cut on box {}",
-            one.box_index
+            call.box_index
         ));
     }
     None
 }
 
-/// The budget holds over every window of its length.
-fn over_budget(called: &[Called], seen: &Seen) -> Option<String> {
-    let mut known: HashMap<&str, usize> = HashMap::new();
-    let mut again: Vec<Instant> = Vec::new();
-    for (at, id) in &seen.arrivals {
-        let times = known.entry(id).or_default();
-        *times += 1;
-        if *times > 1 {
-            again.push(*at);
+/// Checks that the resends stay within the retry budget in every window of its length.
+fn over_budget(calls: &[FinishedCall], observed: &Observations) -> Option<String> {
+    let mut arrival_counts: HashMap<&str, usize> = HashMap::new();
+    let mut resends: Vec<Instant> = Vec::new();
+    for (at, id) in &observed.arrivals {
+        let arrived = arrival_counts.entry(id).or_default();
+        *arrived += 1;
+        if *arrived > 1 {
+            resends.push(*at);
         }
     }
-    let mut requests: Vec<Instant> = called.iter().map(|one| one.sent).collect();
+    let mut requests: Vec<Instant> = calls.iter().map(|call| call.sent).collect();
     requests.sort();
-    let fullest = RETRY_BUDGET.fullest(&requests, &again, &COUNTED_BEFORE)?;
+    let fullest = RETRY_BUDGET.fullest(&requests, &resends, &COUNTED_BEFORE)?;
     let (spent, allowed) = (fullest.spent, fullest.allowed);
     let text = format!("budget: {spent} resends in a window that allows {allowed}");
     (fullest.share() > 1.0).then_some(text)
 }
 
-/// Once all is calm, nearly every request is served.
-fn not_recovered(called: &[Called], seen: &Seen) -> Option<String> {
-    let calm: Vec<&Called> = called
+/// Checks that nearly all requests are served once the faults are over.
+fn not_recovered(calls: &[FinishedCall], observed: &Observations) -> Option<String> {
+    let calm: Vec<&FinishedCall> = calls
         .iter()
-        .filter(|one| one.sent >= seen.calm_from)
+        .filter(|call| call.sent >= observed.calm_from)
         .collect();
-    let served = calm.iter().filter(|one| one.status == Some(200)).count();
+    let served = calm.iter().filter(|call| call.status == Some(200)).count();
     let share = served as f64 / calm.len().max(1) as f64;
     let text = format!(
         "recovery: {served} of {} served in the calm end",
         calm.len()
     );
-    (share < SERVED_WHEN_CALM).then_some(text)
+    (share < MIN_SERVED_WHEN_CALM).then_some(text)
 }
 
-/// A server that leaves gets no new work after this: the users' bound is two seconds.
-pub const LEAVING_BOUND: Duration = Duration::from_secs(2);
-const SERVED_WHEN_CALM: f64 = 0.97;
-/// The retry budget of the service, as the boxes are told.
+/// A draining server must get no new requests after this time; the users require 2 s.
+pub const DRAINING_BOUND: Duration = Duration::from_secs(2);
+const MIN_SERVED_WHEN_CALM: f64 = 0.97;
+/// Retry budget in the settings of the boxes.
 pub const RETRY_BUDGET: Budget = Budget {
     ratio: 0.2,
     window: Duration::from_secs(10),
     slack: 40.0,
 };
-/// Requests count in the window itself or in the one before it, whichever has more.
+/// Requests are counted in the window itself and in the one before it, and the greater
+/// count is used. In window lengths.
 const COUNTED_BEFORE: [f64; 2] = [0.0, 1.0];
--- a/tests/soak/src/run.rs
+++ b/tests/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One play: boxes, servers and store are started, faults come and go, promises are checked.
+//! Runs one play: starts boxes, servers and the store, applies the faults of a plan, and
+//! checks the promises.
 
 use std::collections::{HashMap, HashSet};
 use std::path::PathBuf;
@@ -10,55 +11,56 @@
 use serde_json::{Value, json};
 use wingspur_tests::{BackendServer, PlatformStore, Reply, StoreFault};
 
-use crate::boxes::{BoxSpec, SoakBox, ask};
-use crate::calls::{Called, Callers};
+use crate::boxes::{BoxSpec, SoakBox, fetch_json};
+use crate::calls::{Callers, FinishedCall};
 use crate::plan::{Fault, FaultKind, Plan, SERVERS};
-use crate::promises::{LEAVING_BOUND, RETRY_BUDGET, Seen, broken_promises};
+use crate::promises::{DRAINING_BOUND, Observations, RETRY_BUDGET, broken_promises};
 
-/// What is played.
+/// Parameters of a play.
 pub struct Setup {
     /// The program that each box runs.
     pub program: PathBuf,
-    /// How many boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// For how long faults come.
+    /// Length of the part of the play in which faults begin.
     pub span: Duration,
 }
 
-/// What came of a play.
+/// Result of a play.
 pub struct Report {
-    /// The promises that did not hold.
+    /// One line for each violation of a promise.
     pub broken: Vec<String>,
-    /// Where the boxes' logs are.
+    /// Folder with the logs of the boxes.
     pub logs: PathBuf,
     requests: usize,
     served: usize,
     faults: usize,
 }
 
-/// A play under way.
+/// State of a running play.
 struct Play {
     store: PlatformStore,
     servers: Vec<BackendServer>,
-    /// What half of a server's requests meet.
+    /// How each server handles half of its requests; shared with the server.
     replies: Vec<Arc<Mutex<Reply>>>,
     boxes: Vec<SoakBox>,
-    hits: Vec<Vec<(Instant, Instant)>>,
+    disturbances: Vec<Vec<(Instant, Instant)>>,
     version: u64,
-    /// The version and life that each box last told.
-    told: Vec<(u64, u64)>,
+    /// For each box, the version of the configuration that it last reported and for how
+    /// many milliseconds that version had been active.
+    last_reported: Vec<(u64, u64)>,
     reversions: Vec<String>,
-    /// When each run of a server said that it leaves.
-    left: HashMap<usize, Instant>,
-    /// Those that are gone.
-    gone: HashSet<usize>,
+    /// When each server announced that it is draining, by its number.
+    draining_since: HashMap<usize, Instant>,
+    /// Numbers of the servers that have been replaced.
+    replaced: HashSet<usize>,
 }
 
-/// Something that is due.
-type Due = (Instant, FaultKind);
+/// A fault and when it ends.
+type ScheduledEnd = (Instant, FaultKind);
 
 impl Report {
-    /// The play in a line.
+    /// Returns a one-line summary of the play.
     pub fn summary(&self) -> String {
         let verdict = match self.broken.len() {
             0 => "all promises held".to_owned(),
@@ -74,7 +76,7 @@
     }
 }
 
-/// Plays a plan.
+/// Plays a plan and checks the promises.
 pub fn play(setup: &Setup, plan: &Plan) -> Report {
     let folder = std::env::temp_dir().join(format!(
         "wingspur-soak-{}-{}",
@@ -84,23 +86,23 @@
     std::fs::create_dir_all(&folder).expect("the folder for logs can be made");
     let mut play = Play::start(setup, &folder);
     play.wait_ready();
-    let callers = Callers::start(play.boxes.iter().map(|b| b.callers).collect());
+    let callers = Callers::start(play.boxes.iter().map(|b| b.caller_address).collect());
     let began = Instant::now();
-    play.follow(plan, began, began + setup.span);
-    play.mend();
+    play.run_plan(plan, began, began + setup.span);
+    play.end_all_faults();
     play.wait_ready();
-    std::thread::sleep(SETTLES);
+    std::thread::sleep(SETTLE_TIME);
     let calm_from = Instant::now();
-    std::thread::sleep(CALM);
-    let called = callers.close();
-    let seen = play.close(calm_from);
+    std::thread::sleep(CALM_TIME);
+    let calls = callers.close();
+    let observed = play.close(calm_from);
     Report {
-        broken: broken_promises(&called, &seen),
+        broken: broken_promises(&calls, &observed),
         logs: folder,
-        requests: called.len(),
-        served: called
+        requests: calls.len(),
+        served: calls
             .iter()
-            .filter(|one: &&Called| one.status == Some(200))
+            .filter(|call: &&FinishedCall| call.status == Some(200))
             .count(),
         faults: plan.faults.len(),
     }
@@ -129,18 +131,18 @@
             })
             .collect();
         let mut play = Self {
-            hits: vec![Vec::new(); boxes.len()],
-            told: vec![(0, 0); boxes.len()],
+            disturbances: vec![Vec::new(); boxes.len()],
+            last_reported: vec![(0, 0); boxes.len()],
             version: 0,
             reversions: Vec::new(),
-            left: HashMap::new(),
-            gone: HashSet::new(),
+            draining_since: HashMap::new(),
+            replaced: HashSet::new(),
             store,
             servers,
             replies,
             boxes: Vec::new(),
         };
-        play.change();
+        play.write_next_version();
         (0..SERVERS).for_each(|n| play.announce(n, "ready"));
         boxes.iter_mut().for_each(SoakBox::start);
         play.boxes = boxes;
@@ -148,12 +150,12 @@
     }
 
     fn wait_ready(&mut self) {
-        let until = Instant::now() + MOST_WAIT;
+        let until = Instant::now() + MAX_WAIT;
         while Instant::now() < until {
             let all = self
                 .boxes
                 .iter()
-                .all(|b| ask(b.operators, "/ready").is_some());
+                .all(|b| fetch_json(b.operator_address, "/ready").is_some());
             if all {
                 return;
             }
@@ -161,20 +163,21 @@
         }
     }
 
-    /// Lets faults begin and end until the span is over.
-    fn follow(&mut self, plan: &Plan, began: Instant, until: Instant) {
+    /// Begins and ends the faults of the plan until the span is over and every fault has
+    /// ended.
+    fn run_plan(&mut self, plan: &Plan, began: Instant, until: Instant) {
         let mut begins: Vec<&Fault> = plan.faults.iter().rev().collect();
-        let mut ends: Vec<Due> = Vec::new();
+        let mut ends: Vec<ScheduledEnd> = Vec::new();
         while Instant::now() < until || !ends.is_empty() {
             let now = Instant::now();
             while begins.last().is_some_and(|fault| began + fault.at <= now) {
-                let fault = begins.pop().expect("it was there");
+                let fault = begins.pop().expect("a due fault is left");
                 self.begin(fault, now);
                 ends.push((now + fault.lasts, fault.kind));
             }
-            let (due, rest): (Vec<Due>, Vec<Due>) =
+            let (due, pending): (Vec<ScheduledEnd>, Vec<ScheduledEnd>) =
                 ends.into_iter().partition(|(at, _)| *at <= now);
-            ends = rest;
+            ends = pending;
             due.iter().for_each(|(_, kind)| self.end(*kind));
             self.read_versions();
             std::thread::sleep(TICK);
@@ -182,26 +185,29 @@
     }
 
     fn begin(&mut self, fault: &Fault, now: Instant) {
-        // What is cut then may be noticed, and the box back, some seconds later.
-        let hit = (now, now + fault.lasts + AFTERMATH);
+        // Interrupted requests may be noticed, and the box may be back, some seconds
+        // after the fault.
+        let disturbance = (now, now + fault.lasts + FAULT_EFFECT_TAIL);
         match fault.kind {
             FaultKind::Stop(n) => self.boxes[n].stop(),
             FaultKind::Kill(n) => {
-                self.hits[n].push(hit);
+                self.disturbances[n].push(disturbance);
                 self.boxes[n].signal(Signal::KILL);
             }
             FaultKind::KillAll => {
-                self.hits.iter_mut().for_each(|hits| hits.push(hit));
+                self.disturbances
+                    .iter_mut()
+                    .for_each(|disturbances| disturbances.push(disturbance));
                 self.boxes.iter_mut().for_each(|b| b.signal(Signal::KILL));
             }
             FaultKind::Freeze(n) => {
-                self.hits[n].push(hit);
-                self.boxes[n].freeze(true);
+                self.disturbances[n].push(disturbance);
+                self.boxes[n].set_suspended(true);
             }
             FaultKind::Reload(n) => self.boxes[n].signal(Signal::HUP),
             FaultKind::Store(fault) => self.store.set_fault(fault),
             FaultKind::ForgetHistory => self.store.forget_history(),
-            FaultKind::Change => self.change(),
+            FaultKind::Change => self.write_next_version(),
             FaultKind::Server(n, reply) => self.set_reply(n, reply),
             FaultKind::Leave(n) => self.announce(n, "leaving"),
         }
@@ -211,60 +217,63 @@
         match kind {
             FaultKind::Stop(n) | FaultKind::Kill(n) => self.boxes[n].start(),
             FaultKind::KillAll => self.boxes.iter_mut().for_each(SoakBox::start),
-            FaultKind::Freeze(n) => self.boxes[n].freeze(false),
+            FaultKind::Freeze(n) => self.boxes[n].set_suspended(false),
             FaultKind::Store(_) => self.store.set_fault(StoreFault::None),
             FaultKind::Server(n, _) => self.set_reply(n, Reply::Whole),
-            FaultKind::Leave(n) => self.renew_server(n),
+            FaultKind::Leave(n) => self.replace_server(n),
             FaultKind::Reload(_) | FaultKind::ForgetHistory | FaultKind::Change => {}
         }
     }
 
-    /// Ends whatever is still out of order.
-    fn mend(&mut self) {
+    /// Ends all faults and starts all boxes until they are ready.
+    fn end_all_faults(&mut self) {
         self.store.set_fault(StoreFault::None);
         for running in &mut self.boxes {
-            running.freeze(false);
+            running.set_suspended(false);
         }
-        let until = Instant::now() + MOST_WAIT;
-        // A box that was told to stop ends first.
+        let until = Instant::now() + MAX_WAIT;
+        // A box that is stopping must end before it can be started again.
         while Instant::now() < until
             && self
                 .boxes
                 .iter_mut()
-                .any(|b| ask(b.operators, "/ready").is_none())
+                .any(|b| fetch_json(b.operator_address, "/ready").is_none())
         {
             self.boxes.iter_mut().for_each(SoakBox::start);
             std::thread::sleep(TICK);
         }
     }
 
-    fn change(&mut self) {
+    fn write_next_version(&mut self) {
         self.version += 1;
         self.store.put("op/config", &configuration(self.version));
     }
 
     fn announce(&mut self, n: usize, state: &str) {
         if state == "leaving" {
-            if self.left.contains_key(&n) {
+            if self.draining_since.contains_key(&n) {
                 return;
             }
-            self.left.insert(n, Instant::now());
+            self.draining_since.insert(n, Instant::now());
         }
         let entry = json!({
             "service": "svc", "address": self.servers[n].address, "data_centre": "dc-1",
             "slots": 8, "state": state, "cold_ms": 0,
         });
-        self.store
-            .put(&format!("servers/i-{n}-{}", self.run_of(n)), &entry);
+        self.store.put(
+            &format!("servers/i-{n}-{}", self.instance_number(n)),
+            &entry,
+        );
     }
 
-    /// A server that left is gone, and a new one takes its place.
-    fn renew_server(&mut self, n: usize) {
-        if !self.gone.insert(n) {
+    /// Removes the catalog entry of a draining server and starts a new server in its
+    /// place, once for each server.
+    fn replace_server(&mut self, n: usize) {
+        if !self.replaced.insert(n) {
             return;
         }
         self.store
-            .remove(&format!("servers/i-{n}-{}", self.run_of(n)));
+            .remove(&format!("servers/i-{n}-{}", self.instance_number(n)));
         self.replies.push(Arc::new(Mutex::new(Reply::Whole)));
         self.servers
             .push(start_server(self.replies[self.replies.len() - 1].clone()));
@@ -272,7 +281,7 @@
         self.announce(new, "ready");
     }
 
-    fn run_of(&self, n: usize) -> usize {
+    fn instance_number(&self, n: usize) -> usize {
         n / SERVERS
     }
 
@@ -280,17 +289,18 @@
         *self.replies[n].lock().expect("no holder panics") = reply;
     }
 
-    /// Reads which version is in force on each box; within a life it only grows.
+    /// Reads the version of the active bundle from each box and records versions that
+    /// went back. While a process runs, its version must only grow.
     fn read_versions(&mut self) {
         for (n, running) in self.boxes.iter_mut().enumerate() {
-            if running.frozen {
+            if running.suspended {
                 continue;
             }
-            if !running.runs() {
-                self.told[n] = (0, 0);
+            if !running.is_running() {
+                self.last_reported[n] = (0, 0);
                 continue;
             }
-            let Some(status) = ask(running.operators, "/status") else {
+            let Some(status) = fetch_json(running.operator_address, "/status") else {
                 continue;
             };
             let (version, age) = (
@@ -298,41 +308,41 @@
                 status["in_force_ms"].as_u64(),
             );
             let (version, age) = (version.unwrap_or(0), age.unwrap_or(0));
-            let (before, _) = self.told[n];
+            let (before, _) = self.last_reported[n];
             if version > 0 && version < before {
                 self.reversions
                     .push(format!("versions: box {n} went from {before} to {version}"));
             }
-            self.told[n] = (version, age);
+            self.last_reported[n] = (version, age);
         }
     }
 
-    fn close(self, calm_from: Instant) -> Seen {
+    fn close(self, calm_from: Instant) -> Observations {
         let mut arrivals = Vec::new();
-        let mut late_at_leaving = Vec::new();
-        let mut ran: HashMap<String, usize> = HashMap::new();
+        let mut late_arrivals = Vec::new();
+        let mut run_counts: HashMap<String, usize> = HashMap::new();
         for (n, server) in self.servers.iter().enumerate() {
             let at_server = server.arrivals();
-            if let Some(left) = self.left.get(&n) {
-                let late = at_server
-                    .iter()
-                    .filter(|(at, _)| *at > *left + LEAVING_BOUND + MERCY);
-                late_at_leaving.extend(late.map(|(_, id)| id.clone()));
+            if let Some(draining_since) = self.draining_since.get(&n) {
+                let late = at_server.iter().filter(|(at, _)| {
+                    *at > *draining_since + DRAINING_BOUND + PROPAGATION_GRACE
+                });
+                late_arrivals.extend(late.map(|(_, id)| id.clone()));
             }
             arrivals.extend(at_server);
             for id in server.ran() {
-                *ran.entry(id).or_default() += 1;
+                *run_counts.entry(id).or_default() += 1;
             }
         }
         arrivals.sort();
         for running in self.boxes {
-            running.close();
+            running.kill();
         }
-        Seen {
+        Observations {
             arrivals,
-            ran,
-            late_at_leaving,
-            hits: self.hits,
+            run_counts,
+            late_arrivals,
+            disturbances: self.disturbances,
             reversions: self.reversions,
             calm_from,
         }
@@ -369,12 +379,13 @@
 }
 
 const TICK: Duration = Duration::from_millis(20);
-/// A stop, and the start after it, take a second or two.
-const MOST_WAIT: Duration = Duration::from_secs(30);
-/// How long a hit may show after its end.
-const AFTERMATH: Duration = Duration::from_secs(4);
-/// Health that was learned under faults is forgotten by then.
-const SETTLES: Duration = Duration::from_secs(6);
-const CALM: Duration = Duration::from_secs(3);
-/// A box that was frozen, cut off or restarted meanwhile hears of it this much later.
-const MERCY: Duration = Duration::from_secs(3);
+/// A stop and the start after it take one or two seconds.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// For how long after its end a fault may still interrupt requests.
+const FAULT_EFFECT_TAIL: Duration = Duration::from_secs(4);
+/// Boxes have discarded the server health observed under faults after this time.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+const CALM_TIME: Duration = Duration::from_secs(3);
+/// A box that was suspended, cut off from the store or restarted meanwhile may learn this
+/// much later that a server is draining.
+const PROPAGATION_GRACE: Duration = Duration::from_secs(3);
