--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -1,4 +1,4 @@
-//! The boxes of a play, their links and their calls of the store.
+//! The simulated boxes, their links and their calls to the store.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -21,83 +21,84 @@
 
 use super::store::Store;
 use super::{
-    CALM_UNTIL_MS, CONTACT_MS, DRAIN_MS, END_MS, FAULT_LASTS_MS, Fault, LAPSE_MS, Ms,
-    Outcome, Place, Restore, Setting, WaitingWatch, at,
+    BoxIndex, DRAIN_MS, END_MS, ENTRY_TTL_MS, FAULT_MS, FIRST_RESTORE_MS, Fault, Ms,
+    Outcome, Restore, SETTLE_MS, Setting, WaitingWatch, at,
 };
 
 const DATA_CENTRES: usize = 3;
-const STORE_TAKES_MS: Ms = 4;
+const STORE_DELAY_MS: Ms = 4;
 const WATCH_WAIT_MS: Ms = 650;
 const WATCH_GRACE_MS: Ms = 1_000;
 const CALL_TIMEOUT_MS: Ms = 1_500;
-const GATHER_MS: Ms = 60;
+const BATCH_PAUSE_MS: Ms = 60;
 const FIRST_PAUSE_MS: Ms = 100;
-const MOST_PAUSE_MS: Ms = 1_000;
+const MAX_PAUSE_MS: Ms = 1_000;
 const HELPER_PAUSE_MS: Ms = 4_000;
 const HEARTBEAT_FRAME_MS: Ms = 200;
 const TICK_MS: Ms = 10;
 const SETTLE_EVERY_MS: Ms = 250;
-/// Five signs of life in a row are missing.
+/// Five heartbeats in a row are missing.
 const SILENCE_MS: Ms = 1_000;
 const BOX_BACK_MS: Ms = 600;
 const LINKED_AFTER_MS: Ms = 300;
 
 /// A box of the fleet.
 struct PlayedBox {
-    life: u32,
+    instance: u32,
     alive: bool,
     frozen_until: Ms,
     disturbed_ms: Ms,
-    feed: CatalogFreshnessTracker,
+    freshness: CatalogFreshnessTracker,
     recent: RecentChanges,
-    directory: ServerRegistry,
-    standings: AnnouncedStates,
-    /// The servers that its services know.
-    table: BTreeMap<ServerId, ServerRecord>,
+    registry: ServerRegistry,
+    announced_states: AnnouncedStates,
+    /// Servers known to the services of the box.
+    known_servers: BTreeMap<ServerId, ServerRecord>,
     bundle: Option<Arc<Bundle>>,
-    links: BTreeMap<Place, PlayedLink>,
+    links: BTreeMap<BoxIndex, PlayedLink>,
     reading: Reading,
     settled_ms: Ms,
-    /// Answers of the store that were lost in a row.
-    lost_answers: u32,
-    /// Servers that it has used, and those that it did not any more, since they were closed.
+    /// Number of consecutive responses of the store that were lost.
+    lost_responses: u32,
+    /// Servers that the box has used, and those of them that it stopped using because
+    /// they were closed.
     used: BTreeSet<ServerId>,
     closed: BTreeSet<ServerId>,
 }
 
 #[derive(Default)]
 struct Reading {
-    /// The call that is out; 0 for none.
+    /// Number of the outstanding call; 0 for none.
     call: u64,
     pause_until: Ms,
-    /// The same where no other box tries.
+    /// End of the pause if no other box reads the store in its place.
     own_pause_until: Ms,
     failures: u32,
     gaps: u32,
-    lists: bool,
+    reads_snapshot: bool,
 }
 
 struct PlayedLink {
-    peer_life: u32,
+    peer_instance: u32,
     clock: LinkClock,
     queue: CatalogQueue,
-    told_era: u64,
-    /// The version in force at the other side, as far as it has told.
+    sent_era: u64,
+    /// Newest bundle version that the peer has reported as active.
     bundle_version: u64,
-    wants_listing: bool,
-    /// Servers that leave of which it was not told yet.
+    wants_snapshot: bool,
+    /// Draining servers that have not been sent to the peer yet.
     leaving: Vec<ServerKey>,
     sent_ms: Ms,
 }
 
-/// What goes over a link.
+/// A frame sent over a link.
 #[derive(Clone)]
 struct PlayedFrame {
     stamps: LinkTimestamps,
-    feed: CatalogFreshness,
+    freshness: CatalogFreshness,
     bundle_version: u64,
     updates: Vec<CatalogUpdate>,
-    wants_listing: bool,
+    wants_snapshot: bool,
     leaving: Vec<ServerKey>,
 }
 
@@ -109,26 +110,27 @@
 
 #[derive(Clone)]
 enum Failure {
-    Away,
+    Unavailable,
     HistoryLost,
 }
 
 #[derive(Clone)]
-enum Told {
-    Listing(CatalogSnapshot),
+enum StoreContent {
+    Snapshot(CatalogSnapshot),
     Changes(CatalogChanges),
 }
 
-/// An answer of the store, as the adapter tells it; no era where there is none.
+/// A response of the store, as the adapter returns it; the era is `None` without a
+/// response.
 #[derive(Clone)]
-struct Answer {
+struct StoreResponse {
     era: Option<u64>,
-    outcome: Result<Told, Failure>,
+    outcome: Result<StoreContent, Failure>,
 }
 
 struct Waiter {
-    place: Place,
-    life: u32,
+    box_index: BoxIndex,
+    instance: u32,
     call: u64,
     after: StorePosition,
     until: Ms,
@@ -137,60 +139,60 @@
 #[derive(Clone)]
 enum Event {
     Reaches {
-        place: Place,
-        life: u32,
+        box_index: BoxIndex,
+        instance: u32,
         number: u64,
         call: Call,
     },
     SecondPage {
-        place: Place,
-        life: u32,
+        box_index: BoxIndex,
+        instance: u32,
         number: u64,
-        listing: CatalogSnapshot,
+        snapshot: CatalogSnapshot,
     },
     WatchEnds {
         number: u64,
     },
-    Answers {
-        place: Place,
-        life: u32,
+    StoreResponds {
+        box_index: BoxIndex,
+        instance: u32,
         number: u64,
-        answer: Answer,
+        response: StoreResponse,
     },
     Frame {
-        from: Place,
-        from_life: u32,
-        to: Place,
-        to_life: u32,
+        from: BoxIndex,
+        from_instance: u32,
+        to: BoxIndex,
+        to_instance: u32,
         frame: PlayedFrame,
     },
     Tick {
-        place: Place,
-        life: u32,
+        box_index: BoxIndex,
+        instance: u32,
     },
     Link {
-        one: Place,
-        other: Place,
+        one: BoxIndex,
+        other: BoxIndex,
     },
-    Greets {
-        one: Place,
-        other: Place,
-        life: u32,
+    Greeting {
+        one: BoxIndex,
+        other: BoxIndex,
+        instance: u32,
         position: StorePosition,
         bundle_version: u64,
     },
     BoxUp {
-        place: Place,
+        box_index: BoxIndex,
     },
-    /// A box goes on that stood still: its links have been given up meanwhile.
-    Thaws {
-        place: Place,
+    /// A suspended box resumes; its peers have dropped its links meanwhile.
+    Resumes {
+        box_index: BoxIndex,
     },
     NewHub {
         data_centre: usize,
     },
-    Goes(Restore),
-    Returns(Restore),
+    StoreGoesDown(Restore),
+    StoreComesBack(Restore),
     Copy,
     Version,
     RewritesVersion,
@@ -203,22 +205,23 @@
     Rewrites {
         id: ServerId,
     },
-    Lapses {
+    EntriesExpire {
         era: u64,
     },
     Check,
 }
 
-/// What is true of a server, and what boxes should know.
+/// Actual state of a server, and since when boxes should know of it.
 struct TrueServer {
     record: ServerRecord,
-    /// Whether it writes its entry.
+    /// Whether the server still writes its entry.
     writes: bool,
-    /// When its entry was acknowledged; again, where boxes may not have read it.
+    /// When its entry was acknowledged; updated by a rewrite if boxes may not have read
+    /// the first one.
     open_ms: Option<Ms>,
-    /// The same of its leaving or its entry's end.
+    /// When its draining or the removal of its entry was acknowledged, updated likewise.
     closed_ms: Option<Ms>,
-    /// Whether it begins to close: it need not be used any more.
+    /// Whether the server has begun to close and need not be used any more.
     closing: bool,
     vanished: bool,
 }
@@ -232,12 +235,12 @@
     pending: BTreeMap<u64, Event>,
     next: u64,
     boxes: Vec<PlayedBox>,
-    hubs: Vec<Option<Place>>,
+    hubs: Vec<Option<BoxIndex>>,
     store: Store,
     waiters: Vec<Waiter>,
     servers: BTreeMap<ServerId, TrueServer>,
     next_server: u64,
-    /// Each version, and when it was acknowledged.
+    /// Time at which each bundle version was acknowledged.
     versions: BTreeMap<u64, Ms>,
     outcome: Outcome,
 }
@@ -252,7 +255,7 @@
             }
             play.now = ms;
             if let Some(event) = play.pending.remove(&number) {
-                play.happen(event);
+                play.handle_event(event);
             }
         }
         play.outcome
@@ -260,7 +263,8 @@
 
     fn new(setting: Setting) -> Self {
         let base = Instant::now();
-        let boxes = (0..setting.boxes).map(|place| PlayedBox::new(place, 0, base));
+        let boxes =
+            (0..setting.boxes).map(|box_index| PlayedBox::new(box_index, 0, base));
         Self {
             random: StdRng::seed_from_u64(setting.seed),
             base,
@@ -285,9 +289,15 @@
             self.begin_server();
         }
         self.write_version();
-        for place in 0..self.boxes.len() {
-            self.after(1 + place as Ms % TICK_MS, Event::Tick { place, life: 0 });
-            self.link_with_hub(place);
+        for box_index in 0..self.boxes.len() {
+            self.after(
+                1 + box_index as Ms % TICK_MS,
+                Event::Tick {
+                    box_index,
+                    instance: 0,
+                },
+            );
+            self.link_with_hub(box_index);
         }
         let mut ms = 500;
         while ms < END_MS - 4_000 {
@@ -308,9 +318,9 @@
             self.after(ms, Event::Check);
         }
         for restore in self.setting.restores.clone() {
-            self.after(restore.at_ms, Event::Goes(restore));
-            self.after(restore.back_ms(), Event::Returns(restore));
-            // Changes right before and right after.
+            self.after(restore.at_ms, Event::StoreGoesDown(restore));
+            self.after(restore.back_ms(), Event::StoreComesBack(restore));
+            // Changes shortly before and after the restore.
             for ms in [restore.at_ms - 2, restore.back_ms() + 1] {
                 self.after(ms, Event::Version);
                 self.after(ms, Event::ServerLeaves);
@@ -333,48 +343,51 @@
         at(self.base, self.now)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Reaches {
-                place,
-                life,
+                box_index,
+                instance,
                 number,
                 call,
-            } => self.reach_store(place, life, number, call),
+            } => self.reach_store(box_index, instance, number, call),
             Event::SecondPage {
-                place,
-                life,
+                box_index,
+                instance,
                 number,
-                listing,
-            } => self.second_page(place, life, number, listing),
+                snapshot,
+            } => self.second_page(box_index, instance, number, snapshot),
             Event::WatchEnds { number } => self.end_watch(number),
-            Event::Answers {
-                place,
-                life,
+            Event::StoreResponds {
+                box_index,
+                instance,
                 number,
-                answer,
-            } => self.receive_answer(place, life, number, answer),
+                response,
+            } => self.receive_response(box_index, instance, number, response),
             Event::Frame {
                 from,
-                from_life,
+                from_instance,
                 to,
-                to_life,
+                to_instance,
                 frame,
-            } => self.receive_frame(from, from_life, to, to_life, frame),
-            Event::Tick { place, life } => self.tick(place, life),
+            } => self.receive_frame(from, from_instance, to, to_instance, frame),
+            Event::Tick {
+                box_index,
+                instance,
+            } => self.tick(box_index, instance),
             Event::Link { one, other } => self.link(one, other),
-            Event::Greets {
+            Event::Greeting {
                 one,
                 other,
-                life,
+                instance,
                 position,
                 bundle_version,
-            } => self.greet(one, other, life, position, bundle_version),
-            Event::BoxUp { place } => self.box_up(place),
-            Event::Thaws { place } => self.thaw(place),
+            } => self.receive_greeting(one, other, instance, position, bundle_version),
+            Event::BoxUp { box_index } => self.box_up(box_index),
+            Event::Resumes { box_index } => self.resume(box_index),
             Event::NewHub { data_centre } => self.new_hub(data_centre),
-            Event::Goes(restore) => self.store_goes(restore),
-            Event::Returns(restore) => self.store_returns(restore),
+            Event::StoreGoesDown(restore) => self.store_goes_down(restore),
+            Event::StoreComesBack(restore) => self.store_comes_back(restore),
             Event::Copy => self.store.copy(self.now),
             Event::Version => self.write_version(),
             Event::RewritesVersion => self.rewrite_version(),
@@ -383,37 +396,42 @@
             Event::ServerVanishes => self.vanish_server(),
             Event::ServerEnds { id } => self.end_server(&id),
             Event::Rewrites { id } => self.rewrite_server(&id),
-            Event::Lapses { era } => self.lapse(era),
+            Event::EntriesExpire { era } => self.expire_entries(era),
             Event::Check => self.check(),
         }
     }
 
     // The operator and the servers.
 
-    /// Puts what a writer does off until the store is back; whether it had to.
-    fn waits_for_store(&mut self, event: Event) -> bool {
-        let is_away = self.setting.is_away(self.now);
-        if is_away {
+    /// Delays an event of a writer while the store is unavailable. Returns whether it was
+    /// delayed.
+    fn is_delayed_by_store(&mut self, event: Event) -> bool {
+        let is_store_unavailable = self.setting.is_store_unavailable(self.now);
+        if is_store_unavailable {
             self.after(50, event);
         }
-        is_away
+        is_store_unavailable
     }
 
     fn write_version(&mut self) {
-        if self.waits_for_store(Event::Version) {
+        if self.is_delayed_by_store(Event::Version) {
             return;
         }
         let version = self.versions.keys().last().map_or(1, |last| last + 2);
         self.versions.insert(version, self.now);
         self.store.write_version(version);
-        self.tell_watches();
+        self.notify_watches();
     }
 
     fn rewrite_version(&mut self) {
-        if self.waits_for_store(Event::RewritesVersion) {
+        if self.is_delayed_by_store(Event::RewritesVersion) {
             return;
         }
-        let (&newest, &acked_ms) = self.versions.iter().last().expect("there is one");
+        let (&newest, &acked_ms) = self
+            .versions
+            .iter()
+            .last()
+            .expect("a version has been written");
         if self.store.now.version >= newest {
             return;
         }
@@ -421,11 +439,11 @@
             self.versions.insert(newest, self.now);
         }
         self.store.write_version(newest);
-        self.tell_watches();
+        self.notify_watches();
     }
 
     fn begin_server(&mut self) {
-        if self.waits_for_store(Event::ServerBegins) {
+        if self.is_delayed_by_store(Event::ServerBegins) {
             return;
         }
         let number = self.next_server;
@@ -435,7 +453,7 @@
             id: id.clone(),
             born_ms: self.now + 1,
             service: "svc".into(),
-            address: "127.0.0.1:1".parse().expect("it is a constant"),
+            address: "127.0.0.1:1".parse().expect("the address is valid"),
             data_centre: "dc-0".into(),
             slots: 3,
             leaving: false,
@@ -451,10 +469,10 @@
             vanished: false,
         };
         self.servers.insert(id, server);
-        self.tell_watches();
+        self.notify_watches();
     }
 
-    /// Picks a server that is not about to close, so that some stay.
+    /// Draws a server that is not closing; `None` if four or fewer are left.
     fn draw_open(&mut self) -> Option<ServerId> {
         let open = self.servers.iter();
         let open = open.filter(|(_, server)| !server.closing);
@@ -466,63 +484,71 @@
     }
 
     fn leave_server(&mut self) {
-        if self.waits_for_store(Event::ServerLeaves) {
+        if self.is_delayed_by_store(Event::ServerLeaves) {
             return;
         }
         let Some(id) = self.draw_open() else {
             return;
         };
-        let server = self.servers.get_mut(&id).expect("it was drawn");
+        let server = self.servers.get_mut(&id).expect("the drawn server exists");
         server.closing = true;
         server.record.leaving = true;
         server.closed_ms = Some(self.now);
         self.store.write_server(server.record.clone());
         let stays_ms = DRAIN_MS + self.random.random_range(0..6_000);
         self.after(stays_ms, Event::ServerEnds { id });
-        self.tell_watches();
+        self.notify_watches();
     }
 
     fn vanish_server(&mut self) {
-        if self.waits_for_store(Event::ServerVanishes) {
+        if self.is_delayed_by_store(Event::ServerVanishes) {
             return;
         }
         let Some(id) = self.draw_open() else {
             return;
         };
-        let server = self.servers.get_mut(&id).expect("it was drawn");
+        let server = self.servers.get_mut(&id).expect("the drawn server exists");
         server.closing = true;
         server.vanished = true;
         server.writes = false;
-        // One that nobody may have known yet is closed once its entry has lapsed.
-        let known_ms = self.now.saturating_sub(self.setting.in_force_ms());
+        // A server that no box may know yet counts as closed only once its entry has
+        // expired.
+        let known_ms = self.now.saturating_sub(self.setting.activation_bound_ms());
         let setting = &self.setting;
         let is_known = server
             .open_ms
             .is_some_and(|ms| ms <= known_ms && !setting.may_be_unread(ms));
         server.closed_ms = is_known.then_some(self.now);
         self.store.remove_server(&id);
-        self.tell_watches();
+        self.notify_watches();
     }
 
     fn end_server(&mut self, id: &ServerId) {
-        if self.waits_for_store(Event::ServerEnds { id: id.clone() }) {
+        if self.is_delayed_by_store(Event::ServerEnds { id: id.clone() }) {
             return;
         }
-        let server = self.servers.get_mut(id).expect("it has begun");
+        let server = self
+            .servers
+            .get_mut(id)
+            .expect("the server has been started");
         server.writes = false;
-        // Its leaving may be known to nobody, and only its end be seen.
-        let read_by_ms = self.now.saturating_sub(self.setting.in_force_ms());
+        // Boxes may not have read that the server is draining, and see only that its
+        // entry is removed.
+        let read_by_ms = self.now.saturating_sub(self.setting.activation_bound_ms());
         server.vanished |= server.closed_ms.is_none_or(|ms| ms > read_by_ms);
         self.store.remove_server(id);
-        self.tell_watches();
+        self.notify_watches();
     }
 
-    /// A server writes again what the store lacks of it.
+    /// Writes the entry of a server again if the store lacks it.
     fn rewrite_server(&mut self, id: &ServerId) {
-        if self.waits_for_store(Event::Rewrites { id: id.clone() }) {
+        if self.is_delayed_by_store(Event::Rewrites { id: id.clone() }) {
             return;
         }
-        let server = self.servers.get_mut(id).expect("it has begun");
+        let server = self
+            .servers
+            .get_mut(id)
+            .expect("the server has been started");
         if !server.writes || self.store.now.servers.get(id) == Some(&server.record) {
             return;
         }
@@ -534,17 +560,20 @@
             server.closed_ms = Some(self.now);
         }
         self.store.write_server(server.record.clone());
-        self.tell_watches();
+        self.notify_watches();
     }
 
-    /// Entries that nobody has written since a restore lapse.
-    fn lapse(&mut self, era: u64) {
+    /// Expires the entries of servers that no longer write them after a restore.
+    fn expire_entries(&mut self, era: u64) {
         if era != self.store.era {
             return;
         }
         let entries: Vec<ServerId> = self.store.now.servers.keys().cloned().collect();
         for id in entries {
-            let server = self.servers.get_mut(&id).expect("it has begun");
+            let server = self
+                .servers
+                .get_mut(&id)
+                .expect("the server has been started");
             if server.writes {
                 continue;
             }
@@ -554,27 +583,32 @@
             }
             self.store.remove_server(&id);
         }
-        self.tell_watches();
+        self.notify_watches();
     }
 
     // The store.
 
-    fn store_goes(&mut self, restore: Restore) {
+    fn store_goes_down(&mut self, restore: Restore) {
         if restore.away_ms == 0 {
             return;
         }
         for played in &mut self.boxes {
-            if played.disturbed_ms + CONTACT_MS > self.now {
-                // It has no store with which it could get in touch.
+            if played.disturbed_ms + SETTLE_MS > self.now {
+                // The box cannot settle before the store is back.
                 played.disturbed_ms = played.disturbed_ms.max(restore.back_ms());
             }
         }
         for waiter in std::mem::take(&mut self.waiters) {
-            self.answer(waiter.place, waiter.life, waiter.call, away());
+            self.respond(
+                waiter.box_index,
+                waiter.instance,
+                waiter.call,
+                unavailable(),
+            );
         }
     }
 
-    fn store_returns(&mut self, restore: Restore) {
+    fn store_comes_back(&mut self, restore: Restore) {
         let copied_ms = restore.at_ms.saturating_sub(restore.copy_age_ms);
         self.store.restore(copied_ms);
         let era = self.store.era;
@@ -582,100 +616,111 @@
             WaitingWatch::GoesOn => {}
             how => {
                 for waiter in std::mem::take(&mut self.waiters) {
-                    let answer = match how {
-                        WaitingWatch::HistoryLost => Answer {
+                    let response = match how {
+                        WaitingWatch::HistoryLost => StoreResponse {
                             era: Some(era),
                             outcome: Err(Failure::HistoryLost),
                         },
-                        _ => away(),
+                        _ => unavailable(),
                     };
-                    self.answer(waiter.place, waiter.life, waiter.call, answer);
+                    self.respond(
+                        waiter.box_index,
+                        waiter.instance,
+                        waiter.call,
+                        response,
+                    );
                 }
             }
         }
         self.after(self.setting.operator_rewrites_ms, Event::RewritesVersion);
         let ids: Vec<ServerId> = self.servers.keys().cloned().collect();
         for id in ids {
-            let most = self.setting.servers_rewrite_ms;
-            let ms = self.random.random_range(0..=most);
+            let max_ms = self.setting.servers_rewrite_ms;
+            let ms = self.random.random_range(0..=max_ms);
             self.after(ms, Event::Rewrites { id });
         }
-        self.after(LAPSE_MS, Event::Lapses { era });
-        self.befall(restore);
+        self.after(ENTRY_TTL_MS, Event::EntriesExpire { era });
+        self.apply_fault(restore);
     }
 
-    fn befall(&mut self, _restore: Restore) {
-        let hubs: Vec<Place> = self.hubs.iter().flatten().copied().collect();
+    fn apply_fault(&mut self, _restore: Restore) {
+        let hubs: Vec<BoxIndex> = self.hubs.iter().flatten().copied().collect();
         match self.setting.fault {
             Fault::HubsKilled => hubs.into_iter().for_each(|hub| self.kill(hub)),
             Fault::HubsFrozen => {
                 for hub in hubs {
-                    self.boxes[hub].frozen_until = self.now + FAULT_LASTS_MS;
-                    self.boxes[hub].disturbed_ms = self.now + FAULT_LASTS_MS;
+                    self.boxes[hub].frozen_until = self.now + FAULT_MS;
+                    self.boxes[hub].disturbed_ms = self.now + FAULT_MS;
                     let data_centre = hub % DATA_CENTRES;
                     self.hubs[data_centre] = None;
                     self.after(SILENCE_MS, Event::NewHub { data_centre });
-                    self.after(FAULT_LASTS_MS, Event::Thaws { place: hub });
+                    self.after(FAULT_MS, Event::Resumes { box_index: hub });
                 }
             }
             Fault::HubsWithoutStore => {
                 for hub in hubs {
-                    self.boxes[hub].disturbed_ms = self.now + FAULT_LASTS_MS;
+                    self.boxes[hub].disturbed_ms = self.now + FAULT_MS;
                 }
             }
             Fault::BoxesStart => {
-                let some = (0..self.boxes.len()).filter(|place| place % 3 == 1);
-                some.for_each(|place| self.kill(place));
+                let some = (0..self.boxes.len()).filter(|box_index| box_index % 3 == 1);
+                some.for_each(|box_index| self.kill(box_index));
             }
             Fault::None | Fault::LateAnswers | Fault::LostAnswers => {}
         }
     }
 
-    /// Whether a box has the store.
-    fn has_store(&self, place: Place) -> bool {
+    /// Returns whether a box can reach the store.
+    fn has_store(&self, box_index: BoxIndex) -> bool {
         let is_without = self.setting.fault == Fault::HubsWithoutStore
-            && self.hubs.contains(&Some(place))
-            && self.now < self.boxes[place].disturbed_ms;
-        !is_without && !self.setting.is_away(self.now)
+            && self.hubs.contains(&Some(box_index))
+            && self.now < self.boxes[box_index].disturbed_ms;
+        !is_without && !self.setting.is_store_unavailable(self.now)
     }
 
-    fn reach_store(&mut self, place: Place, life: u32, number: u64, call: Call) {
-        if !self.has_store(place) {
-            return self.answer(place, life, number, away());
+    fn reach_store(
+        &mut self,
+        box_index: BoxIndex,
+        instance: u32,
+        number: u64,
+        call: Call,
+    ) {
+        if !self.has_store(box_index) {
+            return self.respond(box_index, instance, number, unavailable());
         }
         match call {
             Call::List { is_fresh } => {
                 self.outcome.listings += 1;
                 if is_fresh {
-                    let listing = self.store.page(true);
+                    let snapshot = self.store.page(true);
                     return self.after(
-                        STORE_TAKES_MS + 2,
+                        STORE_DELAY_MS + 2,
                         Event::SecondPage {
-                            place,
-                            life,
+                            box_index,
+                            instance,
                             number,
-                            listing,
+                            snapshot,
                         },
                     );
                 }
                 let lag = self.random.random_range(0..2_000);
                 let lagging = self.store.lagging(self.now.saturating_sub(lag));
-                let mut listing = lagging.page(true);
-                listing.servers.extend(lagging.page(false).servers);
-                let answer = Answer {
+                let mut snapshot = lagging.page(true);
+                snapshot.servers.extend(lagging.page(false).servers);
+                let response = StoreResponse {
                     era: Some(lagging.era),
-                    outcome: Ok(Told::Listing(listing)),
+                    outcome: Ok(StoreContent::Snapshot(snapshot)),
                 };
-                self.answer(place, life, number, answer);
+                self.respond(box_index, instance, number, response);
             }
             Call::Watch { after } => {
-                if let Some(answer) = self.watched(after, false) {
-                    return self.answer(place, life, number, answer);
+                if let Some(response) = self.watch_response(after, false) {
+                    return self.respond(box_index, instance, number, response);
                 }
                 let until = self.now + WATCH_WAIT_MS;
                 self.waiters.push(Waiter {
-                    place,
-                    life,
+                    box_index,
+                    instance,
                     call: number,
                     after,
                     until,
@@ -687,30 +732,34 @@
 
     fn second_page(
         &mut self,
-        place: Place,
-        life: u32,
+        box_index: BoxIndex,
+        instance: u32,
         number: u64,
-        mut listing: CatalogSnapshot,
+        mut snapshot: CatalogSnapshot,
     ) {
-        if !self.has_store(place) {
-            return self.answer(place, life, number, away());
+        if !self.has_store(box_index) {
+            return self.respond(box_index, instance, number, unavailable());
         }
         let second = self.store.page(false);
-        let outcome = match second.position.era() == listing.position.era() {
+        let outcome = match second.position.era() == snapshot.position.era() {
             true => {
-                listing.servers.extend(second.servers);
-                Ok(Told::Listing(listing))
+                snapshot.servers.extend(second.servers);
+                Ok(StoreContent::Snapshot(snapshot))
             }
             false => Err(Failure::HistoryLost),
         };
         let era = Some(self.store.era);
-        self.answer(place, life, number, Answer { era, outcome });
+        self.respond(box_index, instance, number, StoreResponse { era, outcome });
     }
 
-    /// What a watch tells now; none while it waits on.
-    fn watched(&self, after: StorePosition, is_over: bool) -> Option<Answer> {
+    /// Returns the current response to a watch; `None` while it keeps waiting.
+    fn watch_response(
+        &self,
+        after: StorePosition,
+        is_over: bool,
+    ) -> Option<StoreResponse> {
         let era = Some(self.store.era);
-        let lost = Answer {
+        let lost = StoreResponse {
             era,
             outcome: Err(Failure::HistoryLost),
         };
@@ -723,9 +772,9 @@
         if after.era() != self.store.era {
             return Some(lost);
         }
-        Some(Answer {
+        Some(StoreResponse {
             era,
-            outcome: Ok(Told::Changes(changes)),
+            outcome: Ok(StoreContent::Changes(changes)),
         })
     }
 
@@ -734,26 +783,37 @@
         let Some(found) = found else { return };
         let waiter = self.waiters.remove(found);
         debug_assert!(waiter.until <= self.now);
-        if let Some(answer) = self.watched(waiter.after, true) {
-            self.answer(waiter.place, waiter.life, waiter.call, answer);
+        if let Some(response) = self.watch_response(waiter.after, true) {
+            self.respond(waiter.box_index, waiter.instance, waiter.call, response);
         }
     }
 
-    fn tell_watches(&mut self) {
+    fn notify_watches(&mut self) {
         for waiter in std::mem::take(&mut self.waiters) {
-            match self.watched(waiter.after, false) {
-                Some(answer) => {
-                    self.answer(waiter.place, waiter.life, waiter.call, answer);
+            match self.watch_response(waiter.after, false) {
+                Some(response) => {
+                    self.respond(
+                        waiter.box_index,
+                        waiter.instance,
+                        waiter.call,
+                        response,
+                    );
                 }
                 None => self.waiters.push(waiter),
             }
         }
     }
 
-    fn answer(&mut self, place: Place, life: u32, number: u64, answer: Answer) {
-        let is_disturbed = self.now >= CALM_UNTIL_MS;
+    fn respond(
+        &mut self,
+        box_index: BoxIndex,
+        instance: u32,
+        number: u64,
+        response: StoreResponse,
+    ) {
+        let is_disturbed = self.now >= FIRST_RESTORE_MS;
         let fault = self.setting.fault;
-        if is_disturbed && fault == Fault::LostAnswers && self.loses_answer(place) {
+        if is_disturbed && fault == Fault::LostAnswers && self.loses_response(box_index) {
             return;
         }
         let late = match is_disturbed && fault == Fault::LateAnswers {
@@ -761,265 +821,283 @@
             false => 0,
         };
         self.after(
-            STORE_TAKES_MS / 2 + late,
-            Event::Answers {
-                place,
-                life,
+            STORE_DELAY_MS / 2 + late,
+            Event::StoreResponds {
+                box_index,
+                instance,
                 number,
-                answer,
+                response,
             },
         );
     }
 
-    /// Whether an answer to a box is lost, at most two in a row.
-    fn loses_answer(&mut self, place: Place) -> bool {
+    /// Draws whether a response to a box is lost, at most two in a row.
+    fn loses_response(&mut self, box_index: BoxIndex) -> bool {
         let drawn = self.random.random_bool(0.33);
-        let lost = &mut self.boxes[place].lost_answers;
+        let lost = &mut self.boxes[box_index].lost_responses;
         *lost = if drawn && *lost < 2 { *lost + 1 } else { 0 };
         *lost > 0
     }
 
-    // A box reads the store.
+    // Reading the store.
 
-    fn read(&mut self, place: Place) {
+    fn read(&mut self, box_index: BoxIndex) {
         let now = self.instant();
-        let is_hub = self.hubs[place % DATA_CENTRES] == Some(place);
-        let rank = place / DATA_CENTRES;
-        let reads = self.boxes[place].feed.should_watch_store(is_hub, rank, now);
-        let played = &mut self.boxes[place];
+        let is_hub = self.hubs[box_index % DATA_CENTRES] == Some(box_index);
+        let rank = box_index / DATA_CENTRES;
+        let reads = self.boxes[box_index]
+            .freshness
+            .should_watch_store(is_hub, rank, now);
+        let played = &mut self.boxes[box_index];
         if !reads {
-            played.feed.stop_reading();
+            played.freshness.stop_reading();
             played.reading = Reading::default();
             return;
         }
         let reading = &played.reading;
-        let pause_until = match played.feed.may_defer_read(is_hub) {
+        let pause_until = match played.freshness.may_defer_read(is_hub) {
             true => reading.pause_until,
             false => reading.pause_until.min(reading.own_pause_until),
         };
         if reading.call > 0 || self.now < pause_until {
             return;
         }
-        let position = played.feed.position();
-        let lists = played.reading.lists || played.feed.is_of_older_era();
-        let call = match lists || position.is_start() {
-            true => Call::List { is_fresh: lists },
+        let position = played.freshness.position();
+        let reads_snapshot =
+            played.reading.reads_snapshot || played.freshness.is_of_older_era();
+        let call = match reads_snapshot || position.is_start() {
+            true => Call::List {
+                is_fresh: reads_snapshot,
+            },
             false => Call::Watch { after: position },
         };
         let number = self.next + 1;
-        let patience = match call {
+        let timeout_ms = match call {
             Call::List { .. } => CALL_TIMEOUT_MS,
             Call::Watch { .. } => WATCH_WAIT_MS + WATCH_GRACE_MS,
         };
         played.reading.call = number;
-        let life = played.life;
+        let instance = played.instance;
         self.after(
-            STORE_TAKES_MS / 2,
+            STORE_DELAY_MS / 2,
             Event::Reaches {
-                place,
-                life,
+                box_index,
+                instance,
                 number,
                 call,
             },
         );
         self.after(
-            patience,
-            Event::Answers {
-                place,
-                life,
+            timeout_ms,
+            Event::StoreResponds {
+                box_index,
+                instance,
                 number,
-                answer: away(),
+                response: unavailable(),
             },
         );
     }
 
-    fn receive_answer(&mut self, place: Place, life: u32, number: u64, answer: Answer) {
-        let played = &self.boxes[place];
-        if !played.alive || played.life != life {
+    fn receive_response(
+        &mut self,
+        box_index: BoxIndex,
+        instance: u32,
+        number: u64,
+        response: StoreResponse,
+    ) {
+        let played = &self.boxes[box_index];
+        if !played.alive || played.instance != instance {
             return;
         }
-        if self.is_frozen(place) {
+        if self.is_frozen(box_index) {
             let wait = played.frozen_until - self.now;
-            let event = Event::Answers {
-                place,
-                life,
+            let event = Event::StoreResponds {
+                box_index,
+                instance,
                 number,
-                answer,
+                response,
             };
             return self.after(wait, event);
         }
         if played.reading.call != number {
             return;
         }
-        self.boxes[place].reading.call = 0;
-        let mut outcome = answer.outcome;
-        if let Some(era) = answer.era
-            && self.observe_era(place, era) == EraChange::Older
+        self.boxes[box_index].reading.call = 0;
+        let mut outcome = response.outcome;
+        if let Some(era) = response.era
+            && self.observe_era(box_index, era) == EraChange::Older
         {
             outcome = Err(Failure::HistoryLost);
         }
         match outcome {
-            Ok(Told::Listing(listing)) => self.take_listing(place, listing),
-            Ok(Told::Changes(changes)) => self.take_changes(place, changes),
+            Ok(StoreContent::Snapshot(snapshot)) => {
+                self.take_snapshot(box_index, snapshot)
+            }
+            Ok(StoreContent::Changes(changes)) => self.take_changes(box_index, changes),
             Err(Failure::HistoryLost) => {
-                let reading = &mut self.boxes[place].reading;
-                reading.lists = true;
+                let reading = &mut self.boxes[box_index].reading;
+                reading.reads_snapshot = true;
                 if reading.gaps > 0 {
-                    let pause = self.pause(self.boxes[place].reading.gaps);
-                    self.boxes[place].reading.pause_until = self.now + pause;
-                    self.boxes[place].reading.own_pause_until = self.now + pause;
+                    let pause = self.pause(self.boxes[box_index].reading.gaps);
+                    self.boxes[box_index].reading.pause_until = self.now + pause;
+                    self.boxes[box_index].reading.own_pause_until = self.now + pause;
                 }
-                self.boxes[place].reading.gaps += 1;
+                self.boxes[box_index].reading.gaps += 1;
                 return;
             }
-            Err(Failure::Away) => {
-                let played = &mut self.boxes[place];
+            Err(Failure::Unavailable) => {
+                let played = &mut self.boxes[box_index];
                 played.reading.failures += 1;
-                played.feed.note_no_answer();
-                played.directory.store_lost();
-                let is_hub = self.hubs[place % DATA_CENTRES] == Some(place);
-                let mut pause = self.pause(self.boxes[place].reading.failures);
-                self.boxes[place].reading.own_pause_until = self.now + pause;
-                if self.boxes[place].feed.may_defer_read(is_hub) {
+                played.freshness.note_no_answer();
+                played.registry.store_lost();
+                let is_hub = self.hubs[box_index % DATA_CENTRES] == Some(box_index);
+                let mut pause = self.pause(self.boxes[box_index].reading.failures);
+                self.boxes[box_index].reading.own_pause_until = self.now + pause;
+                if self.boxes[box_index].freshness.may_defer_read(is_hub) {
                     pause = pause.max(
                         self.random
                             .random_range(HELPER_PAUSE_MS / 2..HELPER_PAUSE_MS),
                     );
                 }
-                self.boxes[place].reading.pause_until = self.now + pause;
+                self.boxes[box_index].reading.pause_until = self.now + pause;
                 return;
             }
         }
         let now = self.instant();
-        let played = &mut self.boxes[place];
+        let played = &mut self.boxes[box_index];
         played.reading.failures = 0;
-        played.directory.store_recovered(now);
+        played.registry.store_recovered(now);
     }
 
     fn pause(&mut self, failures: u32) -> Ms {
-        let whole = (FIRST_PAUSE_MS << failures.min(4)).min(MOST_PAUSE_MS);
-        self.random.random_range(whole / 2..=whole)
+        let full_ms = (FIRST_PAUSE_MS << failures.min(4)).min(MAX_PAUSE_MS);
+        self.random.random_range(full_ms / 2..=full_ms)
     }
 
-    fn observe_era(&mut self, place: Place, era: u64) -> EraChange {
+    fn observe_era(&mut self, box_index: BoxIndex, era: u64) -> EraChange {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        let change = played.feed.note_era(era);
+        let played = &mut self.boxes[box_index];
+        let change = played.freshness.note_era(era);
         if let EraChange::Restored { .. } = change {
-            played.directory.store_restored(era, now);
-            // The watch ends, and a pause with it.
+            played.registry.store_restored(era, now);
+            // A new era ends the watch and a pause.
             played.reading.call = 0;
             played.reading.pause_until = 0;
         }
         change
     }
 
-    fn take_listing(&mut self, place: Place, listing: CatalogSnapshot) {
-        let known = self.boxes[place].feed.position();
-        self.boxes[place].reading.lists = false;
-        if listing.position < known {
+    fn take_snapshot(&mut self, box_index: BoxIndex, snapshot: CatalogSnapshot) {
+        let known = self.boxes[box_index].freshness.position();
+        self.boxes[box_index].reading.reads_snapshot = false;
+        if snapshot.position < known {
             return;
         }
-        let position = listing.position;
+        let position = snapshot.position;
         let read = CatalogSnapshotUpdate {
-            snapshot: listing,
+            snapshot,
             doubtful_ms: 0,
             missing: Vec::new(),
             returned: Vec::new(),
         };
-        self.apply_listing(place, read);
+        self.apply_snapshot(box_index, read);
         let now = self.instant();
-        self.boxes[place].feed.note_answer(now);
+        self.boxes[box_index].freshness.note_answer(now);
         if position > known {
-            let told = self.boxes[place].listing(now);
-            self.spread(place, &told, true, None);
+            let own = self.boxes[box_index].snapshot(now);
+            self.forward(box_index, &own, true, None);
         }
     }
 
-    fn take_changes(&mut self, place: Place, changes: CatalogChanges) {
+    fn take_changes(&mut self, box_index: BoxIndex, changes: CatalogChanges) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
+        let played = &mut self.boxes[box_index];
         played.reading.gaps = 0;
-        if changes.position < played.feed.position() {
+        if changes.position < played.freshness.position() {
             return;
         }
         if changes.position > changes.after {
-            played.reading.pause_until = self.now + GATHER_MS;
-            played.reading.own_pause_until = self.now + GATHER_MS;
+            played.reading.pause_until = self.now + BATCH_PAUSE_MS;
+            played.reading.own_pause_until = self.now + BATCH_PAUSE_MS;
             let update = CatalogUpdate::Changes {
                 changes: changes.clone(),
                 doubtful_ms: played.doubtful_ms(now),
             };
             let urgent = !changes.changes.is_empty();
-            self.spread(place, &update, urgent, None);
+            self.forward(box_index, &update, urgent, None);
         }
-        self.apply_changes(place, changes);
-        self.boxes[place].feed.note_answer(now);
+        self.apply_changes(box_index, changes);
+        self.boxes[box_index].freshness.note_answer(now);
     }
 
-    // What a box knows.
+    // State of a box.
 
-    fn apply_listing(&mut self, place: Place, told: CatalogSnapshotUpdate) {
+    fn apply_snapshot(&mut self, box_index: BoxIndex, received: CatalogSnapshotUpdate) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        if let Some(bundle) = told.snapshot.bundle {
-            played.put_in_force(bundle);
-        }
-        let servers = told.snapshot.servers;
-        let directory = &mut played.directory;
-        let mut changes = directory.replace_restored(servers, &told.returned, now);
-        let missing = told.missing.into_iter();
-        changes.extend(missing.filter_map(|record| directory.put_missing(record, now)));
-        played.follow(&changes, now);
-        played.feed.advance_to(told.snapshot.position);
+        let played = &mut self.boxes[box_index];
+        if let Some(bundle) = received.snapshot.bundle {
+            played.activate(bundle);
+        }
+        let servers = received.snapshot.servers;
+        let registry = &mut played.registry;
+        let mut changes = registry.replace_restored(servers, &received.returned, now);
+        let missing = received.missing.into_iter();
+        changes.extend(missing.filter_map(|record| registry.put_missing(record, now)));
+        played.apply_to_services(&changes, now);
+        played.freshness.advance_to(received.snapshot.position);
     }
 
-    fn apply_changes(&mut self, place: Place, changes: CatalogChanges) {
+    fn apply_changes(&mut self, box_index: BoxIndex, changes: CatalogChanges) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        let mut followed = Vec::new();
+        let played = &mut self.boxes[box_index];
+        let mut applied = Vec::new();
         for change in changes.changes {
             match change {
                 CatalogChange::Bundle(bundle) => {
-                    played.put_in_force(bundle);
+                    played.activate(bundle);
                 }
                 CatalogChange::Server(record) => {
-                    followed.extend(played.directory.put(record));
+                    applied.extend(played.registry.put(record));
                 }
                 CatalogChange::ServerGone(id) => {
-                    followed.extend(played.directory.remove(&id, now));
+                    applied.extend(played.registry.remove(&id, now));
                 }
-                _ => unreachable!("the play's store tells no others"),
+                _ => unreachable!("the simulated store sends no other changes"),
             }
         }
-        played.follow(&followed, now);
-        played.feed.advance_to(changes.position);
+        played.apply_to_services(&applied, now);
+        played.freshness.advance_to(changes.position);
     }
 
-    fn apply_update(&mut self, place: Place, update: CatalogUpdate, from: Place) {
+    fn apply_update(
+        &mut self,
+        box_index: BoxIndex,
+        update: CatalogUpdate,
+        from: BoxIndex,
+    ) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        let known = played.feed.position();
+        let played = &mut self.boxes[box_index];
+        let known = played.freshness.position();
         match update {
-            CatalogUpdate::Snapshot(told) if told.snapshot.position > known => {
-                let doubtful = Duration::from_millis(told.doubtful_ms.into());
-                played.directory.store_read_by_peer(doubtful, now);
-                self.apply_listing(place, (*told).clone());
-                let own = self.boxes[place].listing(now);
-                self.spread(place, &own, true, Some(from));
-                self.tell_more(place, &told, from);
+            CatalogUpdate::Snapshot(received) if received.snapshot.position > known => {
+                let doubtful = Duration::from_millis(received.doubtful_ms.into());
+                played.registry.store_read_by_peer(doubtful, now);
+                self.apply_snapshot(box_index, (*received).clone());
+                let own = self.boxes[box_index].snapshot(now);
+                self.forward(box_index, &own, true, Some(from));
+                self.send_missing(box_index, &received, from);
             }
-            CatalogUpdate::Snapshot(told) => {
-                if self.boxes[place].merge_listing(&told, now) {
-                    let own = self.boxes[place].listing(now);
-                    self.spread(place, &own, true, Some(from));
+            CatalogUpdate::Snapshot(received) => {
+                if self.boxes[box_index].merge_snapshot(&received, now) {
+                    let own = self.boxes[box_index].snapshot(now);
+                    self.forward(box_index, &own, true, Some(from));
                 }
-                self.tell_more(place, &told, from);
+                self.send_missing(box_index, &received, from);
             }
             CatalogUpdate::Changes { changes, .. } if changes.position <= known => {}
             CatalogUpdate::Changes { changes, .. } if changes.after > known => {
                 if let Some(link) = played.links.get_mut(&from) {
-                    link.wants_listing = true;
+                    link.wants_snapshot = true;
                 }
             }
             CatalogUpdate::Changes {
@@ -1027,38 +1105,44 @@
                 doubtful_ms,
             } => {
                 let doubtful = Duration::from_millis(doubtful_ms.into());
-                played.directory.store_read_by_peer(doubtful, now);
+                played.registry.store_read_by_peer(doubtful, now);
                 let urgent = !changes.changes.is_empty();
                 let update = CatalogUpdate::Changes {
                     changes: changes.clone(),
                     doubtful_ms,
                 };
-                self.spread(place, &update, urgent, Some(from));
-                self.apply_changes(place, changes);
+                self.forward(box_index, &update, urgent, Some(from));
+                self.apply_changes(box_index, changes);
             }
         }
     }
 
-    /// Tells the teller of a listing what it lacks and this box knows.
-    fn tell_more(&mut self, place: Place, told: &CatalogSnapshotUpdate, to: Place) {
+    /// Sends a snapshot back to the sender of one if this box knows something that the
+    /// received one lacks.
+    fn send_missing(
+        &mut self,
+        box_index: BoxIndex,
+        received: &CatalogSnapshotUpdate,
+        to: BoxIndex,
+    ) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        if played.knows_more(told) {
-            let own = played.listing(now);
+        let played = &mut self.boxes[box_index];
+        if played.has_more_than(received) {
+            let own = played.snapshot(now);
             if let Some(link) = played.links.get_mut(&to) {
                 link.queue.push(&own, true);
             }
         }
     }
 
-    fn spread(
+    fn forward(
         &mut self,
-        place: Place,
+        box_index: BoxIndex,
         update: &CatalogUpdate,
         urgent: bool,
-        from: Option<Place>,
+        from: Option<BoxIndex>,
     ) {
-        let played = &mut self.boxes[place];
+        let played = &mut self.boxes[box_index];
         played.recent.put(update);
         for (to, link) in &mut played.links {
             if Some(*to) != from {
@@ -1069,50 +1153,56 @@
 
     // Links.
 
-    fn tick(&mut self, place: Place, life: u32) {
-        if !self.boxes[place].alive || self.boxes[place].life != life {
+    fn tick(&mut self, box_index: BoxIndex, instance: u32) {
+        if !self.boxes[box_index].alive || self.boxes[box_index].instance != instance {
             return;
         }
-        self.after(TICK_MS, Event::Tick { place, life });
-        if self.is_frozen(place) {
+        self.after(
+            TICK_MS,
+            Event::Tick {
+                box_index,
+                instance,
+            },
+        );
+        if self.is_frozen(box_index) {
             return;
         }
         let now = self.instant();
-        if self.now - self.boxes[place].settled_ms >= SETTLE_EVERY_MS {
-            let played = &mut self.boxes[place];
+        if self.now - self.boxes[box_index].settled_ms >= SETTLE_EVERY_MS {
+            let played = &mut self.boxes[box_index];
             played.settled_ms = self.now;
-            let age = played.feed.confirmed_age(now);
+            let age = played.freshness.confirmed_age(now);
             if let Some(as_of) = age.and_then(|age| now.checked_sub(age)) {
-                let changes = played.directory.settle(as_of);
-                played.follow(&changes, now);
+                let changes = played.registry.settle(as_of);
+                played.apply_to_services(&changes, now);
             }
         }
-        self.read(place);
-        self.send_frames(place);
+        self.read(box_index);
+        self.send_frames(box_index);
     }
 
-    fn send_frames(&mut self, place: Place) {
+    fn send_frames(&mut self, box_index: BoxIndex) {
         let now = self.instant();
-        let played = &mut self.boxes[place];
-        let feed = played.feed.state(now);
+        let played = &mut self.boxes[box_index];
+        let freshness = played.freshness.state(now);
         let version = played.version();
         let mut frames = Vec::new();
         for (to, link) in &mut played.links {
             let due = link.queue.due_in(now).is_some_and(|due| due.is_zero());
             let has_updates = due
-                || link.wants_listing
+                || link.wants_snapshot
                 || !link.leaving.is_empty()
-                || link.told_era < feed.era;
+                || link.sent_era < freshness.era;
             if !has_updates && self.now - link.sent_ms < HEARTBEAT_FRAME_MS {
                 continue;
             }
             link.sent_ms = self.now;
-            link.told_era = feed.era;
+            link.sent_era = freshness.era;
             let mut updates = link.queue.take(now);
             for update in &mut updates {
-                if let CatalogUpdate::Snapshot(told) = update {
+                if let CatalogUpdate::Snapshot(received) = update {
                     let known = link.bundle_version;
-                    Arc::make_mut(told)
+                    Arc::make_mut(received)
                         .snapshot
                         .bundle
                         .take_if(|bundle| bundle.version <= known);
@@ -1120,62 +1210,63 @@
             }
             let frame = PlayedFrame {
                 stamps: link.clock.send(now),
-                feed: feed.clone(),
+                freshness: freshness.clone(),
                 bundle_version: version,
                 updates,
-                wants_listing: std::mem::take(&mut link.wants_listing),
+                wants_snapshot: std::mem::take(&mut link.wants_snapshot),
                 leaving: std::mem::take(&mut link.leaving),
             };
-            frames.push((*to, link.peer_life, frame));
+            frames.push((*to, link.peer_instance, frame));
         }
-        let from_life = played.life;
-        for (to, to_life, frame) in frames {
-            let way = self.way(place, to);
+        let from_instance = played.instance;
+        for (to, to_instance, frame) in frames {
+            let link_delay = self.link_delay(box_index, to);
             let event = Event::Frame {
-                from: place,
-                from_life,
+                from: box_index,
+                from_instance,
                 to,
-                to_life,
+                to_instance,
                 frame,
             };
-            self.after(way, event);
+            self.after(link_delay, event);
         }
     }
 
-    /// What a frame takes; none overtakes another, since a link's way is always the same.
-    fn way(&self, one: Place, other: Place) -> Ms {
+    /// Returns the delay of a frame. It is constant for a link, so no frame overtakes
+    /// another.
+    fn link_delay(&self, one: BoxIndex, other: BoxIndex) -> Ms {
         1 + (one * 7 + other * 3) as Ms % 4
     }
 
     fn receive_frame(
         &mut self,
-        from: Place,
-        from_life: u32,
-        to: Place,
-        to_life: u32,
+        from: BoxIndex,
+        from_instance: u32,
+        to: BoxIndex,
+        to_instance: u32,
         frame: PlayedFrame,
     ) {
         let played = &self.boxes[to];
-        if !played.alive || played.life != to_life {
+        if !played.alive || played.instance != to_instance {
             return;
         }
-        let stands = played.links.get(&from);
-        if stands.is_none_or(|link| link.peer_life != from_life) {
+        let link = played.links.get(&from);
+        if link.is_none_or(|link| link.peer_instance != from_instance) {
             return;
         }
         if self.is_frozen(to) {
             let wait = played.frozen_until - self.now;
             let event = Event::Frame {
                 from,
-                from_life,
+                from_instance,
                 to,
-                to_life,
+                to_instance,
                 frame,
             };
             return self.after(wait, event);
         }
-        if frame.feed.era > 0 {
-            self.observe_era(to, frame.feed.era);
+        if frame.freshness.era > 0 {
+            self.observe_era(to, frame.freshness.era);
         }
         for update in frame.updates {
             self.apply_update(to, update, from);
@@ -1187,11 +1278,13 @@
         };
         link.bundle_version = frame.bundle_version;
         link.clock.receive(&frame.stamps);
-        if let Some(vouched) = link.clock.peer_state_as_of() {
-            played.feed.receive(from as u64, &frame.feed, vouched);
+        if let Some(peer_as_of) = link.clock.peer_state_as_of() {
+            played
+                .freshness
+                .receive(from as u64, &frame.freshness, peer_as_of);
         }
         for key in frame.leaving {
-            if played.standings.record_draining(key, now) {
+            if played.announced_states.record_draining(key, now) {
                 for (other, link) in &mut played.links {
                     if *other != from {
                         link.leaving.push(key);
@@ -1199,82 +1292,90 @@
                 }
             }
         }
-        if frame.wants_listing {
-            let listing = played.listing(now);
+        if frame.wants_snapshot {
+            let snapshot = played.snapshot(now);
             if let Some(link) = played.links.get_mut(&from) {
-                link.queue.push(&listing, true);
+                link.queue.push(&snapshot, true);
             }
         }
     }
 
-    fn link_with_hub(&mut self, place: Place) {
-        let hub = self.hubs[place % DATA_CENTRES];
+    fn link_with_hub(&mut self, box_index: BoxIndex) {
+        let hub = self.hubs[box_index % DATA_CENTRES];
         match hub {
-            Some(hub) if hub != place => {
+            Some(hub) if hub != box_index => {
                 self.after(
                     LINKED_AFTER_MS,
                     Event::Link {
-                        one: place,
+                        one: box_index,
                         other: hub,
                     },
                 );
             }
             _ => {
-                let others: Vec<Place> = self.hubs.iter().flatten().copied().collect();
-                for other in others.into_iter().filter(|other| *other != place) {
-                    self.after(LINKED_AFTER_MS, Event::Link { one: place, other });
+                let others: Vec<BoxIndex> = self.hubs.iter().flatten().copied().collect();
+                for other in others.into_iter().filter(|other| *other != box_index) {
+                    self.after(
+                        LINKED_AFTER_MS,
+                        Event::Link {
+                            one: box_index,
+                            other,
+                        },
+                    );
                 }
             }
         }
     }
 
-    fn link(&mut self, one: Place, other: Place) {
-        let is_there = |place: Place| self.boxes[place].alive && !self.is_frozen(place);
+    fn link(&mut self, one: BoxIndex, other: BoxIndex) {
+        let is_there = |box_index: BoxIndex| {
+            self.boxes[box_index].alive && !self.is_frozen(box_index)
+        };
         if !is_there(one) || !is_there(other) {
             return;
         }
         let now = self.instant();
         for (own, peer) in [(one, other), (other, one)] {
-            let peer_life = self.boxes[peer].life;
+            let peer_instance = self.boxes[peer].instance;
             let known = self.boxes[own].links.get(&peer);
-            if known.is_some_and(|link| link.peer_life == peer_life) {
+            if known.is_some_and(|link| link.peer_instance == peer_instance) {
                 return;
             }
             let link = PlayedLink {
-                peer_life,
+                peer_instance,
                 clock: LinkClock::new(now),
                 queue: CatalogQueue::new(),
-                told_era: 0,
+                sent_era: 0,
                 bundle_version: 0,
-                wants_listing: false,
+                wants_snapshot: false,
                 leaving: Vec::new(),
                 sent_ms: self.now,
             };
-            self.boxes[own].feed.forget(peer as u64);
+            self.boxes[own].freshness.forget(peer as u64);
             self.boxes[own].links.insert(peer, link);
-            let greeting = Event::Greets {
+            let greeting = Event::Greeting {
                 one: own,
                 other: peer,
-                life: peer_life,
-                position: self.boxes[own].feed.position(),
+                instance: peer_instance,
+                position: self.boxes[own].freshness.position(),
                 bundle_version: self.boxes[own].version(),
             };
-            let way = self.way(own, peer);
-            self.after(way, greeting);
+            let link_delay = self.link_delay(own, peer);
+            self.after(link_delay, greeting);
         }
     }
 
-    /// A box hears the greeting of another.
-    fn greet(
+    /// Handles the greeting that box `one` has sent to box `other`.
+    fn receive_greeting(
         &mut self,
-        one: Place,
-        other: Place,
-        life: u32,
+        one: BoxIndex,
+        other: BoxIndex,
+        instance: u32,
         position: StorePosition,
         bundle_version: u64,
     ) {
         let now = self.instant();
-        if !self.boxes[other].alive || self.boxes[other].life != life {
+        if !self.boxes[other].alive || self.boxes[other].instance != instance {
             return;
         }
         if position.era() > 0 {
@@ -1288,56 +1389,63 @@
         if let Some(update) = update {
             link.queue.push(&update, true);
         }
-        let leaving = played.standings.draining().into_iter();
+        let leaving = played.announced_states.draining().into_iter();
         link.leaving.extend(leaving.map(|(key, _)| key));
     }
 
-    // Boxes come and go.
+    // Starts and ends of boxes.
 
-    fn is_frozen(&self, place: Place) -> bool {
-        self.now < self.boxes[place].frozen_until
+    fn is_frozen(&self, box_index: BoxIndex) -> bool {
+        self.now < self.boxes[box_index].frozen_until
     }
 
-    fn kill(&mut self, place: Place) {
-        self.boxes[place].alive = false;
-        self.boxes[place].life += 1;
+    fn kill(&mut self, box_index: BoxIndex) {
+        self.boxes[box_index].alive = false;
+        self.boxes[box_index].instance += 1;
         for other in 0..self.boxes.len() {
-            if self.boxes[other].links.remove(&place).is_some() {
-                self.boxes[other].feed.forget(place as u64);
+            if self.boxes[other].links.remove(&box_index).is_some() {
+                self.boxes[other].freshness.forget(box_index as u64);
             }
         }
-        let data_centre = place % DATA_CENTRES;
-        if self.hubs[data_centre] == Some(place) {
+        let data_centre = box_index % DATA_CENTRES;
+        if self.hubs[data_centre] == Some(box_index) {
             self.hubs[data_centre] = None;
             self.after(200, Event::NewHub { data_centre });
         }
-        self.after(BOX_BACK_MS, Event::BoxUp { place });
+        self.after(BOX_BACK_MS, Event::BoxUp { box_index });
     }
 
-    fn box_up(&mut self, place: Place) {
-        let life = self.boxes[place].life;
-        self.boxes[place] = PlayedBox::new(place, life, self.instant());
+    fn box_up(&mut self, box_index: BoxIndex) {
+        let instance = self.boxes[box_index].instance;
+        self.boxes[box_index] = PlayedBox::new(box_index, instance, self.instant());
         let mut restores = self.setting.restores.iter();
-        let away = restores.find(|r| (r.at_ms..r.back_ms()).contains(&self.now));
-        self.boxes[place].disturbed_ms = away.map_or(self.now, |away| away.back_ms());
-        self.boxes[place].settled_ms = self.now;
-        self.after(1, Event::Tick { place, life });
-        let data_centre = place % DATA_CENTRES;
+        let outage = restores.find(|r| (r.at_ms..r.back_ms()).contains(&self.now));
+        self.boxes[box_index].disturbed_ms =
+            outage.map_or(self.now, |outage| outage.back_ms());
+        self.boxes[box_index].settled_ms = self.now;
+        self.after(
+            1,
+            Event::Tick {
+                box_index,
+                instance,
+            },
+        );
+        let data_centre = box_index % DATA_CENTRES;
         if self.hubs[data_centre].is_none() {
             self.after(100, Event::NewHub { data_centre });
         }
-        self.link_with_hub(place);
+        self.link_with_hub(box_index);
     }
 
-    fn thaw(&mut self, place: Place) {
-        let others: Vec<Place> = self.boxes[place].links.keys().copied().collect();
+    fn resume(&mut self, box_index: BoxIndex) {
+        let others: Vec<BoxIndex> = self.boxes[box_index].links.keys().copied().collect();
         for other in others {
-            self.boxes[place].links.remove(&other);
-            self.boxes[place].feed.forget(other as u64);
-            self.boxes[other].links.remove(&place);
-            self.boxes[other].feed.forget(place as u64);
+            self.boxes[box_index].links.remove(&other);
+            self.boxes[box_index].freshness.forget(other as u64);
+            self.boxes[other].links.remove(&box_index);
+            self.boxes[other].freshness.forget(box_index as u64);
         }
-        self.link_with_hub(place);
+        self.link_with_hub(box_index);
     }
 
     fn new_hub(&mut self, data_centre: usize) {
@@ -1345,51 +1453,55 @@
             return;
         }
         let mut here = (data_centre..self.boxes.len()).step_by(DATA_CENTRES);
-        let hub = here.find(|place| self.boxes[*place].alive && !self.is_frozen(*place));
+        let hub = here.find(|box_index| {
+            self.boxes[*box_index].alive && !self.is_frozen(*box_index)
+        });
         let Some(hub) = hub else {
             return self.after(100, Event::NewHub { data_centre });
         };
         self.hubs[data_centre] = Some(hub);
-        for place in (data_centre..self.boxes.len()).step_by(DATA_CENTRES) {
-            // Links with the hub before are given up.
-            let before: Vec<Place> = self.boxes[place].links.keys().copied().collect();
+        for box_index in (data_centre..self.boxes.len()).step_by(DATA_CENTRES) {
+            // Links with the previous hub are dropped.
+            let before: Vec<BoxIndex> =
+                self.boxes[box_index].links.keys().copied().collect();
             for other in before.into_iter().filter(|other| *other != hub) {
                 if other % DATA_CENTRES == data_centre {
-                    self.boxes[place].links.remove(&other);
-                    self.boxes[place].feed.forget(other as u64);
+                    self.boxes[box_index].links.remove(&other);
+                    self.boxes[box_index].freshness.forget(other as u64);
                 }
             }
-            if place != hub {
-                self.link_with_hub(place);
+            if box_index != hub {
+                self.link_with_hub(box_index);
             }
         }
         self.link_with_hub(hub);
     }
 
-    // What must hold.
+    // Checks.
 
     fn check(&mut self) {
-        let due_ms = self.setting.in_force_ms();
-        let is_alone = self.boxes.len() == 1 && self.setting.kills();
-        // What may be known to nobody is due once it is written again.
+        let due_ms = self.setting.activation_bound_ms();
+        let is_alone = self.boxes.len() == 1 && self.setting.loses_state();
+        // A change that no box may have read is due once it has been written again.
         let is_due = |ms: Ms| ms + due_ms <= self.now && !self.setting.may_be_unread(ms);
         let due_versions = self.versions.iter().filter(|(_, ms)| is_due(**ms));
         let due_version = due_versions.map(|(version, _)| *version).max();
         let now = self.instant();
-        for (place, played) in self.boxes.iter_mut().enumerate() {
+        for (box_index, played) in self.boxes.iter_mut().enumerate() {
             let since_ms = self.now.saturating_sub(played.disturbed_ms);
-            if !played.alive || since_ms < CONTACT_MS || self.now < played.disturbed_ms {
+            if !played.alive || since_ms < SETTLE_MS || self.now < played.disturbed_ms {
                 continue;
             }
             self.outcome.checks += 1;
             let disturbed_ms = played.disturbed_ms;
             let case = |what: &str| {
                 let ms = self.now;
-                format!("box {place} at {ms}: {what}; {:?}", self.setting)
+                format!("box {box_index} at {ms}: {what}; {:?}", self.setting)
             };
             if due_version.is_some_and(|due| played.version() < due) {
-                let told = || case(&format!("{} of {due_version:?}", played.version()));
-                self.outcome.note("version not in force", told);
+                let describe =
+                    || case(&format!("{} of {due_version:?}", played.version()));
+                self.outcome.note("version not in force", describe);
             }
             for (id, server) in &self.servers {
                 let is_used = played.uses(id, now);
@@ -1400,26 +1512,26 @@
                 if closed.is_some() && !is_used && played.used.contains(id) {
                     played.closed.insert(id.clone());
                 } else if is_used && played.closed.contains(id) {
-                    let told = || case(&format!("{id}, which it knew to be closed"));
-                    self.outcome.note("closed server is used again", told);
+                    let describe = || case(&format!("{id}, which it knew to be closed"));
+                    self.outcome.note("closed server is used again", describe);
                 }
                 let in_doubt = server.vanished
                     && closed.is_some_and(|ms| {
-                        ms < disturbed_ms + CONTACT_MS
+                        ms < disturbed_ms + SETTLE_MS
                             || self.setting.is_in_doubt(ms, self.now)
                     });
-                let is_shaken =
-                    closed.is_some_and(|ms| self.setting.is_shaken(ms, self.now));
-                let is_excused = in_doubt || is_shaken || is_alone;
+                let is_recently_restored = closed
+                    .is_some_and(|ms| self.setting.is_recently_restored(ms, self.now));
+                let is_excused = in_doubt || is_recently_restored || is_alone;
                 if closed.is_some() && is_used && !is_excused {
                     let how = if server.vanished { "vanished" } else { "left" };
-                    let told = || case(&format!("{id} {how} at {closed:?}"));
-                    self.outcome.note("closed server is used", told);
+                    let describe = || case(&format!("{id} {how} at {closed:?}"));
+                    self.outcome.note("closed server is used", describe);
                 }
                 let open = server.open_ms.filter(|ms| is_due(*ms));
                 if open.is_some() && !server.closing && !is_used {
-                    let told = || case(&format!("{id} open at {open:?}"));
-                    self.outcome.note("open server is not used", told);
+                    let describe = || case(&format!("{id} open at {open:?}"));
+                    self.outcome.note("open server is not used", describe);
                 }
             }
         }
@@ -1427,25 +1539,25 @@
 }
 
 impl PlayedBox {
-    fn new(place: Place, life: u32, now: Instant) -> Self {
+    fn new(box_index: BoxIndex, instance: u32, now: Instant) -> Self {
         Self {
-            life,
+            instance,
             alive: true,
             frozen_until: 0,
             disturbed_ms: 0,
-            feed: CatalogFreshnessTracker::new(
-                format!("box-{place}").as_str().into(),
+            freshness: CatalogFreshnessTracker::new(
+                format!("box-{box_index}").as_str().into(),
                 now,
             ),
             recent: RecentChanges::default(),
-            directory: ServerRegistry::default(),
-            standings: AnnouncedStates::default(),
-            table: BTreeMap::new(),
+            registry: ServerRegistry::default(),
+            announced_states: AnnouncedStates::default(),
+            known_servers: BTreeMap::new(),
             bundle: None,
             links: BTreeMap::new(),
             reading: Reading::default(),
             settled_ms: 0,
-            lost_answers: 0,
+            lost_responses: 0,
             used: BTreeSet::new(),
             closed: BTreeSet::new(),
         }
@@ -1455,7 +1567,7 @@
         self.bundle.as_ref().map_or(0, |bundle| bundle.version)
     }
 
-    fn put_in_force(&mut self, bundle: Arc<Bundle>) -> bool {
+    fn activate(&mut self, bundle: Arc<Bundle>) -> bool {
         let is_newer = bundle.version > self.version();
         if is_newer {
             self.bundle = Some(bundle);
@@ -1463,41 +1575,42 @@
         is_newer
     }
 
-    fn merge_listing(&mut self, told: &CatalogSnapshotUpdate, now: Instant) -> bool {
-        let bundle = told.snapshot.bundle.clone();
-        let is_newer = bundle.is_some_and(|bundle| self.put_in_force(bundle));
-        let is_of_this_era = told.snapshot.position.era() == self.feed.position().era();
-        let gone = match is_of_this_era {
-            true => self.directory.suppress_stale(&told.returned, now),
+    fn merge_snapshot(&mut self, received: &CatalogSnapshotUpdate, now: Instant) -> bool {
+        let bundle = received.snapshot.bundle.clone();
+        let is_newer = bundle.is_some_and(|bundle| self.activate(bundle));
+        let is_of_this_era =
+            received.snapshot.position.era() == self.freshness.position().era();
+        let suppressed = match is_of_this_era {
+            true => self.registry.suppress_stale(&received.returned, now),
             false => Vec::new(),
         };
-        self.follow(&gone, now);
-        is_newer || !gone.is_empty()
+        self.apply_to_services(&suppressed, now);
+        is_newer || !suppressed.is_empty()
     }
 
-    fn knows_more(&self, told: &CatalogSnapshotUpdate) -> bool {
-        let bundle = told.snapshot.bundle.as_ref();
+    fn has_more_than(&self, received: &CatalogSnapshotUpdate) -> bool {
+        let bundle = received.snapshot.bundle.as_ref();
         let has_newer = bundle.is_some_and(|bundle| bundle.version < self.version());
-        let mut returned = self.directory.suppressed();
-        has_newer || returned.any(|record| !told.returned.contains(&record.id))
+        let mut returned = self.registry.suppressed();
+        has_newer || returned.any(|record| !received.returned.contains(&record.id))
     }
 
     fn doubtful_ms(&self, now: Instant) -> u32 {
-        self.directory.removal_grace_left(now).as_millis() as u32
+        self.registry.removal_grace_left(now).as_millis() as u32
     }
 
-    fn listing(&self, now: Instant) -> CatalogUpdate {
-        let listing = CatalogSnapshot {
-            position: self.feed.position(),
+    fn snapshot(&self, now: Instant) -> CatalogUpdate {
+        let snapshot = CatalogSnapshot {
+            position: self.freshness.position(),
             bundle: self.bundle.clone(),
-            servers: self.directory.listed().cloned().collect(),
+            servers: self.registry.listed().cloned().collect(),
             ..CatalogSnapshot::default()
         };
         CatalogUpdate::Snapshot(Arc::new(CatalogSnapshotUpdate {
-            snapshot: listing,
+            snapshot,
             doubtful_ms: self.doubtful_ms(now),
-            missing: self.directory.missing().cloned().collect(),
-            returned: self.directory.suppressed().map(|r| r.id.clone()).collect(),
+            missing: self.registry.missing().cloned().collect(),
+            returned: self.registry.suppressed().map(|r| r.id.clone()).collect(),
         }))
     }
 
@@ -1507,57 +1620,66 @@
         bundle_version: u64,
         now: Instant,
     ) -> Option<CatalogUpdate> {
-        let is_behind = self.feed.position() > position;
+        let is_behind = self.freshness.position() > position;
         let update = is_behind.then(|| match self.recent.since(position) {
             Some(changes) => CatalogUpdate::Changes {
                 changes,
                 doubtful_ms: self.doubtful_ms(now),
             },
-            None => self.listing(now),
+            None => self.snapshot(now),
         });
         let newest = self.version();
-        let brings = |change: &CatalogChange| matches!(change, CatalogChange::Bundle(bundle) if bundle.version == newest);
-        let told = update.as_ref().is_some_and(|update| match update {
+        let holds_newest = |change: &CatalogChange| {
+            matches!(
+                change,
+                CatalogChange::Bundle(bundle) if bundle.version == newest
+            )
+        };
+        let has_newest = update.as_ref().is_some_and(|update| match update {
             CatalogUpdate::Snapshot(_) => true,
-            CatalogUpdate::Changes { changes, .. } => changes.changes.iter().any(brings),
+            CatalogUpdate::Changes { changes, .. } => {
+                changes.changes.iter().any(holds_newest)
+            }
         });
-        let knows_gone = self.directory.suppressed().next().is_some();
-        match knows_gone || (newest > bundle_version && !told) {
-            true => Some(self.listing(now)),
+        let has_suppressed = self.registry.suppressed().next().is_some();
+        match has_suppressed || (newest > bundle_version && !has_newest) {
+            true => Some(self.snapshot(now)),
             false => update,
         }
     }
 
-    fn follow(&mut self, changes: &[RegistryChange], now: Instant) {
+    fn apply_to_services(&mut self, changes: &[RegistryChange], now: Instant) {
         for change in changes {
             match change {
                 RegistryChange::Updated(record)
                 | RegistryChange::Restarted { record, .. } => {
-                    self.standings.announce(record.key());
+                    self.announced_states.announce(record.key());
                     if record.leaving {
-                        self.standings.record_catalog_draining(record.key(), now);
+                        self.announced_states
+                            .record_catalog_draining(record.key(), now);
                     }
-                    self.table.insert(record.id.clone(), record.clone());
+                    self.known_servers.insert(record.id.clone(), record.clone());
                 }
                 RegistryChange::Removed(record) => {
-                    self.standings.withdraw(record.key());
-                    self.table.remove(&record.id);
+                    self.announced_states.withdraw(record.key());
+                    self.known_servers.remove(&record.id);
                 }
             }
         }
     }
 
     fn uses(&self, id: &ServerId, now: Instant) -> bool {
-        let record = self.table.get(id);
+        let record = self.known_servers.get(id);
         record.is_some_and(|record| {
-            self.standings.state(record.key()).availability(now) == Availability::Open
+            self.announced_states.state(record.key()).availability(now)
+                == Availability::Open
         })
     }
 }
 
-fn away() -> Answer {
-    Answer {
+fn unavailable() -> StoreResponse {
+    StoreResponse {
         era: None,
-        outcome: Err(Failure::Away),
+        outcome: Err(Failure::Unavailable),
     }
 }
--- a/tests/tests/restore_play/mod.rs
+++ b/tests/tests/restore_play/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet in virtual time whose store comes back from older copies.
+//! Simulates a fleet in virtual time whose store is restored from older copies.
 //!
-//! The decisions are the real ones, and so are the frames between boxes; a seed decides the rest.
+//! Boxes decide with the production code and exchange its updates; a seed decides the
+//! rest.
 
 mod fleet;
 mod store;
@@ -14,57 +15,57 @@
 pub use fleet::Play;
 
 pub type Ms = u64;
-pub type Place = usize;
+pub type BoxIndex = usize;
 
-/// When restores may begin, once the fleet has settled.
-pub const CALM_UNTIL_MS: Ms = 8_000;
+/// Earliest time of a restore, after the fleet has settled.
+pub const FIRST_RESTORE_MS: Ms = 8_000;
 pub const END_MS: Ms = 30_000;
-/// Within this a change is in force on boxes that nothing has befallen.
-const IN_FORCE_MS: Ms = 2_000;
-/// By so much more where the store's answers are late or lost.
-const STRETCH_MS: Ms = 5_000;
-/// What was acknowledged so shortly before the store went may be known to nobody; where the
-/// hubs do not have the store, others read it later.
+/// Time within which a change must be active on undisturbed boxes.
+const ACTIVATION_BOUND_MS: Ms = 2_000;
+/// Additional time allowed if responses of the store are late or lost.
+const SLOW_STORE_EXTRA_MS: Ms = 5_000;
+/// No box may have read a change that was acknowledged less than this before the store
+/// was lost. If the hubs cannot reach the store, other boxes read it later.
 const UNREAD_MS: Ms = 1_000;
 const UNREAD_BY_MEMBERS_MS: Ms = 2_000;
-/// A box is in touch if nothing has befallen it for so long.
-pub const CONTACT_MS: Ms = 3_000;
-/// The store drops an entry after three heartbeats without a write.
+/// A box that has been undisturbed for this long is settled, and the bounds hold for it.
+pub const SETTLE_MS: Ms = 3_000;
+/// The store removes an entry after three heartbeat intervals without a write.
 pub const HEARTBEAT_MS: Ms = 1_500;
-pub const LAPSE_MS: Ms = 3 * HEARTBEAT_MS;
-pub const FAULT_LASTS_MS: Ms = 4_000;
-/// A server that leaves, or whose entry has gone, works on for so long.
+pub const ENTRY_TTL_MS: Ms = 3 * HEARTBEAT_MS;
+pub const FAULT_MS: Ms = 4_000;
+/// Shortest time for which a draining server works on.
 pub const DRAIN_MS: Ms = 2_500;
 
-/// What befalls the fleet beside the restores.
+/// Fault that occurs in addition to the restores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Hubs are killed when the store comes back, and start again.
+    /// The hubs are killed when the store comes back, and start again.
     HubsKilled,
-    /// Hubs stand still then.
+    /// The hubs are suspended when the store comes back.
     HubsFrozen,
-    /// Hubs are cut off from the store then, and not from other boxes.
+    /// The hubs are cut off from the store, but not from other boxes, when it comes back.
     HubsWithoutStore,
-    /// A third of the boxes starts then.
+    /// A third of the boxes is killed when the store comes back, and starts again.
     BoxesStart,
-    /// Answers of the store take up to 1.4 s.
+    /// Responses of the store are delayed by up to 1.4 s.
     LateAnswers,
-    /// A third of them never comes.
+    /// A third of the responses of the store is lost.
     LostAnswers,
 }
 
 /// A restore of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct Restore {
-    /// When the store goes away, or is back where it does not.
+    /// When the store becomes unavailable; if `away_ms` is 0, when it is restored.
     pub at_ms: Ms,
     pub away_ms: Ms,
-    /// How old the copy is.
+    /// Age of the copy at `at_ms`.
     pub copy_age_ms: Ms,
 }
 
-/// What becomes of a watch that waits while the store is restored.
+/// What happens to a watch that is waiting when the store is restored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitingWatch {
     Cut,
@@ -72,7 +73,7 @@
     GoesOn,
 }
 
-/// What a play is about.
+/// Parameters of a play.
 #[derive(Debug, Clone)]
 pub struct Setting {
     pub seed: u64,
@@ -80,9 +81,10 @@
     pub restores: Vec<Restore>,
     pub fault: Fault,
     pub waiting_watch: WaitingWatch,
-    /// How soon the operator writes again what the copy lacks.
+    /// Time from the restore until the operator writes a bundle again that the copy
+    /// lacks.
     pub operator_rewrites_ms: Ms,
-    /// How soon a server does, at the latest.
+    /// Longest time from the restore until a server writes its entry again.
     pub servers_rewrite_ms: Ms,
 }
 
@@ -96,7 +98,7 @@
             away_ms: one_of(&[0, 0, 100, 700, 2_400, 5_000]),
             copy_age_ms: one_of(&[300, 1_000, 2_500, 6_000, 10_000]),
         };
-        let first = restore(CALM_UNTIL_MS + one_of(&[0, 333, 777]), &mut one_of);
+        let first = restore(FIRST_RESTORE_MS + one_of(&[0, 333, 777]), &mut one_of);
         let mut restores = vec![first];
         let gap_ms = one_of(&[0, 0, 150, 1_000, 4_000]);
         if gap_ms > 0 {
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Whether something was acknowledged so shortly before the store went that no box may
-    /// have read it.
+    /// Returns whether a change was acknowledged so shortly before a restore that no box
+    /// may have read it.
     pub fn may_be_unread(&self, acked_ms: Ms) -> bool {
         let unread_ms = match self.fault {
             Fault::HubsWithoutStore | Fault::HubsFrozen => UNREAD_BY_MEMBERS_MS,
@@ -142,48 +144,51 @@
             .any(|restore| unread.contains(&restore.at_ms))
     }
 
-    /// Within what a change must be in force.
-    pub fn in_force_ms(&self) -> Ms {
+    /// Returns the time within which a change must be active.
+    pub fn activation_bound_ms(&self) -> Ms {
         match self.fault {
-            Fault::LateAnswers | Fault::LostAnswers => IN_FORCE_MS + STRETCH_MS,
-            _ => IN_FORCE_MS,
+            Fault::LateAnswers | Fault::LostAnswers => {
+                ACTIVATION_BOUND_MS + SLOW_STORE_EXTRA_MS
+            }
+            _ => ACTIVATION_BOUND_MS,
         }
     }
 
-    /// Whether an entry that vanished may still only seem gone, since it did around a restore,
-    /// or while answers of the store are lost.
+    /// Returns whether boxes may still keep a server whose entry vanished, because it
+    /// vanished around a restore, or while responses of the store are late or lost.
     pub fn is_in_doubt(&self, vanished_ms: Ms, now: Ms) -> bool {
-        let loses = matches!(self.fault, Fault::LateAnswers | Fault::LostAnswers);
+        let responses_fail =
+            matches!(self.fault, Fault::LateAnswers | Fault::LostAnswers);
         let mut restores = self.restores.iter();
         restores.any(|restore| {
-            let was_known = vanished_ms + self.in_force_ms() < restore.at_ms;
-            let without_ms = match self.fault {
-                Fault::HubsWithoutStore => FAULT_LASTS_MS,
+            let was_known = vanished_ms + self.activation_bound_ms() < restore.at_ms;
+            let unreachable_ms = match self.fault {
+                Fault::HubsWithoutStore => FAULT_MS,
                 _ => 0,
             };
-            let contact_ms = restore.back_ms() + without_ms + CONTACT_MS;
+            let settled_ms = restore.back_ms() + unreachable_ms + SETTLE_MS;
             let is_near =
-                vanished_ms < contact_ms && now < contact_ms + self.in_force_ms();
-            !was_known && (loses || is_near)
+                vanished_ms < settled_ms && now < settled_ms + self.activation_bound_ms();
+            !was_known && (responses_fail || is_near)
         })
     }
 
-    /// Whether boxes lose what they know.
-    pub fn kills(&self) -> bool {
+    /// Returns whether the fault makes boxes lose their state.
+    pub fn loses_state(&self) -> bool {
         matches!(self.fault, Fault::HubsKilled | Fault::BoxesStart)
     }
 
-    /// Whether the store has been restored so shortly before that boxes which started since
-    /// may not know yet what others know of the time before.
-    pub fn is_shaken(&self, known_ms: Ms, now: Ms) -> bool {
+    /// Returns whether the store was restored so recently that boxes which have started
+    /// since may not have received yet what other boxes know from before the restore.
+    pub fn is_recently_restored(&self, known_ms: Ms, now: Ms) -> bool {
         let mut restores = self.restores.iter();
         restores.any(|restore| {
-            let shaken = restore.at_ms..restore.back_ms() + CONTACT_MS;
-            shaken.contains(&now) && known_ms < restore.back_ms()
+            let recent = restore.at_ms..restore.back_ms() + SETTLE_MS;
+            recent.contains(&now) && known_ms < restore.back_ms()
         })
     }
 
-    pub fn is_away(&self, ms: Ms) -> bool {
+    pub fn is_store_unavailable(&self, ms: Ms) -> bool {
         let mut restores = self.restores.iter();
         restores.any(|restore| (restore.at_ms..restore.back_ms()).contains(&ms))
     }
@@ -195,11 +200,11 @@
     }
 }
 
-/// What went wrong in a play, each with how often and its first case.
+/// Result of a play; `broken` holds each kind of violation with its count and first case.
 #[derive(Debug, Default)]
 pub struct Outcome {
     pub broken: BTreeMap<&'static str, (usize, String)>,
-    /// Checks that were made, so that a play which checks nothing shows.
+    /// Number of checks, so that a play that checks nothing is noticed.
     pub checks: usize,
     pub listings: usize,
 }
--- a/tests/tests/restore_play/store.rs
+++ b/tests/tests/restore_play/store.rs
@@ -1,4 +1,4 @@
-//! The store, its copies, and who writes to it.
+//! The simulated store with its copies.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use super::Ms;
 
-/// The store's content, with the changes that led to it.
+/// Content of the store, with the changes that led to it.
 #[derive(Clone, Default)]
 pub struct Content {
     pub revision: u64,
@@ -21,7 +21,7 @@
 pub struct Store {
     pub era: u64,
     pub now: Content,
-    /// What it held at earlier moments, and in which era, oldest first.
+    /// Copies of earlier content, each with its time and era, oldest first.
     copies: VecDeque<(Ms, u64, Content)>,
 }
 
@@ -58,12 +58,13 @@
         self.now.changes.push((self.now.revision, change));
     }
 
-    /// Keeps a copy of what it holds now.
+    /// Keeps a copy of the current content.
     pub fn copy(&mut self, now: Ms) {
         self.copies.push_back((now, self.era, self.now.clone()));
     }
 
-    /// Comes back from the newest copy that is no newer than a moment.
+    /// Restores the newest copy made by `copied_ms`, or empty content if there is none,
+    /// in a new era.
     pub fn restore(&mut self, copied_ms: Ms) {
         let copies = self.copies.iter().rev();
         let copy = copies.clone().find(|(at, _, _)| *at <= copied_ms);
@@ -73,7 +74,8 @@
         self.era += 1;
     }
 
-    /// What a read finds that may be served by a replica which lags.
+    /// Returns the store as a lagging replica serves it: the newest copy made by
+    /// `as_of_ms`, or the current content if there is none.
     pub fn lagging(&self, as_of_ms: Ms) -> Self {
         let mut copies = self.copies.iter().rev();
         let copy = copies.find(|(at, _, _)| *at <= as_of_ms);
@@ -88,15 +90,15 @@
         }
     }
 
-    /// One of the two pages of a listing: the configuration with one half of the servers, or
-    /// the other half.
+    /// Returns one of the two pages of a snapshot. The first holds the bundle and one
+    /// half of the servers, the second the other half.
     pub fn page(&self, first: bool) -> CatalogSnapshot {
-        let is_here = |id: &ServerId| {
+        let is_on_page = |id: &ServerId| {
             let last = id.bytes().last().unwrap_or_default();
             last.is_multiple_of(2) == first
         };
         let servers = self.now.servers.iter();
-        let servers = servers.filter(|(id, _)| is_here(id));
+        let servers = servers.filter(|(id, _)| is_on_page(id));
         let has_bundle = first && self.now.version > 0;
         CatalogSnapshot {
             position: self.position(),
@@ -106,7 +108,8 @@
         }
     }
 
-    /// The changes after a revision, whatever era it is of; none where there is no such.
+    /// Returns the changes after the revision of a position, whatever its era is; `None`
+    /// if the store has not reached that revision.
     pub fn changes(&self, after: StorePosition) -> Option<CatalogChanges> {
         let revision = after.wire_revision();
         if revision > self.now.revision {
--- a/tests/tests/store_restore_play.rs
+++ b/tests/tests/store_restore_play.rs
@@ -1,16 +1,16 @@
-//! Fleets whose store comes back from older copies: what was acknowledged is in force in time
-//! and stays so, and no server is left unused meanwhile.
+//! Simulates fleets whose store is restored from an older copy. Guards against boxes that
+//! lose or delay acknowledged changes, or leave open servers unused meanwhile.
 //!
-//! By hand: `WINGSPUR_SEEDS=500 cargo test --release -p wingspur-tests --test
-//! store_restore_play -- --nocapture`.
+//! `WINGSPUR_SEEDS` sets the number of seeds, as in `WINGSPUR_SEEDS=500 cargo test
+//! --release -p wingspur-tests --test store_restore_play -- --nocapture`.
 
 mod restore_play;
 
 use restore_play::{Outcome, Play, Setting};
 
 fn seeds() -> u64 {
-    let told = std::env::var("WINGSPUR_SEEDS").unwrap_or("12".to_owned());
-    told.parse().expect("WINGSPUR_SEEDS holds a number")
+    let seed_count = std::env::var("WINGSPUR_SEEDS").unwrap_or("12".to_owned());
+    seed_count.parse().expect("WINGSPUR_SEEDS holds a number")
 }
 
 #[test]
