--- a/crates/wingspur-bench/src/decider.rs
+++ b/crates/wingspur-bench/src/decider.rs
@@ -1,20 +1,20 @@
-//! Who decides about servers in a replay.
+//! The outlier detectors that a replay can run with.
 
-/// Who decides in a replay.
+/// The outlier detector that decides in a replay which servers are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decider {
-    /// All boxes together, through a judge.
+    /// The outlier detector of the service, from the evidence of all boxes.
     Wingspur,
-    /// Each wingspur box by its own evidence alone.
+    /// Each wingspur box, from its own evidence alone.
     OwnEvidence,
-    /// Each box ejects after some errors in a row.
+    /// A baseline: each box ejects a server after a number of consecutive errors.
     ConsecutiveErrors,
-    /// Each box ejects outliers of the success rate.
+    /// A baseline: each box ejects servers whose success rate is far below the mean.
     SuccessRate,
 }
 
 impl Decider {
-    /// All of them, ours first.
+    /// All detectors; `Wingspur` is the first.
     pub const ALL: [Self; 4] = [
         Self::Wingspur,
         Self::OwnEvidence,
--- a/crates/wingspur-bench/src/detect_page.rs
+++ b/crates/wingspur-bench/src/detect_page.rs
@@ -1,4 +1,5 @@
-//! The detection table and the knob's curve as pages.
+//! Renders the detection tables as a page, and plots detection time against the allowed
+//! false ejections, which the page calls the knob.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -9,24 +10,28 @@
 use crate::decider::Decider;
 use crate::detect::{DetectRow, User, cases, run_case};
 
-/// A point of the knob's curve.
+/// The measurements at one value of the knob, `false_ejections_per_server_day`.
 #[derive(Debug, Clone, Serialize)]
 pub struct KnobRow {
-    /// False ejections allowed for a server in a day.
+    /// The value of the knob: false ejections allowed per server and day.
     pub knob: f64,
-    /// 99th percentile of detection time of a full stall, in milliseconds.
+    /// The 99th percentile of the detection time of a full stall, in milliseconds; `None`
+    /// if none was detected.
     pub stall_ms: Option<f64>,
-    /// The same for a server three times slower.
+    /// The same for a server that is three times slower.
     pub slow_ms: Option<f64>,
-    /// The same for one that fails a fifth of its work.
+    /// The same for a server that fails 20 % of its requests.
     pub errors_ms: Option<f64>,
-    /// False ejections for a server in a day of heavy noise.
+    /// False ejections per server and day under heavy noise.
     pub false_per_server_day: f64,
 }
 
-/// Makes the table of detection: a line a case, a column a decider.
+/// Renders the page with the detection tables and the knob's table.
+///
+/// `rows` are pairs of a user's name, `ispitnica` or `gateway`, and a row. The rows of a
+/// case must be in the order of `Decider::ALL`, whose columns the table has.
 pub fn render_detect_page(rows: &[(String, DetectRow)], knob: &[KnobRow]) -> String {
-    let mut page = String::from(HEAD);
+    let mut page = String::from(PAGE_HEADER);
     for user in ["ispitnica", "gateway"] {
         let names: Vec<&str> = rows
             .iter()
@@ -58,9 +63,9 @@
             page,
             "| {} | {} | {} | {} | {:.2} |",
             row.knob,
-            shown(row.stall_ms),
-            shown(row.slow_ms),
-            shown(row.errors_ms),
+            format_ms(row.stall_ms),
+            format_ms(row.slow_ms),
+            format_ms(row.errors_ms),
             row.false_per_server_day
         );
     }
@@ -68,11 +73,12 @@
     page
 }
 
-/// Measures the knob's curve.
+/// Measures detection times and false ejections at several values of the knob, with
+/// Ispitnica's cases.
 pub fn measure_knob(threads: usize) -> Vec<KnobRow> {
     let all = cases(User::Ispitnica);
     let find = |name: &str| all.iter().find(|case| case.name == name).cloned();
-    KNOBS
+    ALLOWED_FALSE_EJECTIONS_PER_SERVER_DAY
         .iter()
         .map(|knob| {
             let p99 = |name: &str| {
@@ -97,18 +103,18 @@
         .collect()
 }
 
-/// Draws the knob's curve.
+/// Plots the detection times against the knob as an SVG file.
 pub fn draw_knob(rows: &[KnobRow], path: &Path) -> Result<(), String> {
     let root = SVGBackend::new(path, (640, 400)).into_drawing_area();
     draw_curves(rows, &root).map_err(|error| error.to_string())?;
     root.present().map_err(|error| error.to_string())
 }
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
+type PlotArea<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
 fn draw_curves(
     rows: &[KnobRow],
-    root: &Area<'_>,
+    root: &PlotArea<'_>,
 ) -> Result<(), Box<dyn std::error::Error>> {
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(root)
@@ -116,20 +122,22 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d((1e-4..100.0).log_scale(), 0.0..MOST_MS)?;
+        .build_cartesian_2d((1e-4..100.0).log_scale(), 0.0..MAX_PLOTTED_MS)?;
     chart
         .configure_mesh()
         .x_desc("false ejections allowed for a server in a day")
         .y_desc("ms")
         .draw()?;
-    type Figure = fn(&KnobRow) -> Option<f64>;
-    let curves: [(&str, RGBColor, Figure); 3] = [
+    type DelayOf = fn(&KnobRow) -> Option<f64>;
+    let curves: [(&str, RGBColor, DelayOf); 3] = [
         ("full stall", BLUE, |row| row.stall_ms),
         ("three times slower", RED, |row| row.slow_ms),
         ("20 % errors", GREEN, |row| row.errors_ms),
     ];
-    for (name, color, figure) in curves {
-        let points = rows.iter().filter_map(|row| Some((row.knob, figure(row)?)));
+    for (name, color, delay_of) in curves {
+        let points = rows
+            .iter()
+            .filter_map(|row| Some((row.knob, delay_of(row)?)));
         chart
             .draw_series(LineSeries::new(points, color))?
             .label(name)
@@ -143,30 +151,31 @@
     if row.sick == 0 {
         return format!("{} false", row.false_ejections);
     }
-    let held = format!(
+    let delays = format!(
         "{} / {} ms ({}/{})",
-        shown(row.p50_ms),
-        shown(row.p99_ms),
+        format_ms(row.p50_ms),
+        format_ms(row.p99_ms),
         row.detected,
         row.sick
     );
     match row.false_ejections {
-        0 => held,
-        count => format!("{held}, {count} false"),
+        0 => delays,
+        count => format!("{delays}, {count} false"),
     }
 }
 
-fn shown(ms: Option<f64>) -> String {
+fn format_ms(ms: Option<f64>) -> String {
     ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"))
 }
 
-const HEAD: &str = "# Detection: the tables
+const PAGE_HEADER: &str = "# Detection: the tables
 
 Made by `wingspur-bench detect --page docs/DETECTION.md --plot docs/knob.svg`; do not edit.
 What is measured and how is in `GRAY_FAILURES.md`. Cells: p50 / p99 from onset to the last of
 the boxes concerned (sick servers found of all), and well servers that any box ever held back
 (20 runs of 10 servers unless it says otherwise).
 ";
-const KNOBS: &[f64] = &[100.0, 10.0, 1.0, 0.1, 0.01, 0.001, 0.0001];
+const ALLOWED_FALSE_EJECTIONS_PER_SERVER_DAY: &[f64] =
+    &[100.0, 10.0, 1.0, 0.1, 0.01, 0.001, 0.0001];
 const SECONDS_PER_DAY: f64 = 86_400.0;
-const MOST_MS: f64 = 2_000.0;
+const MAX_PLOTTED_MS: f64 = 2_000.0;
--- a/crates/wingspur-bench/src/replay.rs
+++ b/crates/wingspur-bench/src/replay.rs
@@ -1,4 +1,5 @@
-//! Replays traces through the decisions: each box's table, and the judge.
+//! Replays traces through the `ServiceTable` of each box and the service's outlier
+//! detector, or through baseline detectors.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,23 +15,29 @@
 use crate::decider::Decider;
 use crate::trace::{DEADLINE_MS, Observation, Scenario};
 
-/// What a replay came to.
+/// The result of a replay.
+///
+/// A box holds a server back while it regards the server as suspected, on probation or
+/// excluded. A baseline holds back the servers that it has ejected.
 #[derive(Debug, Clone)]
 pub struct ReplayReport {
-    /// For each server and box, when the box first held the server back, in
-    /// milliseconds.
+    /// For each server and box, when the box first held the server back, in milliseconds
+    /// from the start of the trace; `None` if it never did.
     pub held_ms: Vec<Vec<Option<f64>>>,
-    /// For each server, the share of the trace's time that boxes held it back.
+    /// For each server, the fraction of all ticks of all boxes in which a box held it
+    /// back.
     pub held_share: Vec<f64>,
-    /// The least slots that were in by the agreed record.
+    /// The lowest number of slots of servers that the ejection record did not list as
+    /// ejected.
     pub least_slots_in: u32,
-    /// Messages that boxes sent to the judge.
+    /// Number of evidence reports of all boxes. The outlier detector receives them only
+    /// with `Decider::Wingspur`.
     pub reports: u64,
 }
 
 impl ReplayReport {
-    /// When the last of these boxes held the server back, in milliseconds; none when
-    /// one never did.
+    /// Returns when the last of these boxes first held the server back, in milliseconds
+    /// from the start of the trace; `None` if one of them never did.
     pub fn held_by_all_ms(&self, server: usize, boxes: &[usize]) -> Option<f64> {
         let times = boxes.iter().map(|index| self.held_ms[server][*index]);
         times
@@ -39,13 +46,15 @@
             .max_by(f64::total_cmp)
     }
 
-    /// Whether any box ever held the server back.
+    /// Returns whether any box ever held the server back.
     pub fn was_held(&self, server: usize) -> bool {
         self.held_ms[server].iter().any(Option::is_some)
     }
 }
 
-/// Replays a trace of a scenario's service.
+/// Replays a trace of the scenario's service and reports which servers were held back.
+///
+/// The observations must be in the order of their times.
 pub fn replay(
     scenario: &Scenario,
     observations: impl Iterator<Item = Observation>,
@@ -57,10 +66,10 @@
         replay.begin(&observation);
     }
     replay.advance_to(scenario.duration_s * 1000.0);
-    replay.close()
+    replay.into_report()
 }
 
-/// The service that a scenario describes.
+/// Returns the service that a scenario describes, without routes.
 pub fn service_of(scenario: &Scenario) -> Service {
     let server = |index: usize| BackendServer {
         name: format!("server-{index:02}"),
@@ -88,16 +97,16 @@
 
 struct Replay {
     decider: Decider,
-    base: Instant,
+    start: Instant,
     now_ms: f64,
     next_tick_ms: f64,
     tables: Vec<ServiceTable>,
     baselines: Vec<Baseline>,
     box_ids: Vec<String>,
     data_centres: Vec<String>,
-    judge: OutlierDetector,
-    sent: Vec<Verdict>,
-    ends: BinaryHeap<Reverse<End>>,
+    detector: OutlierDetector,
+    sent_verdicts: Vec<Verdict>,
+    events: BinaryHeap<Reverse<AttemptEvent>>,
     held_ms: Vec<Vec<Option<f64>>>,
     held_ticks: Vec<u64>,
     ticks: u64,
@@ -105,31 +114,31 @@
     reports: u64,
 }
 
-/// Something that an attempt comes to at a time.
+/// A scheduled event of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct End {
+struct AttemptEvent {
     at_ms: f64,
     box_index: usize,
     attempt: AttemptId,
     server: usize,
-    kind: EndKind,
+    kind: AttemptEventKind,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum EndKind {
+enum AttemptEventKind {
     Head,
     Finish(AttemptOutcome),
 }
 
-impl Eq for End {}
+impl Eq for AttemptEvent {}
 
-impl Ord for End {
+impl Ord for AttemptEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.at_ms.total_cmp(&other.at_ms)
     }
 }
 
-impl PartialOrd for End {
+impl PartialOrd for AttemptEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
@@ -138,34 +147,35 @@
 impl Replay {
     fn new(scenario: &Scenario, decider: Decider) -> Self {
         let service = Arc::new(service_of(scenario));
-        let base = Instant::now();
+        let start = Instant::now();
         let boxes = scenario.boxes;
-        let home: Vec<String> = (0..boxes).map(|i| data_centre(scenario, i)).collect();
+        let box_data_centres: Vec<String> =
+            (0..boxes).map(|i| data_centre(scenario, i)).collect();
         let table =
             |home: &String| ServiceTable::new(service.clone(), 1, home, boxes as u32);
-        let quiet = Verdict {
+        let initial_verdict = Verdict {
             service_tag: 1,
             standings: Vec::new(),
         };
         Self {
             decider,
-            base,
+            start,
             now_ms: 0.0,
             next_tick_ms: 0.0,
-            tables: home.iter().map(table).collect(),
+            tables: box_data_centres.iter().map(table).collect(),
             baselines: (0..boxes)
                 .map(|_| Baseline::new(decider, scenario.servers))
                 .collect(),
             box_ids: (0..boxes).map(|index| format!("box-{index:02}")).collect(),
-            judge: OutlierDetector::new(&service, 1, None, base),
-            sent: vec![quiet; boxes],
-            ends: BinaryHeap::new(),
+            detector: OutlierDetector::new(&service, 1, None, start),
+            sent_verdicts: vec![initial_verdict; boxes],
+            events: BinaryHeap::new(),
             held_ms: vec![vec![None; boxes]; scenario.servers],
             held_ticks: vec![0; scenario.servers],
             ticks: 0,
             least_slots_in: service.slots(),
             reports: 0,
-            data_centres: home,
+            data_centres: box_data_centres,
         }
     }
 
@@ -173,9 +183,9 @@
         let now = self.instant(observation.at_ms);
         let (box_index, server) = (observation.box_index, observation.server);
         let attempt = self.tables[box_index].begin(server, now);
-        let mut end = |after_ms: f64, kind: EndKind| {
+        let mut schedule = |after_ms: f64, kind: AttemptEventKind| {
             let at_ms = observation.at_ms + after_ms;
-            self.ends.push(Reverse(End {
+            self.events.push(Reverse(AttemptEvent {
                 at_ms,
                 box_index,
                 attempt,
@@ -184,27 +194,37 @@
             }));
         };
         if observation.body_stalls {
-            end(HEAD_MS, EndKind::Head);
+            schedule(HEAD_DELAY_MS, AttemptEventKind::Head);
         }
         match observation.took_ms.filter(|took| *took < DEADLINE_MS) {
-            None => end(DEADLINE_MS, EndKind::Finish(AttemptOutcome::Abandoned)),
+            None => schedule(
+                DEADLINE_MS,
+                AttemptEventKind::Finish(AttemptOutcome::Abandoned),
+            ),
             Some(took) if observation.error => {
-                end(took, EndKind::Finish(AttemptOutcome::Failed));
+                schedule(took, AttemptEventKind::Finish(AttemptOutcome::Failed));
+            }
+            Some(took) => {
+                schedule(took, AttemptEventKind::Finish(AttemptOutcome::Answered))
             }
-            Some(took) => end(took, EndKind::Finish(AttemptOutcome::Answered)),
         }
     }
 
+    /// Runs all events and ticks up to a time, in milliseconds from the start of the
+    /// trace.
     fn advance_to(&mut self, at_ms: f64) {
         loop {
-            let next_end = self.ends.peek().map_or(f64::INFINITY, |end| end.0.at_ms);
-            let next = next_end.min(self.next_tick_ms);
-            if next > at_ms {
+            let next_event_ms = self
+                .events
+                .peek()
+                .map_or(f64::INFINITY, |event| event.0.at_ms);
+            let next_ms = next_event_ms.min(self.next_tick_ms);
+            if next_ms > at_ms {
                 break;
             }
-            self.now_ms = next;
-            if next_end <= self.next_tick_ms {
-                self.end_one();
+            self.now_ms = next_ms;
+            if next_event_ms <= self.next_tick_ms {
+                self.process_next_event();
             } else {
                 self.tick();
                 self.next_tick_ms += EVIDENCE_TICK.as_secs_f64() * 1000.0;
@@ -213,20 +233,24 @@
         self.now_ms = at_ms;
     }
 
-    fn end_one(&mut self) {
-        let Some(Reverse(end)) = self.ends.pop() else {
+    fn process_next_event(&mut self) {
+        let Some(Reverse(event)) = self.events.pop() else {
             return;
         };
-        let now = self.instant(end.at_ms);
-        let table = &mut self.tables[end.box_index];
-        match end.kind {
-            EndKind::Head => {
-                table.record_response_head(end.attempt, AttemptOutcome::Answered, now)
+        let now = self.instant(event.at_ms);
+        let table = &mut self.tables[event.box_index];
+        match event.kind {
+            AttemptEventKind::Head => {
+                table.record_response_head(event.attempt, AttemptOutcome::Answered, now)
             }
-            EndKind::Finish(outcome) => {
-                table.finish(end.attempt, outcome, now);
-                let good = outcome == AttemptOutcome::Answered;
-                self.baselines[end.box_index].end(end.server, good, end.at_ms);
+            AttemptEventKind::Finish(outcome) => {
+                table.finish(event.attempt, outcome, now);
+                let succeeded = outcome == AttemptOutcome::Answered;
+                self.baselines[event.box_index].record_outcome(
+                    event.server,
+                    succeeded,
+                    event.at_ms,
+                );
             }
         }
     }
@@ -240,36 +264,36 @@
             self.reports += 1;
             if self.decider == Decider::Wingspur {
                 let home = &self.data_centres[index];
-                self.judge
+                self.detector
                     .record_report(&self.box_ids[index], home, &report, now);
-                let verdict = self.judge.verdict(home);
+                let verdict = self.detector.verdict(home);
                 self.tables[index].apply(&verdict, now);
-                self.sent[index] = verdict;
+                self.sent_verdicts[index] = verdict;
             }
         }
         if self.decider == Decider::Wingspur {
-            self.step_judge(now);
+            self.tick_detector(now);
         }
-        self.look(now);
+        self.record_held_servers(now);
     }
 
-    fn step_judge(&mut self, now: Instant) {
-        self.judge.tick(now);
-        if let Some(record) = self.judge.pending_record() {
-            self.judge.apply_record(record, now);
+    fn tick_detector(&mut self, now: Instant) {
+        self.detector.tick(now);
+        if let Some(record) = self.detector.pending_record() {
+            self.detector.apply_record(record, now);
         }
-        self.least_slots_in = self.least_slots_in.min(self.judge.available_slots());
+        self.least_slots_in = self.least_slots_in.min(self.detector.available_slots());
         for index in 0..self.tables.len() {
-            let verdict = self.judge.verdict(&self.data_centres[index]);
-            if verdict != self.sent[index] {
+            let verdict = self.detector.verdict(&self.data_centres[index]);
+            if verdict != self.sent_verdicts[index] {
                 self.tables[index].apply(&verdict, now);
-                self.sent[index] = verdict;
+                self.sent_verdicts[index] = verdict;
             }
         }
     }
 
-    /// Notes which boxes hold which servers back.
-    fn look(&mut self, now: Instant) {
+    /// Records which boxes hold which servers back at present.
+    fn record_held_servers(&mut self, now: Instant) {
         self.ticks += 1;
         for (index, table) in self.tables.iter().enumerate() {
             for server in 0..self.held_ms.len() {
@@ -278,7 +302,7 @@
                         table.ejection_state(server, now) != EjectionState::Active
                     }
                     Decider::ConsecutiveErrors | Decider::SuccessRate => {
-                        self.baselines[index].is_out(server, self.now_ms)
+                        self.baselines[index].is_ejected(server, self.now_ms)
                     }
                 };
                 if held {
@@ -289,9 +313,9 @@
         }
     }
 
-    fn close(self) -> ReplayReport {
-        let looks = (self.ticks * self.tables.len() as u64).max(1) as f64;
-        let share = |ticks: &u64| *ticks as f64 / looks;
+    fn into_report(self) -> ReplayReport {
+        let samples = (self.ticks * self.tables.len() as u64).max(1) as f64;
+        let share = |ticks: &u64| *ticks as f64 / samples;
         ReplayReport {
             held_share: self.held_ticks.iter().map(share).collect(),
             held_ms: self.held_ms,
@@ -301,7 +325,7 @@
     }
 
     fn instant(&self, at_ms: f64) -> Instant {
-        self.base + Duration::from_secs_f64(at_ms / 1000.0)
+        self.start + Duration::from_secs_f64(at_ms / 1000.0)
     }
 }
 
@@ -309,5 +333,5 @@
     format!("data-centre-{}", index % scenario.data_centres.max(1))
 }
 
-/// A head that comes before its body stalls takes this long.
-const HEAD_MS: f64 = 10.0;
+/// Time until the response head of an attempt whose body stalls, in milliseconds.
+const HEAD_DELAY_MS: f64 = 10.0;
