--- a/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
+++ b/crates/wingspur-bench/src/bin/wingspur-bench-decisions.rs
@@ -1,7 +1,8 @@
-//! The decisions' own price: bytes and time against size, as JSON rows.
+//! Measures the memory and the time that decisions take at several sizes, and prints them
+//! as JSON rows.
 //!
-//! A program of its own, since it counts every allocation: counting slows down all that
-//! allocates on many threads.
+//! It is a separate program because its allocator counts every allocation, which slows
+//! down code that allocates on many threads.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -43,8 +44,8 @@
     for size in [40, 400, 1_600, 4_300] {
         rows.push(membership(size));
         rows.push(placement(size));
-        rows.push(judge_hearing(size));
-        rows.push(judge_step(size));
+        rows.push(detector_report(size));
+        rows.push(detector_tick(size));
     }
     for size in [3, 75, 300, 1_200] {
         rows.push(manifest(size));
@@ -56,7 +57,7 @@
     let bundle = bundle_with(size.div_ceil(44), 44, 1);
     let region = Region::new(ALLOCATOR);
     let table = RouteTable::new(&bundle).expect("the paths are distinct");
-    let bytes = held(&region);
+    let bytes = allocated_bytes(&region);
     let mut random = SmallRng::seed_from_u64(1);
     let paths: Vec<String> = (0..1000)
         .map(|_| {
@@ -72,16 +73,17 @@
     row("route lookup", size, bytes, operation_us)
 }
 
-/// Tables for so many servers, thirty a service; the operation is one tick of them all.
+/// Measures the tables of `size` servers, thirty per service. The operation is one tick
+/// of all tables.
 fn servers(size: usize) -> DecisionRow {
     let service = Arc::new(service_of(&Scenario::quiet(30, 40)));
     let region = Region::new(ALLOCATOR);
     let mut tables: Vec<ServiceTable> = (0..size.div_ceil(30))
         .map(|tag| ServiceTable::new(service.clone(), tag as u64, "data-centre-0", 40))
         .collect();
-    let bytes = held(&region);
+    let bytes = allocated_bytes(&region);
     let mut now = Instant::now();
-    // A box with 88 requests a second has some four in each tick, anywhere.
+    // A box with 88 requests a second has about four per tick, at random servers.
     let mut random = SmallRng::seed_from_u64(1);
     let mut tick = || {
         for _ in 0..REQUESTS_PER_TICK {
@@ -96,7 +98,7 @@
             black_box(table.tick(now));
         }
     };
-    // Until as many tables are busy as ever will be.
+    // Warms up until the number of busy tables no longer grows.
     (0..100).for_each(|_| tick());
     let operation_us = time_us(tick);
     row("tick of all server tables", size, bytes, operation_us)
@@ -106,18 +108,18 @@
     let region = Region::new(ALLOCATOR);
     let mut limiter = AccountLimiter::default();
     let start = Instant::now();
-    // The accounts come round evenly in ten minutes.
-    let gap = Duration::from_secs(600) / size as u32;
+    // Each account sends one request in ten minutes, evenly distributed.
+    let interval = Duration::from_secs(600) / size as u32;
     for account in 0..size {
-        let now = start + gap * account as u32;
+        let now = start + interval * account as u32;
         limiter.take(account as u64, 10.0, now);
     }
-    let bytes = held(&region);
+    let bytes = allocated_bytes(&region);
     let mut account = 0;
     let mut now = start + Duration::from_secs(600);
     let operation_us = time_us(|| {
         account = (account + 7919) % size;
-        now += gap;
+        now += interval;
         black_box(limiter.take(account as u64, 10.0, now));
     });
     row("account limit", size, bytes, operation_us)
@@ -132,13 +134,13 @@
     let mut membership =
         Membership::new("box-0".to_owned(), MembershipSettings::default());
     membership.update_listed(&list);
-    let bytes = held(&region);
+    let bytes = allocated_bytes(&region);
     let mut now = Instant::now();
-    let mut lot = 0u64;
+    let mut heartbeat_sample = 0u64;
     let operation_us = time_us(|| {
         now += Duration::from_millis(500);
-        lot = lot.wrapping_add(77);
-        black_box(membership.begin_round(lot, now));
+        heartbeat_sample = heartbeat_sample.wrapping_add(77);
+        black_box(membership.begin_round(heartbeat_sample, now));
         black_box(membership.live_boxes(now));
     });
     row("membership round", size, bytes, operation_us)
@@ -146,41 +148,46 @@
 
 fn placement(size: usize) -> DecisionRow {
     let region = Region::new(ALLOCATOR);
-    let roster = RendezvousSet::new(boxes(size).into_iter().map(|listed| listed.id));
-    let bytes = held(&region);
+    let candidates = RendezvousSet::new(boxes(size).into_iter().map(|listed| listed.id));
+    let bytes = allocated_bytes(&region);
     let operation_us = time_us(|| {
-        black_box(roster.owner("judge/exam-pages"));
+        black_box(candidates.owner("judge/exam-pages"));
     });
     row("placement", size, bytes, operation_us)
 }
 
-/// A judge of thirty servers that hears so many boxes; the operation is one report.
-fn judge_hearing(size: usize) -> DecisionRow {
-    let (mut judge, report, now, bytes) = busy_judge(size);
+/// Measures an outlier detector of thirty servers with the evidence of `size` boxes. The
+/// operation is one report.
+fn detector_report(size: usize) -> DecisionRow {
+    let (mut detector, report, now, bytes) = loaded_detector(size);
     let mut index = 0;
     let operation_us = time_us(|| {
         index = (index + 1) % size;
         let from = format!("box-{index}");
-        judge.record_report(&from, &"data-centre-0".to_owned(), &report, now);
+        detector.record_report(&from, &"data-centre-0".to_owned(), &report, now);
     });
     row("judge hears a report", size, bytes, operation_us)
 }
 
-fn judge_step(size: usize) -> DecisionRow {
-    let (mut judge, _, mut now, bytes) = busy_judge(size);
-    // Twenty-seven steps in all, within the time that reports stay fresh.
+/// Measures one tick of the same outlier detector.
+fn detector_tick(size: usize) -> DecisionRow {
+    let (mut detector, _, mut now, bytes) = loaded_detector(size);
+    // Nine batches of three ticks are 27 ticks or 2.7 s of simulated time, within which
+    // the reports don't expire.
     let operation_us = time_us_of(3, || {
         now += Duration::from_millis(100);
-        black_box(judge.tick(now));
+        black_box(detector.tick(now));
     });
     row("judge step", size, bytes, operation_us)
 }
 
-fn busy_judge(size: usize) -> (OutlierDetector, EvidenceReport, Instant, f64) {
+/// Returns an outlier detector with reports of `size` boxes, one of these reports, the
+/// time at which they were recorded, and the bytes that the detector holds.
+fn loaded_detector(size: usize) -> (OutlierDetector, EvidenceReport, Instant, f64) {
     let service = service_of(&Scenario::quiet(30, size));
     let now = Instant::now();
     let region = Region::new(ALLOCATOR);
-    let mut judge = OutlierDetector::new(&service, 1, None, now);
+    let mut detector = OutlierDetector::new(&service, 1, None, now);
     let entry = |server| EvidenceEntry {
         server,
         observations: 2,
@@ -193,17 +200,18 @@
         entries,
     };
     for index in 0..size {
-        judge.record_report(
+        detector.record_report(
             &format!("box-{index}"),
             &"data-centre-0".to_owned(),
             &report,
             now,
         );
     }
-    (judge, report, now, held(&region))
+    (detector, report, now, allocated_bytes(&region))
 }
 
-/// A manifest of so many services; the bytes are those that travel.
+/// Measures the manifest of a bundle of `size` services. The bytes are its size when
+/// sent.
 fn manifest(size: usize) -> DecisionRow {
     let bundle = bundle_with(size, 44, 31);
     let (manifest, _) = Manifest::split(&bundle).expect("a bundle serialises");
@@ -259,7 +267,8 @@
     (0..size).map(listed).collect()
 }
 
-fn held(region: &Region<'_, std::alloc::System>) -> f64 {
+/// Returns the bytes that were allocated in the region and not freed.
+fn allocated_bytes(region: &Region<'_, std::alloc::System>) -> f64 {
     let change = region.change();
     change.bytes_allocated as f64 - change.bytes_deallocated as f64
         + change.bytes_reallocated as f64
@@ -274,14 +283,15 @@
     }
 }
 
-/// 380,000 requests/s over 4,300 boxes, and twenty ticks a second.
+/// Requests of one box per tick: 380,000 requests/s over 4,300 boxes, at 20 ticks/s.
 const REQUESTS_PER_TICK: usize = 4;
 
 fn time_us(operation: impl FnMut()) -> f64 {
     time_us_of(200, operation)
 }
 
-/// The median over nine batches of the time of one operation.
+/// Returns the median over nine batches of the mean time of one operation, in
+/// microseconds.
 fn time_us_of(batch: u32, mut operation: impl FnMut()) -> f64 {
     let mut times: Vec<f64> = (0..9)
         .map(|_| {
--- a/crates/wingspur-bench/src/box_list.rs
+++ b/crates/wingspur-bench/src/box_list.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the platform's list of boxes and servers, which lags.
+//! A simulated list of boxes and servers of the platform, which publishes updates with a
+//! delay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,7 +13,7 @@
 use wingspur_protocol::{BoxList, sha256_hex};
 use wingspur_transport::{HttpListener, ListenerOptions, Spawner};
 
-/// The stand-in: what is set shows only after the lag.
+/// A simulated box list. An update is served only after a fixed lag.
 #[derive(Debug)]
 pub struct BoxListStandIn {
     state: Arc<Mutex<ListState>>,
@@ -22,12 +23,15 @@
 #[derive(Debug, Default)]
 struct ListState {
     lag: Duration,
-    shown: BoxList,
-    coming: Vec<(Instant, BoxList)>,
+    published: BoxList,
+    /// Updates in the order in which they were set, with the time from which each is
+    /// served.
+    pending: Vec<(Instant, BoxList)>,
 }
 
 impl BoxListStandIn {
-    /// Starts an empty list on a free loopback port.
+    /// Starts an empty list on a free loopback port. Updates are served `lag` after they
+    /// are set.
     pub async fn start(spawner: &Spawner, lag: Duration) -> std::io::Result<Self> {
         let port = TcpListener::bind((std::net::Ipv4Addr::LOCALHOST, 0)).await?;
         let state = Arc::new(Mutex::new(ListState {
@@ -39,8 +43,8 @@
             let list = shared
                 .lock()
                 .expect("no holder panics")
-                .show(Instant::now());
-            let response = answer(&request, &list);
+                .publish_due(Instant::now());
+            let response = respond(&request, &list);
             async move { response }
         };
         let options = ListenerOptions::default();
@@ -48,32 +52,32 @@
         Ok(Self { state, listener })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Sets the list; it shows after the lag.
+    /// Sets the list, which is served once the lag has passed.
     pub fn set(&self, list: BoxList) {
         let mut state = self.state.lock().expect("no holder panics");
-        let at = Instant::now() + state.lag;
-        state.coming.push((at, list));
+        let due_at = Instant::now() + state.lag;
+        state.pending.push((due_at, list));
     }
 
-    /// Sets the list at once.
+    /// Sets the list without the lag and discards updates that are still pending.
     pub fn set_now(&self, list: BoxList) {
         let mut state = self.state.lock().expect("no holder panics");
-        state.coming.clear();
-        state.shown = list;
+        state.pending.clear();
+        state.published = list;
     }
 }
 
-/// The list with a validator, or word that the caller has it already.
-fn answer(request: &Request<Incoming>, list: &BoxList) -> Response<Full<Bytes>> {
+/// Returns the list with an `ETag`, or status 304 if the caller already has this list.
+fn respond(request: &Request<Incoming>, list: &BoxList) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(list).expect("a list serialises");
     let validator = format!("\"{}\"", &sha256_hex(&body)[..16]);
-    let known = request.headers().get(IF_NONE_MATCH);
-    if known.is_some_and(|known| known.as_bytes() == validator.as_bytes()) {
+    let cached = request.headers().get(IF_NONE_MATCH);
+    if cached.is_some_and(|cached| cached.as_bytes() == validator.as_bytes()) {
         let mut response = Response::new(Full::new(Bytes::new()));
         *response.status_mut() = StatusCode::NOT_MODIFIED;
         return response;
@@ -85,11 +89,16 @@
 }
 
 impl ListState {
-    fn show(&mut self, now: Instant) -> BoxList {
-        let due = self.coming.iter().filter(|(at, _)| *at <= now).count();
-        if let Some((_, list)) = self.coming.drain(..due).next_back() {
-            self.shown = list;
+    /// Applies the updates whose lag has passed, and returns the list to serve.
+    fn publish_due(&mut self, now: Instant) -> BoxList {
+        let due = self
+            .pending
+            .iter()
+            .filter(|(due_at, _)| *due_at <= now)
+            .count();
+        if let Some((_, list)) = self.pending.drain(..due).next_back() {
+            self.published = list;
         }
-        self.shown.clone()
+        self.published.clone()
     }
 }
--- a/crates/wingspur-bench/src/faults.rs
+++ b/crates/wingspur-bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! Rounds of faults: once-only load and bundles while the store, boxes and servers fail.
+//! Runs once-only load and publishes bundles while the store, boxes and servers fail.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -13,97 +13,102 @@
     small_zagreb,
 };
 
-/// Something that fails in a round.
+/// A fault that is injected in a round.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RoundFault {
-    /// Nothing.
+    /// No fault.
     Nothing,
-    /// The store is in trouble.
+    /// The store has a fault.
     Store(StoreFault),
-    /// A box crashes and comes back.
+    /// A box crashes and is restarted.
     BoxCrash,
-    /// A box is stopped as planned and comes back.
+    /// A box is stopped gracefully and is restarted.
     BoxStop,
-    /// A server of the once-only service turns gray.
+    /// A server of the once-only service has a gray failure.
     Server(Gray),
 }
 
-/// What a round came to.
+/// The results of one round.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultRow {
-    /// The faults, in words.
+    /// The names of the faults, joined by ` + `.
     pub faults: String,
-    /// Once-only requests sent, repeats included.
+    /// Once-only requests sent, repetitions included.
     pub sent: u64,
-    /// Answered by a backend server.
+    /// Requests with a complete response of a backend server below status 500.
     pub answered: u64,
-    /// Refused, by result code.
+    /// Refused requests, by result code.
     pub refused: std::collections::BTreeMap<u16, u64>,
-    /// Connections that a crash cut.
+    /// Requests that may have been sent and whose connection failed before the response
+    /// was complete.
     pub broken: u64,
     /// Operations that ran more than once.
     pub duplicates: usize,
-    /// Operations told *not run* that ran.
+    /// Operations that ran although all their callers received `not_run`.
     pub false_not_run: usize,
-    /// Requests cut by planned stops.
+    /// Requests interrupted by graceful stops.
     pub cut_by_stop: usize,
-    /// Bundles accepted during the round.
+    /// Bundles that the store accepted and all running boxes activated within
+    /// `ACTIVATION_TIMEOUT`.
     pub bundles: u64,
-    /// Times that a box was seen with an older bundle than before.
+    /// Number of times that a box had an older bundle than when it was last checked.
     pub reversions: u64,
-    /// The slowest time from acceptance to in force on all boxes, in milliseconds.
+    /// The longest time from the submission of a bundle to its activation on all running
+    /// boxes, in milliseconds.
     pub in_force_ms: f64,
 }
 
 /// How the rounds are run.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultOptions {
-    /// How often the table is gone through.
+    /// How often all rows of `fault_rows` are run.
     pub rounds: usize,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Once-only requests a second.
+    /// Once-only requests per second.
     pub rate_per_s: f64,
-    /// Seconds of load a row.
+    /// Duration of the load of a row, in seconds.
     pub seconds: u64,
 }
 
-/// Each row: what fails in the first half, alone or with something else.
+/// Returns the rows of the table, each with at most two faults for one round. A fault of
+/// a box affects the box whose index is the fault's position in the row.
 pub fn fault_rows() -> Vec<[RoundFault; 2]> {
     use RoundFault::{BoxCrash, BoxStop, Nothing, Server, Store};
     let down = Store(StoreFault::Down);
     let slow = Store(StoreFault::Slow(Duration::from_millis(300)));
-    let lost = Store(StoreFault::LoseWriteReplies);
-    let some_lost = Store(StoreFault::LoseEveryNthReply(3));
+    let replies_lost = Store(StoreFault::LoseWriteReplies);
+    let some_replies_lost = Store(StoreFault::LoseEveryNthReply(3));
     let stall = Server(Gray::Stall);
     let errors = Server(Gray::Errors(0.5));
     vec![
         [Nothing, Nothing],
         [down, Nothing],
         [slow, Nothing],
-        [lost, Nothing],
-        [some_lost, Nothing],
+        [replies_lost, Nothing],
+        [some_replies_lost, Nothing],
         [BoxCrash, Nothing],
         [BoxStop, Nothing],
         [stall, Nothing],
         [errors, Nothing],
         [down, BoxCrash],
         [slow, BoxCrash],
-        [some_lost, BoxCrash],
-        [some_lost, BoxStop],
+        [some_replies_lost, BoxCrash],
+        [some_replies_lost, BoxStop],
         [slow, BoxStop],
-        [some_lost, stall],
+        [some_replies_lost, stall],
         [BoxCrash, stall],
         [down, stall],
         [BoxCrash, BoxCrash],
     ]
 }
 
-/// Goes through the table on one fleet.
+/// Runs all rows of `fault_rows` for a number of rounds on one fleet, and calls `on_row`
+/// with the results of each row.
 pub async fn run_faults(
     options: FaultOptions,
     spawner: &Spawner,
-    mut each: impl FnMut(&FaultRow),
+    mut on_row: impl FnMut(&FaultRow),
 ) -> Result<Vec<FaultRow>, String> {
     let mut plan = small_zagreb(options.boxes);
     for service in &mut plan.services {
@@ -120,7 +125,7 @@
     for _ in 0..options.rounds {
         for faults in fault_rows() {
             let row = run_row(&mut fleet, &faults, options, spawner).await?;
-            each(&row);
+            on_row(&row);
             rows.push(row);
         }
     }
@@ -152,98 +157,115 @@
         duration,
         mix: vec![(kind, 1.0)],
     };
-    let seen = Mutex::new(Seen::default());
-    let (report, disturbed) = zip(
+    let observations = Mutex::new(BundleObservations::default());
+    let (report, injected) = zip(
         load.run(&load_options),
-        disturb(fleet, faults, duration, &seen),
+        inject_faults(fleet, faults, duration, &observations),
     )
     .await;
-    let cut_by_stop = disturbed?;
-    // Late work of abandoned attempts has ended by then.
-    smol::Timer::after(SETTLE).await;
+    let cut_by_stop = injected?;
+    // Servers may still be working on abandoned attempts; that ends within the delay.
+    smol::Timer::after(SETTLE_DELAY).await;
     let (duplicates, false_not_run) = fleet.check_once_only(&report);
-    let seen = seen.into_inner().expect("no holder panics");
+    let observations = observations.into_inner().expect("no holder panics");
     Ok(make_row(
         faults,
         &report,
-        &seen,
+        &observations,
         duplicates,
         false_not_run,
         cut_by_stop,
     ))
 }
 
-/// Puts the faults in force for the first half, and a bundle every while all through.
-async fn disturb(
+/// Injects the faults after an eighth of the duration, ends them after half of it, and
+/// then publishes bundles until its end. Returns how many requests graceful stops
+/// interrupted.
+async fn inject_faults(
     fleet: &mut Fleet,
     faults: &[RoundFault],
     duration: Duration,
-    seen: &Mutex<Seen>,
+    observations: &Mutex<BundleObservations>,
 ) -> Result<usize, String> {
     let start = Instant::now();
-    let mut cut = 0;
+    let mut cut_requests = 0;
     smol::Timer::after(duration / 8).await;
-    let submissions = fleet.servers.len() - 1;
+    let once_only_service = fleet.servers.len() - 1;
     for (index, fault) in faults.iter().enumerate() {
         match fault {
             RoundFault::Nothing => {}
             RoundFault::Store(fault) => fleet.store.set_fault(*fault),
             RoundFault::BoxCrash => fleet.crash_box(index),
-            RoundFault::BoxStop => cut += fleet.stop_box(index).await,
-            RoundFault::Server(gray) => fleet.servers[submissions][0].set_gray(*gray),
+            RoundFault::BoxStop => cut_requests += fleet.stop_box(index).await,
+            RoundFault::Server(gray) => {
+                fleet.servers[once_only_service][0].set_gray(*gray)
+            }
         }
     }
     while start.elapsed() < duration / 2 {
         smol::Timer::after(Duration::from_millis(20)).await;
-        seen.lock().expect("no holder panics").look(fleet);
+        observations
+            .lock()
+            .expect("no holder panics")
+            .record_versions(fleet);
     }
     fleet.store.set_fault(StoreFault::None);
-    fleet.servers[submissions][0].set_gray(Gray::Well);
+    fleet.servers[once_only_service][0].set_gray(Gray::Well);
     for (index, fault) in faults.iter().enumerate() {
         if matches!(fault, RoundFault::BoxCrash | RoundFault::BoxStop) {
             fleet.restart_box(index).await?;
-            // A new box may start without a bundle; only what it shows after counts.
-            seen.lock().expect("no holder panics").forget(index);
+            // A restarted box may begin without a bundle, which is no reversion: only the
+            // versions that it has after the restart are compared.
+            observations
+                .lock()
+                .expect("no holder panics")
+                .discard_version(index);
         }
     }
     while start.elapsed() < duration {
-        let accepted = Instant::now();
+        let submitted_at = Instant::now();
         let version = fleet.publish_next(|_| {}).await;
         if let Ok(version) = version
-            && fleet.wait_in_force(version, IN_FORCE_PATIENCE).await
+            && fleet.wait_in_force(version, ACTIVATION_TIMEOUT).await
         {
-            let mut seen = seen.lock().expect("no holder panics");
-            seen.bundles += 1;
-            seen.in_force_ms = seen
-                .in_force_ms
-                .max(accepted.elapsed().as_secs_f64() * 1000.0);
+            let mut observations = observations.lock().expect("no holder panics");
+            observations.bundles += 1;
+            observations.max_activation_ms = observations
+                .max_activation_ms
+                .max(submitted_at.elapsed().as_secs_f64() * 1000.0);
         }
-        seen.lock().expect("no holder panics").look(fleet);
+        observations
+            .lock()
+            .expect("no holder panics")
+            .record_versions(fleet);
         smol::Timer::after(Duration::from_millis(50)).await;
     }
-    Ok(cut)
+    Ok(cut_requests)
 }
 
-/// What was seen of bundles in a round.
+/// What was observed of bundles in a round.
 #[derive(Debug, Default)]
-struct Seen {
+struct BundleObservations {
+    /// The last version of each box, by the box's index.
     versions: std::collections::HashMap<usize, u64>,
     reversions: u64,
     bundles: u64,
-    in_force_ms: f64,
+    max_activation_ms: f64,
 }
 
-impl Seen {
-    fn look(&mut self, fleet: &Fleet) {
+impl BundleObservations {
+    /// Records the version of each running box and counts versions older than the last.
+    fn record_versions(&mut self, fleet: &Fleet) {
         for (index, running) in fleet.boxes.iter().enumerate() {
             let Some(running) = running else { continue };
             let version = running.bundle_version();
-            let before = self.versions.insert(index, version).unwrap_or(0);
-            self.reversions += u64::from(version < before);
+            let previous = self.versions.insert(index, version).unwrap_or(0);
+            self.reversions += u64::from(version < previous);
         }
     }
 
-    fn forget(&mut self, index: usize) {
+    /// Discards the last version of a box.
+    fn discard_version(&mut self, index: usize) {
         self.versions.remove(&index);
     }
 }
@@ -251,7 +273,7 @@
 fn make_row(
     faults: &[RoundFault],
     report: &LoadReport,
-    seen: &Seen,
+    observations: &BundleObservations,
     duplicates: usize,
     false_not_run: usize,
     cut_by_stop: usize,
@@ -274,11 +296,11 @@
         duplicates,
         false_not_run,
         cut_by_stop,
-        bundles: seen.bundles,
-        reversions: seen.reversions,
-        in_force_ms: seen.in_force_ms,
+        bundles: observations.bundles,
+        reversions: observations.reversions,
+        in_force_ms: observations.max_activation_ms,
     }
 }
 
-const SETTLE: Duration = Duration::from_millis(500);
-const IN_FORCE_PATIENCE: Duration = Duration::from_secs(10);
+const SETTLE_DELAY: Duration = Duration::from_millis(500);
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/wingspur-bench/src/fleet.rs
+++ b/crates/wingspur-bench/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A whole deployment on loopback: store, list, servers and boxes.
+//! A complete deployment on loopback addresses: store, box list, backend servers and
+//! boxes.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,13 +24,14 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The store.
+    /// The simulated store.
     pub store: StoreStandIn,
-    /// The list of boxes.
+    /// The simulated box list.
     pub list: BoxListStandIn,
-    /// The servers, in the plan's order of services.
+    /// The backend servers of each service, in the order of the plan's services.
     pub servers: Vec<Vec<BackendStandIn>>,
-    /// The boxes; none where one was stopped.
+    /// The boxes by index; `None` while a box is stopped. Empty until the boxes are
+    /// started.
     pub boxes: Vec<Option<EntryBox>>,
     plan: FleetPlan,
     bundle: Bundle,
@@ -38,14 +40,14 @@
     settings: Vec<Settings>,
 }
 
-/// What a deployment consists of.
+/// The size and the services of a deployment.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     /// The fleet's name.
     pub fleet: &'static str,
     /// The data centres.
     pub data_centres: Vec<&'static str>,
-    /// Boxes over all data centres.
+    /// Number of boxes over all data centres. They are assigned to data centres in turn.
     pub boxes: usize,
     /// The services.
     pub services: Vec<ServicePlan>,
@@ -54,27 +56,28 @@
 /// A service of a deployment.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// The name.
+    /// The service's name.
     pub name: &'static str,
-    /// The route's path.
+    /// The path of the service's only route.
     pub path: &'static str,
     /// The route's method.
     pub method: &'static str,
-    /// The class of its work.
+    /// The route's class.
     pub class: RouteClass,
-    /// The deadline, in milliseconds.
+    /// The route's deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Connections that each server takes.
+    /// Maximum number of connections that each server accepts.
     pub connections: u32,
-    /// How each works.
+    /// The slots and processing time of each server.
     pub server: ServerPlan,
-    /// The detection knob.
+    /// False ejections that outlier detection may cause per server and day.
     pub false_ejections_per_server_day: f64,
 }
 
-/// Ispitnica's deployment at today's size, but for the number of boxes.
+/// Returns the plan of Ispitnica's deployment: its present services and servers, with the
+/// given number of boxes.
 pub fn zagreb(boxes: usize) -> FleetPlan {
     FleetPlan {
         fleet: "zagreb",
@@ -88,7 +91,7 @@
     }
 }
 
-/// Ispitnica's deployment, small enough for a quick demonstration.
+/// Returns Ispitnica's deployment with fewer servers, for a quick demonstration.
 pub fn small_zagreb(boxes: usize) -> FleetPlan {
     let mut plan = zagreb(boxes);
     for (service, servers) in plan.services.iter_mut().zip([6, 6, 3]) {
@@ -97,7 +100,8 @@
     plan
 }
 
-/// The Gateway's deployment at today's size, but for the number of boxes.
+/// Returns the plan of the Gateway's deployment: its present services and servers, with
+/// the given number of boxes.
 pub fn bratislava(boxes: usize) -> FleetPlan {
     let mut plan = FleetPlan {
         fleet: "bratislava",
@@ -118,7 +122,7 @@
 }
 
 impl ServicePlan {
-    /// Pages that may be read again.
+    /// Returns a service of pages, whose requests are retry-safe.
     fn read(name: &'static str, path: &'static str, servers: usize) -> Self {
         Self {
             name,
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Submissions that run at most once.
+    /// Returns a service of submissions, which run at most once.
     fn once_only(name: &'static str, path: &'static str, servers: usize) -> Self {
         let mut plan = Self::read(name, path, servers);
         plan.method = "POST";
@@ -147,7 +151,7 @@
         plan
     }
 
-    /// Large files.
+    /// Returns a service of large files.
     fn download(name: &'static str, path: &'static str, servers: usize) -> Self {
         let mut plan = Self::read(name, path, servers);
         plan.class = RouteClass::Download;
@@ -158,26 +162,28 @@
 }
 
 impl Fleet {
-    /// Starts everything, submits a signed bundle and waits until all boxes are ready.
+    /// Starts all parts of the deployment, submits a signed bundle and waits until all
+    /// boxes are ready.
     pub async fn start(plan: FleetPlan, spawner: &Spawner) -> Result<Self, String> {
         let mut fleet = Self::prepare(plan, spawner).await?;
         fleet.start_boxes().await?;
         Ok(fleet)
     }
 
-    /// Starts everything but the boxes, whose settings stand ready.
+    /// Starts the store, the box list and the servers, and submits a signed bundle. Makes
+    /// the settings of the boxes and lists them, but doesn't start them.
     pub async fn prepare(plan: FleetPlan, spawner: &Spawner) -> Result<Self, String> {
-        let text = |error: std::io::Error| error.to_string();
-        let store = StoreStandIn::start(spawner).await.map_err(text)?;
+        let to_text = |error: std::io::Error| error.to_string();
+        let store = StoreStandIn::start(spawner).await.map_err(to_text)?;
         let list = BoxListStandIn::start(spawner, LIST_LAG)
             .await
-            .map_err(text)?;
+            .map_err(to_text)?;
         let mut servers = Vec::new();
         for service in &plan.services {
             let mut started = Vec::new();
             for _ in 0..service.servers {
                 let server = BackendStandIn::start(spawner, service.server).await;
-                started.push(server.map_err(text)?);
+                started.push(server.map_err(to_text)?);
             }
             servers.push(started);
         }
@@ -199,7 +205,7 @@
             let settings = fleet.make_settings(index)?;
             fleet.settings.push(settings);
         }
-        let boxes = fleet.listed();
+        let boxes = fleet.listed_boxes();
         fleet.list.set_now(BoxList {
             boxes,
             ..BoxList::default()
@@ -207,38 +213,39 @@
         Ok(fleet)
     }
 
-    /// The bundle as it was last submitted.
+    /// Returns the bundle that was last submitted.
     pub fn bundle(&self) -> &Bundle {
         &self.bundle
     }
 
-    /// The plan.
+    /// Returns the plan that the deployment was started with.
     pub fn plan(&self) -> &FleetPlan {
         &self.plan
     }
 
-    /// The settings of all boxes, running or not.
+    /// Returns the settings of all boxes, running or not.
     pub fn settings(&self) -> &[Settings] {
         &self.settings
     }
 
-    /// The callers' addresses of all boxes, running or not.
+    /// Returns the addresses at which all boxes serve callers, whether they run or not.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let addresses = self.settings.iter().map(|settings| settings.caller_address);
         addresses.collect()
     }
 
-    /// A client of the store, as the operators' command has one.
+    /// Creates a client of the store like that of the operators' command.
     pub fn store_client(&self) -> StoreClient {
-        let exchange = HttpClient::new(self.spawner.clone(), FaultInjector::default());
+        let http_client = HttpClient::new(self.spawner.clone(), FaultInjector::default());
         StoreClient::new(
             self.store.address(),
-            exchange.into(),
+            http_client.into(),
             Duration::from_secs(2),
         )
     }
 
-    /// Changes the bundle, submits it as the next version and tells how it fared.
+    /// Changes the bundle, submits it as the next version and returns that version. The
+    /// version number is used up even if the store doesn't accept the bundle.
     pub async fn publish_next(
         &mut self,
         change: impl FnOnce(&mut Bundle),
@@ -249,11 +256,12 @@
         Ok(self.bundle.version)
     }
 
-    /// Waits until all running boxes have a version in force.
-    pub async fn wait_in_force(&self, version: u64, patience: Duration) -> bool {
-        let end = std::time::Instant::now() + patience;
-        let lags = |running: &EntryBox| running.bundle_version() < version;
-        while self.boxes.iter().flatten().any(lags) {
+    /// Waits until all running boxes have activated the version or a later one. Returns
+    /// false if that takes longer than the timeout.
+    pub async fn wait_in_force(&self, version: u64, timeout: Duration) -> bool {
+        let end = std::time::Instant::now() + timeout;
+        let is_behind = |running: &EntryBox| running.bundle_version() < version;
+        while self.boxes.iter().flatten().any(is_behind) {
             if std::time::Instant::now() >= end {
                 return false;
             }
@@ -262,7 +270,8 @@
         true
     }
 
-    /// Stops a box as planned, and returns the requests that were cut.
+    /// Stops a box gracefully and returns how many requests were interrupted. Does
+    /// nothing if the box is not running.
     pub async fn stop_box(&mut self, index: usize) -> usize {
         match self.boxes[index].take() {
             Some(running) => running.close().await.cut_requests,
@@ -270,14 +279,15 @@
         }
     }
 
-    /// Ends a box at once, as a crash would.
+    /// Stops a box at once, without draining, like a crash.
     pub fn crash_box(&mut self, index: usize) {
         if let Some(running) = self.boxes[index].take() {
             running.abort();
         }
     }
 
-    /// Starts a box anew under its old addresses.
+    /// Starts a box with its settings, so that it keeps its addresses. Doesn't wait until
+    /// it is ready.
     pub async fn restart_box(&mut self, index: usize) -> Result<(), String> {
         let settings = self.settings[index].clone();
         let started =
@@ -286,8 +296,9 @@
         Ok(())
     }
 
-    /// Compares what callers were told with what the servers ran: operations that ran
-    /// more than once, and operations told *not run* that ran.
+    /// Compares the results that callers received with what the servers ran. Returns the
+    /// number of operations that ran more than once, and the number of operations that
+    /// ran although all their callers received `not_run`.
     pub fn check_once_only(&self, report: &LoadReport) -> (usize, usize) {
         let mut runs: HashMap<String, u32> = HashMap::new();
         for server in self.servers.iter().flatten() {
@@ -297,17 +308,17 @@
         }
         let duplicates = runs.values().filter(|count| **count > 1).count();
         let not_run = report.keys_not_run();
-        let ran = not_run.into_iter().filter(|key| runs.contains_key(*key));
-        (duplicates, ran.count())
+        let false_not_run = not_run.into_iter().filter(|key| runs.contains_key(*key));
+        (duplicates, false_not_run.count())
     }
 
-    /// Stops all boxes as planned, and returns the requests that were cut.
+    /// Stops all boxes gracefully and returns how many requests were interrupted.
     pub async fn close(mut self) -> usize {
-        let mut cut = 0;
+        let mut cut_requests = 0;
         for index in 0..self.boxes.len() {
-            cut += self.stop_box(index).await;
+            cut_requests += self.stop_box(index).await;
         }
-        cut
+        cut_requests
     }
 
     async fn publish(&self) -> Result<(), String> {
@@ -319,7 +330,9 @@
         submitted.map_err(|error| error.to_string())?;
         match accept_bundle(&store, &keys, &signed).await {
             Ok(Published::Accepted) => Ok(()),
-            Ok(Published::Superseded(by)) => Err(format!("overtaken by {}", by.version)),
+            Ok(Published::Superseded(by)) => {
+                Err(format!("bundle superseded by version {}", by.version))
+            }
             Err(error) => Err(error.to_string()),
         }
     }
@@ -330,14 +343,14 @@
             self.restart_box(index).await?;
         }
         for running in self.boxes.iter().flatten() {
-            if !running.wait_ready(START_PATIENCE).await {
-                return Err("a box did not get ready".to_owned());
+            if !running.wait_ready(START_TIMEOUT).await {
+                return Err("a box did not become ready in time".to_owned());
             }
         }
         Ok(())
     }
 
-    fn listed(&self) -> Vec<ListedBox> {
+    fn listed_boxes(&self) -> Vec<ListedBox> {
         let listed = |settings: &Settings| ListedBox {
             id: settings.box_id.clone(),
             peer_address: settings.peer_address,
@@ -349,19 +362,21 @@
 
     fn make_settings(&self, index: usize) -> Result<Settings, String> {
         let data_centre = self.plan.data_centres[index % self.plan.data_centres.len()];
-        let public = self.key.verifying_key().to_bytes();
-        let public =
-            base64::Engine::encode(&base64::engine::general_purpose::STANDARD, public);
-        let own = own_address();
+        let public_key = self.key.verifying_key().to_bytes();
+        let public_key = base64::Engine::encode(
+            &base64::engine::general_purpose::STANDARD,
+            public_key,
+        );
+        let address = next_loopback_address();
         let mut keyring = Keyring::default();
-        keyring.keys.insert(SIGNER.to_owned(), public);
+        keyring.keys.insert(SIGNER.to_owned(), public_key);
         let value = serde_json::json!({
             "box_id": format!("{data_centre}-{index:02}"),
             "data_centre": data_centre,
             "fleet": self.plan.fleet,
-            "caller_address": SocketAddr::from((own, CALLER_PORT)),
-            "peer_address": SocketAddr::from((own, PEER_PORT)),
-            "operator_address": SocketAddr::from((own, OPERATOR_PORT)),
+            "caller_address": SocketAddr::from((address, CALLER_PORT)),
+            "peer_address": SocketAddr::from((address, PEER_PORT)),
+            "operator_address": SocketAddr::from((address, OPERATOR_PORT)),
             "store_address": self.store.address(),
             "box_list_address": self.list.address(),
             "keyring": keyring,
@@ -419,9 +434,10 @@
     }
 }
 
-/// A loopback address of its own for each box, so that its ports are never in use by
-/// anything else, also when it is started anew.
-fn own_address() -> Ipv4Addr {
+/// Returns another loopback address on each call, so that nothing else uses the ports of
+/// a box, even while it restarts. Processes with different ids usually get different
+/// networks.
+fn next_loopback_address() -> Ipv4Addr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let [high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let process = (std::process::id() % 240) as u8 + 10;
@@ -433,4 +449,4 @@
 const OPERATOR_PORT: u16 = 7003;
 const SIGNER: &str = "ana";
 const LIST_LAG: Duration = Duration::from_secs(5);
-const START_PATIENCE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/wingspur-bench/src/lib.rs
+++ b/crates/wingspur-bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins, load and experiments; not shipped.
+//! Simulated backend servers, store and box list, load generation and experiments for
+//! wingspur. This crate is not shipped.
 
 mod backend;
 mod baseline;
--- a/crates/wingspur-bench/src/price.rs
+++ b/crates/wingspur-bench/src/price.rs
@@ -1,4 +1,5 @@
-//! The price of the request path: one real box at rising rates, beside going direct.
+//! Measures the cost of the request path: one box process at given rates, compared with
+//! requests sent directly to the servers.
 
 use std::time::Duration;
 
@@ -8,18 +9,20 @@
 use crate::capacity::{BoxProcesses, start_processes};
 use crate::{Fleet, Load, LoadOptions, RequestKind, ServerPlan, zagreb};
 
-/// One rate, through the box and direct.
+/// The measurements at one rate, through the box and directly to the servers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PriceRow {
-    /// Requests asked for in a second.
+    /// Requests to send per second.
     pub rate_per_s: f64,
-    /// Answered through the box.
+    /// Requests through the box with a complete response of a backend server below status
+    /// 500.
     pub answered: u64,
-    /// Processor time of one request in the box, in microseconds.
+    /// Processor time of the box per request sent, in microseconds.
     pub core_us: f64,
-    /// Latency through the box at 50, 99 and 99.9 %, in milliseconds.
+    /// The 50th, 99th and 99.9th percentile of the latency through the box, in
+    /// milliseconds.
     pub through_ms: [f64; 3],
-    /// Latency direct to the servers, likewise.
+    /// The same percentiles for requests sent directly to the servers.
     pub direct_ms: [f64; 3],
 }
 
@@ -55,7 +58,7 @@
     for rate in rates {
         rows.push(measure_rate(*rate, &through, &direct, &processes).await?);
     }
-    tracing::debug!("price: measured with version {version}.");
+    tracing::debug!("price: measured with bundle version {version}.");
     Ok(rows)
 }
 
@@ -66,16 +69,24 @@
     processes: &BoxProcesses,
 ) -> Result<PriceRow, String> {
     let options = options(rate, Duration::from_secs(4));
-    let straight = direct.run(&options).await;
-    let before = processes.processor_seconds()?;
-    let passed = through.run(&options).await;
-    let spent = processes.processor_seconds()? - before;
+    let direct_report = direct.run(&options).await;
+    let processor_s_before = processes.processor_seconds()?;
+    let through_report = through.run(&options).await;
+    let processor_s = processes.processor_seconds()? - processor_s_before;
     Ok(PriceRow {
         rate_per_s: rate,
-        answered: passed.answered,
-        core_us: spent * 1e6 / passed.sent.max(1) as f64,
-        through_ms: [passed.p50_ms, passed.p99_ms, passed.p999_ms],
-        direct_ms: [straight.p50_ms, straight.p99_ms, straight.p999_ms],
+        answered: through_report.answered,
+        core_us: processor_s * 1e6 / through_report.sent.max(1) as f64,
+        through_ms: [
+            through_report.p50_ms,
+            through_report.p99_ms,
+            through_report.p999_ms,
+        ],
+        direct_ms: [
+            direct_report.p50_ms,
+            direct_report.p99_ms,
+            direct_report.p999_ms,
+        ],
     })
 }
 
