--- a/crates/wingspur-coordination/src/catalog_freshness.rs
+++ b/crates/wingspur-coordination/src/catalog_freshness.rs
@@ -101,13 +101,13 @@
     }
 
     /// Records that the store has answered this box.
-    pub fn note_answer(&mut self, now: Instant) {
+    pub fn record_store_reply(&mut self, now: Instant) {
         self.own_read_at = Some(now);
         self.own_read_failing = false;
     }
 
     /// Records that the store has not answered this box.
-    pub fn note_no_answer(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.own_read_failing = true;
     }
 
--- a/crates/wingspur-coordination/src/catalog_queue.rs
+++ b/crates/wingspur-coordination/src/catalog_queue.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether a snapshot is queued.
-    pub fn has_listing(&self) -> bool {
+    pub fn has_snapshot(&self) -> bool {
         self.listing().is_some()
     }
 
@@ -71,7 +71,7 @@
 
     /// Drops a queued snapshot that contains nothing new for the other side, which by now
     /// knows the history of the store up to `position` and a version of the bundle.
-    pub fn drop_known_listing(&mut self, position: StorePosition, bundle_version: u64) {
+    pub fn drop_known_snapshot(&mut self, position: StorePosition, bundle_version: u64) {
         let is_known = |update: &Arc<CatalogSnapshotUpdate>| {
             let bundle = update.snapshot.bundle.as_ref();
             update.snapshot.position <= position
@@ -85,7 +85,7 @@
     }
 
     /// Takes the queued snapshot, which is sent before everything else.
-    pub fn take_listing(&mut self) -> Option<Arc<CatalogSnapshotUpdate>> {
+    pub fn take_snapshot(&mut self) -> Option<Arc<CatalogSnapshotUpdate>> {
         let listing = self.listing()?.clone();
         self.updates.remove(0);
         Some(listing)
--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -167,7 +167,7 @@
     }
 
     /// Applies the list of boxes that another hub counts.
-    pub fn receive_census(
+    pub fn receive_membership(
         &mut self,
         id: LinkId,
         note: &MembershipUpdate,
@@ -182,7 +182,7 @@
 
     /// Returns the changes to the boxes that this hub counts which the hub on the link
     /// has not been sent yet; empty for other links.
-    pub fn census_for(&mut self, id: LinkId) -> MembershipUpdate {
+    pub fn membership_updates_for(&mut self, id: LinkId) -> MembershipUpdate {
         match self.links.get(&id).map(|link| link.role) {
             Some(PeerRole::Hub) => self.registry.updates_for(id),
             Some(PeerRole::Member | PeerRole::OwnHub) | None => {
--- a/crates/wingspur-coordination/src/link_plan.rs
+++ b/crates/wingspur-coordination/src/link_plan.rs
@@ -132,7 +132,7 @@
 
     /// Returns the size of a fleet of `boxes` boxes: the boxes and the known data
     /// centres.
-    pub fn division(&self, boxes: usize) -> FleetSize {
+    pub fn fleet_size(&self, boxes: usize) -> FleetSize {
         FleetSize {
             boxes,
             data_centres: self.other_data_centres().len() + 1,
--- a/crates/wingspur-coordination/src/quarantine_registry.rs
+++ b/crates/wingspur-coordination/src/quarantine_registry.rs
@@ -290,7 +290,7 @@
 /// Returns the time until the quarantine of a request expires in the store.
 fn quarantine_expires_in(known: Option<&StoredQuarantine>, now: Instant) -> Duration {
     known.map_or(SUSPECT_RETENTION, |known| {
-        (known.heard + SUSPECT_RETENTION).saturating_duration_since(now)
+        (known.learned_at + SUSPECT_RETENTION).saturating_duration_since(now)
     })
 }
 
--- a/crates/wingspur-coordination/src/quota_leases.rs
+++ b/crates/wingspur-coordination/src/quota_leases.rs
@@ -124,7 +124,7 @@
     /// The link on which it is sent.
     pub link: LinkId,
     /// The lease requests and replies in it.
-    pub lending: LeaseMessages,
+    pub messages: LeaseMessages,
     /// Whether a request waits for it; otherwise it is sent with the next frame.
     pub urgent: bool,
 }
@@ -416,7 +416,7 @@
             return denied;
         };
         let prefetch = PrefetchRequest {
-            borrower: link,
+            holder: link,
             held: request.held,
             wanted: request.wanted,
         };
@@ -484,7 +484,7 @@
     }
 
     /// Handles another box's reply to a lease request.
-    pub fn handle_answer(
+    pub fn handle_reply(
         &mut self,
         reply: &QuotaLeaseReply,
         topology: &QuotaTopology,
@@ -890,7 +890,7 @@
         };
         Self {
             link,
-            lending,
+            messages: lending,
             urgent: request.on_demand_count > 0,
         }
     }
@@ -903,7 +903,7 @@
         };
         Self {
             link,
-            lending,
+            messages: lending,
             urgent,
         }
     }
--- a/crates/wingspur-coordination/src/recent_changes.rs
+++ b/crates/wingspur-coordination/src/recent_changes.rs
@@ -20,7 +20,7 @@
 
 impl RecentChanges {
     /// Records a catalog update that is passed on. A snapshot clears the kept changes.
-    pub fn put(&mut self, update: &CatalogUpdate) {
+    pub fn record(&mut self, update: &CatalogUpdate) {
         let CatalogUpdate::Changes { changes, .. } = update else {
             return self.clear();
         };
--- a/crates/wingspur-coordination/src/snapshot_frames.rs
+++ b/crates/wingspur-coordination/src/snapshot_frames.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub struct PendingSnapshot {
     /// The snapshot.
-    pub listing: Arc<CatalogSnapshotUpdate>,
+    pub snapshot: Arc<CatalogSnapshotUpdate>,
     /// Version of the bundle that is active at the other side. The bundle of the snapshot
     /// is left out unless it is newer.
     pub bundle_version: BundleVersion,
@@ -31,7 +31,7 @@
 
 #[derive(Debug)]
 struct CachedFrame {
-    listing: Weak<CatalogSnapshotUpdate>,
+    snapshot: Weak<CatalogSnapshotUpdate>,
     with_bundle: bool,
     frame: EncodedFrame,
 }
@@ -43,7 +43,7 @@
         let with_bundle = pending.with_bundle();
         let is_same = |cached: &&CachedFrame| {
             let is_same_listing =
-                std::ptr::eq(cached.listing.as_ptr(), &*pending.listing);
+                std::ptr::eq(cached.snapshot.as_ptr(), &*pending.snapshot);
             is_same_listing && cached.with_bundle == with_bundle
         };
         if let Some(cached) = self.cached.iter().find(is_same) {
@@ -52,7 +52,7 @@
         let frame = pending.encode();
         self.encoded += 1;
         self.cached.push(CachedFrame {
-            listing: Arc::downgrade(&pending.listing),
+            snapshot: Arc::downgrade(&pending.snapshot),
             with_bundle,
             frame: frame.clone(),
         });
@@ -62,7 +62,7 @@
     /// Evicts the snapshots that no link has to be sent any more.
     pub fn evict_unused(&mut self) {
         self.cached
-            .retain(|cached| cached.listing.strong_count() > 0);
+            .retain(|cached| cached.snapshot.strong_count() > 0);
     }
 
     /// Returns the number of snapshots encoded so far.
@@ -73,15 +73,15 @@
 
 impl PendingSnapshot {
     fn with_bundle(&self) -> bool {
-        let bundle = self.listing.snapshot.bundle.as_ref();
+        let bundle = self.snapshot.snapshot.bundle.as_ref();
         bundle.is_some_and(|bundle| bundle.version > self.bundle_version)
     }
 
     fn encode(&self) -> EncodedFrame {
         let listing = match self.with_bundle() {
-            true => self.listing.clone(),
+            true => self.snapshot.clone(),
             false => {
-                let mut listing = (*self.listing).clone();
+                let mut listing = (*self.snapshot).clone();
                 listing.snapshot.bundle = None;
                 Arc::new(listing)
             }
--- a/crates/wingspur-edge/src/active_bundle.rs
+++ b/crates/wingspur-edge/src/active_bundle.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the usual size of a successful response in bytes.
-    pub fn answer_bytes(&self) -> u64 {
+    pub fn response_bytes(&self) -> u64 {
         self.response_bytes.load(Ordering::Relaxed)
     }
 
--- a/crates/wingspur-edge/src/active_link.rs
+++ b/crates/wingspur-edge/src/active_link.rs
@@ -95,7 +95,7 @@
 
     /// Whether a catalog snapshot is queued that the pacer does not allow to go out yet.
     pub fn is_snapshot_delayed(&self, pacer: &UpdatePacer, now: Instant) -> bool {
-        self.catalog.has_listing() && !pacer.snapshot_delay(now).is_zero()
+        self.catalog.has_snapshot() && !pacer.snapshot_delay(now).is_zero()
     }
 
     /// Whether the other side can use updates about servers: it knows the servers, or a
@@ -108,7 +108,7 @@
     /// to.
     pub fn catalog_due_in(&self, pacer: &UpdatePacer, now: Instant) -> Option<Duration> {
         let due = self.catalog.due_in(now)?;
-        Some(match self.catalog.has_listing() {
+        Some(match self.catalog.has_snapshot() {
             true => due.max(pacer.snapshot_delay(now)),
             false => due,
         })
@@ -119,10 +119,10 @@
     /// otherwise a hub that has just taken over would send the whole bundle to each
     /// member.
     pub fn take_snapshot(&mut self) -> Option<PendingSnapshot> {
-        let snapshot = self.catalog.take_listing()?;
+        let snapshot = self.catalog.take_snapshot()?;
         self.has_catalog = true;
         Some(PendingSnapshot {
-            listing: snapshot,
+            snapshot,
             bundle_version: self.bundle_version,
         })
     }
--- a/crates/wingspur-edge/src/attempt.rs
+++ b/crates/wingspur-edge/src/attempt.rs
@@ -426,7 +426,7 @@
         }
         let remaining_ms = self.remaining().as_millis().to_string();
         push_all(&mut head, &[names.deadline_ms, ": ", &remaining_ms, "\r\n"]);
-        if let Some(name) = names.expected_incarnation {
+        if let Some(name) = names.expected_server_id {
             push_all(&mut head, &[name, ": ", &self.pick.server.id, "\r\n"]);
         }
         if let Some(account) = account {
--- a/crates/wingspur-edge/src/catalog_watch.rs
+++ b/crates/wingspur-edge/src/catalog_watch.rs
@@ -185,7 +185,7 @@
             tracing::warn!(%error, "store: lost.");
         }
         self.failures += 1;
-        shared.links.lock().watch_state().note_no_answer();
+        shared.links.lock().watch_state().record_store_failure();
         shared.directory.lock().store_lost();
     }
 }
@@ -264,7 +264,7 @@
         .links
         .lock()
         .watch_state()
-        .note_answer(wingspur_clock::now());
+        .record_store_reply(wingspur_clock::now());
 }
 
 /// Records the response to a listing. A cheap one counts as [`CHEAP_LISTING_MAX_AGE`]
@@ -279,7 +279,7 @@
         .links
         .lock()
         .watch_state()
-        .note_answer(as_of.unwrap_or(now));
+        .record_store_reply(as_of.unwrap_or(now));
 }
 
 /// Returns whether the store has been restored since the catalog that this box knows was
--- a/crates/wingspur-edge/src/directory_changes.rs
+++ b/crates/wingspur-edge/src/directory_changes.rs
@@ -50,7 +50,7 @@
     let Some(as_of) = age.and_then(|age| now.checked_sub(age)) else {
         return;
     };
-    let changes = shared.directory.lock().settle(as_of);
+    let changes = shared.directory.lock().finish_grace(as_of);
     apply_server_changes(shared, &changes, "settled");
 }
 
--- a/crates/wingspur-edge/src/edge_box.rs
+++ b/crates/wingspur-edge/src/edge_box.rs
@@ -229,7 +229,7 @@
                 route = request.route,
                 server = request.server,
                 stage = ?request.stage,
-                took_ms = wingspur_clock::since(request.began).as_millis() as u64,
+                took_ms = wingspur_clock::since(request.received_at).as_millis() as u64,
                 "stop: a request is cut."
             );
         }
--- a/crates/wingspur-edge/src/edge_state.rs
+++ b/crates/wingspur-edge/src/edge_state.rs
@@ -208,7 +208,7 @@
     /// Recomputes this box's share of connections and retry budgets from the fleet's
     /// size.
     pub fn update_fleet_shares(&self) {
-        let fleet_size = self.links.lock().division(wingspur_clock::now());
+        let fleet_size = self.links.lock().fleet_size(wingspur_clock::now());
         if let Some(active) = self.active_bundle() {
             self.services.apply_fleet_shares(&active.bundle, fleet_size);
         }
--- a/crates/wingspur-edge/src/evacuation.rs
+++ b/crates/wingspur-edge/src/evacuation.rs
@@ -39,7 +39,7 @@
     source: &str,
     change: impl FnOnce(&mut BTreeSet<DataCentreId>),
 ) {
-    let (before, now) = shared.services.change_evacuated(change);
+    let (before, now) = shared.services.update_evacuated(change);
     for data_centre in now.difference(&before) {
         tracing::info!(data_centre, source, "evacuation: begun.");
     }
--- a/crates/wingspur-edge/src/forwarding.rs
+++ b/crates/wingspur-edge/src/forwarding.rs
@@ -280,7 +280,7 @@
         let id = self.outgoing.id.as_ref();
         log_pick(id, &pick, self.tried.len(), self.remaining());
         let in_flight = &self.outgoing.in_flight;
-        in_flight.sent(&pick.server.id, self.outgoing.fingerprint);
+        in_flight.record_sent(&pick.server.id, self.outgoing.fingerprint);
         let body = self.take_body();
         self.latest_attempt = Some((wingspur_clock::now(), pick.clone()));
         let attempt = UpstreamAttempt {
@@ -300,7 +300,7 @@
             retry_safe: self.is_retry_safe() && self.has_attempts_beyond_next(),
             typical_latency: stats.typical_latency(),
             cross_data_centre_cost: cross_data_centre_cost(
-                self.body_bytes() + stats.answer_bytes(),
+                self.body_bytes() + stats.response_bytes(),
             ),
             tried: &self.tried,
             service_load: self.service.budget.lock().service_load(now),
@@ -500,7 +500,7 @@
         let service = server_key(&self.service.name);
         let reported = hub.and_then(|hub| {
             let leases = self.shared.resend_leases.lock();
-            leases.spent_share(hub, service)
+            leases.used_ratio(hub, service)
         });
         reported.unwrap_or_else(|| {
             let decision = self.check_budget(ResendKind::Hedge);
@@ -692,7 +692,7 @@
     }
 
     fn record_failure(&mut self, failed: &FailedAttempt) {
-        self.may_have_run |= !failed.end.surely_not_run();
+        self.may_have_run |= !failed.end.certainly_not_run();
         tracing::info!(
             id = id_text(self.outgoing.id.as_ref()),
             fingerprint = %self.outgoing.fingerprint,
@@ -742,12 +742,12 @@
             .reported_failure
             .take()
             .and_then(|failure| failure.response);
-        let surely_not_run = !self.may_have_run;
+        let certainly_not_run = !self.may_have_run;
         let (id, remaining) = (self.outgoing.id.as_ref(), self.remaining());
         log_give_up(id, code, self.tried.len(), self.may_have_run, remaining);
         RequestError {
             code,
-            retry_after: surely_not_run.then(|| self.retry_after(code)),
+            retry_after: certainly_not_run.then(|| self.retry_after(code)),
             upstream_response: response,
         }
     }
--- a/crates/wingspur-edge/src/in_flight_requests.rs
+++ b/crates/wingspur-edge/src/in_flight_requests.rs
@@ -50,7 +50,7 @@
     /// Progress of the request.
     pub stage: RequestStage,
     /// When its head was received.
-    pub began: Instant,
+    pub received_at: Instant,
 }
 
 impl InFlightRequests {
@@ -71,7 +71,7 @@
             server: String::new(),
             fingerprint: None,
             stage: RequestStage::Taken,
-            began,
+            received_at: began,
         };
         self.by_number.lock().insert(number, details);
         Arc::new(InFlightGuard {
@@ -110,7 +110,9 @@
     pub fn oldest_text(&self, now: Instant) -> String {
         let mut text = String::new();
         for details in self.oldest(MAX_REQUESTS_IN_LOG_LINE) {
-            let age_ms = now.saturating_duration_since(details.began).as_millis();
+            let age_ms = now
+                .saturating_duration_since(details.received_at)
+                .as_millis();
             let InFlightRequest {
                 id,
                 route,
@@ -127,12 +129,12 @@
 
 impl InFlightGuard {
     /// Records the route.
-    pub fn routed(&self, route: &str) {
+    pub fn record_route(&self, route: &str) {
         self.change(|details| details.route = route.to_owned());
     }
 
     /// Records that the request is sent to a server.
-    pub fn sent(&self, server: &str, fingerprint: RequestFingerprint) {
+    pub fn record_sent(&self, server: &str, fingerprint: RequestFingerprint) {
         self.was_sent.store(true, Ordering::Release);
         self.change(|details| {
             details.stage = RequestStage::Sent;
@@ -142,7 +144,7 @@
     }
 
     /// Records that the response is being forwarded while it is received.
-    pub fn answering(&self) {
+    pub fn record_responding(&self) {
         self.change(|details| details.stage = RequestStage::Answering);
     }
 
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -284,7 +284,7 @@
         urgent: bool,
         from: Option<LinkId>,
     ) {
-        self.recent_changes.put(update);
+        self.recent_changes.record(update);
         for (id, link) in &mut self.active {
             if Some(*id) != from {
                 link.catalog.push(update, urgent);
@@ -498,12 +498,12 @@
                     frame.catalog = link.catalog.take(now);
                 }
                 if let Some(pending) = &snapshot {
-                    self.pacer.record_snapshot(&pending.listing, now);
+                    self.pacer.record_snapshot(&pending.snapshot, now);
                 }
                 frame.wants_snapshot = std::mem::take(&mut link.wants_snapshot);
                 let initial_state = link.initial_state.take_if(|_| accepts_updates);
                 frame.health = initial_state.unwrap_or_default().health;
-                frame.membership = self.fleet.census_for(*id);
+                frame.membership = self.fleet.membership_updates_for(*id);
                 let suspects = link.suspects.drain(..);
                 frame.suspects = suspects.map(|update| update.to_message(now)).collect();
                 let limits = std::mem::take(&mut link.limits).into_values();
@@ -695,12 +695,12 @@
         if !message.urgent {
             link.lease_messages
                 .requests
-                .extend(message.lending.requests);
-            link.lease_messages.replies.extend(message.lending.replies);
+                .extend(message.messages.requests);
+            link.lease_messages.replies.extend(message.messages.replies);
             return None;
         }
         let frame = Frame {
-            lease_messages: message.lending,
+            lease_messages: message.messages,
             content: FrameContent::LeaseMessages,
             ..Frame::default()
         };
@@ -714,9 +714,9 @@
 
     /// Returns the fleet size by which connections and budgets are divided among the
     /// boxes.
-    pub fn division(&mut self, now: Instant) -> FleetSize {
+    pub fn fleet_size(&mut self, now: Instant) -> FleetSize {
         let boxes = self.fleet_boxes(now);
-        self.planner.division(boxes)
+        self.planner.fleet_size(boxes)
     }
 
     /// Records what the other side of a link reports of itself: how many boxes it counts,
@@ -729,7 +729,8 @@
         link.bundle_version = frame.bundle_version;
         let known = frame.catalog_freshness.position;
         link.has_catalog |= !known.is_start();
-        link.catalog.drop_known_listing(known, frame.bundle_version);
+        link.catalog
+            .drop_known_snapshot(known, frame.bundle_version);
         link.clock.receive(&frame.timestamps);
         let confirmed_at = link.clock.peer_state_as_of();
         if let Some(confirmed_at) = confirmed_at {
@@ -738,7 +739,7 @@
         }
         let known = self.announced(now);
         self.fleet
-            .receive_census(id, &frame.membership, &known, now);
+            .receive_membership(id, &frame.membership, &known, now);
         self.fleet
             .receive(id, frame.fleet, &known, confirmed_at, now);
         self.fleet
--- a/crates/wingspur-edge/src/peer_exchange.rs
+++ b/crates/wingspur-edge/src/peer_exchange.rs
@@ -25,7 +25,7 @@
 use crate::quota_leases::handle_lease_messages;
 use crate::request_log::round_for_log;
 use crate::resend_lease_exchange::resend_budget_reports;
-use crate::server_hints::{handle_leaving_updates, handle_limit_updates};
+use crate::server_hints::{handle_draining_updates, handle_limit_updates};
 use crate::services::ServiceState;
 use crate::store_calls::handle_store_era;
 use crate::suspect_requests::{handle_suspect_updates, initial_suspect_updates};
@@ -158,7 +158,7 @@
         } else {
             CONNECT_TIMEOUT
         },
-        answer: OPEN_TIMEOUT,
+        reply: OPEN_TIMEOUT,
     };
     let opened = open_link(&shared.connector, to, LINK_PATH, timeouts).await;
     let (sender, mut receiver) = opened?;
@@ -325,7 +325,7 @@
     merge_health(shared, &frame, now);
     handle_suspect_updates(shared, id, &frame.suspects);
     handle_limit_updates(shared, id, &frame.limits);
-    handle_leaving_updates(shared, id, &frame.draining_servers);
+    handle_draining_updates(shared, id, &frame.draining_servers);
     if frame.leaving {
         shared.links.lock().note_peer_stop(id);
         shared.link_plan_changed.notify();
--- a/crates/wingspur-edge/src/quarantine.rs
+++ b/crates/wingspur-edge/src/quarantine.rs
@@ -190,7 +190,7 @@
         position: record.position,
         tries: record.tries,
         counted_by: record.counted_by,
-        heard: received_at,
+        learned_at: received_at,
     }
 }
 
--- a/crates/wingspur-edge/src/quota_leases.rs
+++ b/crates/wingspur-edge/src/quota_leases.rs
@@ -41,7 +41,7 @@
         return Ok(());
     }
     let started_at = wingspur_clock::now();
-    let resource = LeasedResource::Account(account.allowance());
+    let resource = LeasedResource::Account(account.quota_key());
     let outcome =
         acquire_quota(shared, resource, 0.0, MAX_QUOTA_WAIT.min(timeout / 2)).await;
     let (code, available_in) = match outcome {
@@ -98,7 +98,7 @@
     }
     let replies = received.replies.iter();
     for reply in replies.filter(|reply| is_quota(&reply.resource)) {
-        messages.extend(state.handle_answer(reply, &topology, &find, now));
+        messages.extend(state.handle_reply(reply, &topology, &find, now));
     }
     let is_busy = state.has_pending();
     drop(state);
@@ -257,7 +257,7 @@
     fn find(&self, shared: &EdgeState, resource: LeasedResource) -> Option<Quota> {
         match resource {
             LeasedResource::Account(key) => {
-                let account = self.accounts.as_ref()?.of_allowance(key)?;
+                let account = self.accounts.as_ref()?.find_by_quota(key)?;
                 Some(Quota {
                     terms: QuotaTerms::of_account(account, &self.quota),
                     allocator: QuotaAllocator::EachHub,
--- a/crates/wingspur-edge/src/request.rs
+++ b/crates/wingspur-edge/src/request.rs
@@ -58,7 +58,7 @@
         None => {
             // Whatever the request waits for, the caller gets a response before the box
             // ends.
-            let sent = log.ticket().was_sent();
+            let sent = log.in_flight().was_sent();
             respond_with_error(
                 &shared,
                 RequestError::from_code(shutdown_result(sent)),
@@ -113,7 +113,7 @@
     let class = route.route.class.as_str();
     let labels = [service.name.as_str(), class];
     shared.metrics.requests.with_label_values(&labels).inc();
-    let in_flight = log.ticket().clone();
+    let in_flight = log.in_flight().clone();
     let fingerprint = fingerprint(&parts, &admitted, &body);
     log.set_fingerprint(fingerprint);
     let received = ReceivedRequest {
@@ -190,7 +190,7 @@
     strip_credentials(&mut headers, names.account, has_keys);
     headers.remove(names.deadline_ms);
     headers.remove(CONTENT_LENGTH);
-    if let Some(name) = names.expected_incarnation {
+    if let Some(name) = names.expected_server_id {
         headers.remove(name);
     }
     let target = parts.uri.path_and_query();
--- a/crates/wingspur-edge/src/request_log.rs
+++ b/crates/wingspur-edge/src/request_log.rs
@@ -65,7 +65,7 @@
         service: &str,
         version: BundleVersion,
     ) {
-        self.in_flight.routed(&route.route.name);
+        self.in_flight.record_route(&route.route.name);
         self.routed = Some(RequestRoute {
             route: route.clone(),
             service: service.to_owned(),
@@ -90,7 +90,7 @@
     }
 
     /// Returns the guard that keeps the request registered as in flight.
-    pub fn ticket(&self) -> &Arc<InFlightGuard> {
+    pub fn in_flight(&self) -> &Arc<InFlightGuard> {
         &self.in_flight
     }
 
--- a/crates/wingspur-edge/src/resend_leases.rs
+++ b/crates/wingspur-edge/src/resend_leases.rs
@@ -74,7 +74,7 @@
     /// Returns the fraction of a service's retry budget that is spent over the boxes of a
     /// hub, according to the hub's last report. `None` if it has reported none for the
     /// service.
-    pub fn spent_share(&self, hub: LinkId, service: ServerKey) -> Option<f64> {
+    pub fn used_ratio(&self, hub: LinkId, service: ServerKey) -> Option<f64> {
         let usage = self.usage_by_link.get(&hub)?.get(&service)?;
         Some(f64::from(usage.spent) / f64::from(usage.limit).max(1.0))
     }
--- a/crates/wingspur-edge/src/response_body.rs
+++ b/crates/wingspur-edge/src/response_body.rs
@@ -40,7 +40,7 @@
         length: Option<u64>,
         in_flight: Arc<InFlightGuard>,
     ) -> Self {
-        in_flight.answering();
+        in_flight.record_responding();
         let state = (first.into_iter(), Some((connection, guard)));
         let chunks =
             futures_lite::stream::unfold(state, |(mut first, source)| async move {
--- a/crates/wingspur-edge/src/server_hints.rs
+++ b/crates/wingspur-edge/src/server_hints.rs
@@ -93,7 +93,7 @@
     at: Instant,
 ) {
     let mut states = shared.announced_states.lock();
-    let change = states.limits.receive_answer(server.key(), per_s, at);
+    let change = states.limits.receive_response(server.key(), per_s, at);
     drop(states);
     if let Some(change) = change {
         apply_limit(shared, &change, "own", None);
@@ -161,7 +161,7 @@
 }
 
 /// Applies another box's report that servers are draining and forwards what is new.
-pub fn handle_leaving_updates(
+pub fn handle_draining_updates(
     shared: &EdgeState,
     link: LinkId,
     updates: &[ServerDrainingUpdate],
--- a/crates/wingspur-edge/src/services.rs
+++ b/crates/wingspur-edge/src/services.rs
@@ -90,7 +90,7 @@
 
     /// Changes the set of evacuated data centres, whose servers are sent no further
     /// requests. Returns the sets before and after the change.
-    pub fn change_evacuated(
+    pub fn update_evacuated(
         &self,
         change: impl FnOnce(&mut BTreeSet<DataCentreId>),
     ) -> (Arc<BTreeSet<DataCentreId>>, Arc<BTreeSet<DataCentreId>>) {
@@ -184,7 +184,7 @@
             }
             balancer.set_warmup_rate_limit(declared.cold_requests_per_s);
             drop(balancer);
-            service.budget.lock().set_division(fleet_size);
+            service.budget.lock().set_fleet_size(fleet_size);
         }
     }
 
--- a/crates/wingspur-edge/src/settings.rs
+++ b/crates/wingspur-edge/src/settings.rs
@@ -39,7 +39,7 @@
     /// The product's own sources; `None` where their fields are left out, which is
     /// allowed only with a `catalog`.
     #[serde(flatten)]
-    pub own: Option<OwnSources>,
+    pub own_sources: Option<OwnSources>,
     /// The catalog; `None` where the product's own sources are used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub catalog: Option<CatalogSettings>,
--- a/crates/wingspur-entry/src/entry_box.rs
+++ b/crates/wingspur-entry/src/entry_box.rs
@@ -70,7 +70,7 @@
         spawner: &Spawner,
         faults: FaultInjector,
     ) -> Result<Self, StartError> {
-        let sources = settings.own.clone().ok_or(StartError::NoSources)?;
+        let sources = settings.own_sources.clone().ok_or(StartError::NoSources)?;
         let caller_port = bind("caller_address", settings.caller_address).await?;
         let peer_port = bind("peer_address", settings.peer_address).await?;
         let operator_port = bind("operator_address", settings.operator_address).await?;
--- a/crates/wingspur-entry/src/hosted_detectors.rs
+++ b/crates/wingspur-entry/src/hosted_detectors.rs
@@ -57,7 +57,8 @@
             return;
         }
         for server in 0..handle.service.servers.len() {
-            self.detector.set_leaving(server, table.is_leaving(server));
+            self.detector
+                .set_draining(server, table.is_draining(server));
         }
     }
 
--- a/crates/wingspur-entry/src/peers.rs
+++ b/crates/wingspur-entry/src/peers.rs
@@ -177,7 +177,7 @@
         for (index, server) in handle.service.servers.iter().enumerate() {
             let same = |listed: &ListedServer| listed.address == server.address;
             let leaving = list.leaving_servers.iter().any(same);
-            table.set_listed_leaving(index, leaving);
+            table.set_listed_draining(index, leaving);
         }
     }
 }
--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -181,8 +181,8 @@
                 guard.record_outcome(OperationOutcome::Ran);
                 Ok(self.relay(&pending, response, lease, attempt, place))
             }
-            Err((code, surely_not_run)) => {
-                guard.record_outcome(match surely_not_run {
+            Err((code, certainly_not_run)) => {
+                guard.record_outcome(match certainly_not_run {
                     true => OperationOutcome::NotRun,
                     false => OperationOutcome::Unknown,
                 });
@@ -212,7 +212,7 @@
                 Ok(answered) => return Ok(answered),
                 Err(failed) => failed,
             };
-            in_doubt |= !failed.end.surely_not_run();
+            in_doubt |= !failed.end.certainly_not_run();
             body = failed.unsent.or(kept);
             if !self.may_retry(pending, failed.end, tried.len(), body.is_some()) {
                 return Err(give_up(failed.code, in_doubt));
--- a/crates/wingspur-protocol/src/headers.rs
+++ b/crates/wingspur-protocol/src/headers.rs
@@ -13,14 +13,14 @@
     pub server_stamp: Option<&'static str>,
     /// The id of the server that a request is meant for; any other server answers 421.
     /// `None` where servers have no such header.
-    pub expected_incarnation: Option<&'static str>,
+    pub expected_server_id: Option<&'static str>,
     /// A header by which a server states that it did not run the request. `None` where
     /// servers have no such header.
     pub not_executed: Option<&'static str>,
-    /// The load of a server, in the format of `load_form`.
+    /// The load of a server, in the format of `load_format`.
     pub load: &'static str,
     /// The format of the load header.
-    pub load_form: LoadFormat,
+    pub load_format: LoadFormat,
     /// The requests per second that a server accepts from all boxes together. The limit
     /// holds for as long as the server's responses carry it. `None` where servers have no
     /// such header.
@@ -47,10 +47,10 @@
         request_id: "x-request-id",
         deadline_ms: "wingspur-deadline-ms",
         server_stamp: None,
-        expected_incarnation: None,
+        expected_server_id: None,
         not_executed: None,
         load: "endpoint-load-metrics",
-        load_form: LoadFormat::EndpointLoadMetrics,
+        load_format: LoadFormat::EndpointLoadMetrics,
         server_limit: None,
         account: "wingspur-account",
         draining: Some("wingspur-draining"),
--- a/crates/wingspur-state/src/account.rs
+++ b/crates/wingspur-state/src/account.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the key of its quota, which identifies it between boxes.
-    pub fn allowance(&self) -> QuotaKey {
+    pub fn quota_key(&self) -> QuotaKey {
         server_key(&format!("account/{}", self.name))
     }
 }
@@ -64,7 +64,7 @@
         });
         let quota_entries = accounts.iter();
         let quota_entries =
-            quota_entries.map(|account| (account.allowance(), account.clone()));
+            quota_entries.map(|account| (account.quota_key(), account.clone()));
         Self {
             by_key: key_entries.collect(),
             by_quota: quota_entries.collect(),
@@ -77,7 +77,7 @@
     }
 
     /// Returns the account that a quota belongs to, `None` if there is none.
-    pub fn of_allowance(&self, key: QuotaKey) -> Option<&Arc<ClientAccount>> {
+    pub fn find_by_quota(&self, key: QuotaKey) -> Option<&Arc<ClientAccount>> {
         self.by_quota.get(&key)
     }
 }
--- a/crates/wingspur-state/src/balancer.rs
+++ b/crates/wingspur-state/src/balancer.rs
@@ -17,12 +17,14 @@
 use crate::choice_set::{
     MAX_EXTRA_COST_RATIO, MAX_EXTRA_COST_RATIO_WITH_SPARE_SLOTS, draw_from_cheapest,
 };
-use crate::health::{Health, HealthSnapshot, UnknownFailures, UsualFailures};
+use crate::health::{
+    BaselineFailureRate, Health, HealthSnapshot, UnknownServerFailureRate,
+};
 use crate::idle_probe::{
     IdleProbeInputs, IdleServer, TRUSTED_FAILURE_PROBABILITY, can_meet_floor,
     enforces_floor_strictly, pick_idle_probe,
 };
-use crate::retry_after::LONGEST_RETURN;
+use crate::retry_after::MAX_RETRY_AFTER;
 use crate::tracked_server::{
     Attempt, Distance, ExpectedLatency, HealthOutcome, Server, path_outcome,
 };
@@ -45,9 +47,9 @@
     attempts: HashMap<AttemptId, Attempt>,
     next_attempt: AttemptId,
     /// The failure ratio of healthy servers.
-    baseline_failures: UsualFailures,
+    baseline_failures: BaselineFailureRate,
     /// The failure ratio of servers without a recent successful response.
-    unknown_failures: UnknownFailures,
+    unknown_failures: UnknownServerFailureRate,
     /// The maximum number of requests that this box may have in flight at one server.
     max_in_flight: u32,
     /// Whether a server has become much more likely to be faulty since the last
@@ -127,8 +129,8 @@
             warmup_rate_limit_per_s: None,
             attempts: HashMap::new(),
             next_attempt: 1,
-            baseline_failures: UsualFailures::new(),
-            unknown_failures: UnknownFailures::default(),
+            baseline_failures: BaselineFailureRate::new(),
+            unknown_failures: UnknownServerFailureRate::default(),
             max_in_flight: u32::MAX,
             has_new_suspicion: false,
         }
@@ -137,34 +139,34 @@
     /// Adds a server, or updates its record.
     pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let key = record.key();
-        let cold_until = now + Duration::from_millis(record.cold_ms);
+        let warmup_until = now + Duration::from_millis(record.cold_ms);
         let record = Arc::new(record);
         let distance = self.distance(&record.data_centre);
         let new_server = || Server {
             record: record.clone(),
             distance,
-            cold_until,
-            own: ServerTally::default(),
+            warmup_until,
+            local_tally: ServerTally::default(),
             changed: false,
             remote: BTreeMap::new(),
             health: Health::new(now),
-            path: Health::new(now),
-            sent: now,
-            answered: None,
-            failed: None,
-            refused: None,
-            surely_sick: None,
-            heard: None,
-            standing: AnnouncedState::default(),
-            suspect: false,
+            path_health: Health::new(now),
+            last_request_at: now,
+            last_success_at: None,
+            last_failure_at: None,
+            last_refusal_at: None,
+            last_certain_failure_at: None,
+            last_report_at: None,
+            announced_state: AnnouncedState::default(),
+            is_suspected: false,
         };
         let server = self.servers.entry(key).or_insert_with(new_server);
         if record.leaving {
-            server.standing.mark_catalog_draining(now);
+            server.announced_state.mark_catalog_draining(now);
         }
-        server.cold_until = match record.cold_ms {
+        server.warmup_until = match record.cold_ms {
             0 => now,
-            _ => server.cold_until.max(cold_until),
+            _ => server.warmup_until.max(warmup_until),
         };
         server.record = record;
         server.distance = distance;
@@ -196,14 +198,14 @@
     /// Sets the announced state of a server.
     pub fn set_announced_state(&mut self, key: ServerKey, state: AnnouncedState) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.standing = state;
+            server.announced_state = state;
         }
     }
 
     /// Sets a server's limit over all boxes, in requests a second; `None` for no limit.
     pub fn set_limit(&mut self, key: ServerKey, per_s: Option<f64>) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.standing.set_limit(per_s);
+            server.announced_state.set_limit(per_s);
         }
     }
 
@@ -223,7 +225,7 @@
     /// limit.
     pub fn limit(&self, key: ServerKey, now: Instant) -> Option<f64> {
         let server = self.servers.get(&key)?;
-        let limits = [server.standing.limit(), self.cold_limit(server, now)];
+        let limits = [server.announced_state.limit(), self.cold_limit(server, now)];
         limits.into_iter().flatten().min_by(f64::total_cmp)
     }
 
@@ -306,7 +308,7 @@
                 + self.penalty_ms(server, request, &estimate, now);
             if has_spare_slots
                 && server
-                    .refused
+                    .last_refusal_at
                     .is_some_and(|at| now < at + FULL_QUEUE_DURATION)
             {
                 cost += typical_ms;
@@ -439,7 +441,7 @@
             return Availability::Unavailable;
         }
         match (
-            server.standing.availability(now),
+            server.announced_state.availability(now),
             self.cold_limit(server, now),
         ) {
             (Availability::Open, Some(cold)) => Availability::RequiresQuota(cold),
@@ -452,7 +454,7 @@
 
     fn cold_limit(&self, server: &Server, now: Instant) -> Option<f64> {
         self.warmup_rate_limit_per_s
-            .filter(|_| now < server.cold_until)
+            .filter(|_| now < server.warmup_until)
     }
 
     /// Returns whether a request may be sent to a server; `None` if it was already sent
@@ -463,7 +465,7 @@
         request: &PickRequest<'_>,
         now: Instant,
     ) -> Option<Availability> {
-        let is_saturated = server.own.in_flight >= self.max_in_flight;
+        let is_saturated = server.local_tally.in_flight >= self.max_in_flight;
         let was_tried = request.tried.contains(&server.record.key());
         let is_allowed = !is_saturated && !was_tried;
         is_allowed.then(|| self.availability(server, now))
@@ -523,7 +525,7 @@
                 Availability::RequiresQuota(per_s) => per_s,
                 // Callers that get a `Retry-After` now find the server available on
                 // return.
-                Availability::BackoffUntil(until) if until <= now + LONGEST_RETURN => {
+                Availability::BackoffUntil(until) if until <= now + MAX_RETRY_AFTER => {
                     f64::INFINITY
                 }
                 Availability::BackoffUntil(_)
@@ -531,8 +533,8 @@
                 | Availability::Unavailable => 0.0,
             };
             let health = server.health.at(now);
-            let answered = 1.0 - server.failure_share(baseline_failure_ratio, now);
-            let accepted = 1.0 - health.refusal_share();
+            let answered = 1.0 - server.failure_probability(baseline_failure_ratio, now);
+            let accepted = 1.0 - health.refusal_probability();
             let slots = f64::from(server.record.slots) / health.slowness();
             let per_s = slots * answered * accepted / typical_s;
             per_s.min(max_per_s)
@@ -550,16 +552,16 @@
         let id = self.next_attempt;
         self.next_attempt += 1;
         if let Some(server) = self.servers.get_mut(&key) {
-            server.own.in_flight += 1;
+            server.local_tally.in_flight += 1;
             server.changed = true;
-            server.sent = now;
+            server.last_request_at = now;
         }
         let attempt = Attempt {
             server: key,
             since: now,
             expected,
             silence_quarters: 0,
-            answering: false,
+            response_started: false,
         };
         self.attempts.insert(id, attempt);
         id
@@ -574,22 +576,22 @@
             return;
         };
         server.changed = true;
-        server.own.in_flight = server.own.in_flight.saturating_sub(1);
-        server.take_back_silence(attempt.silence_quarters);
+        server.local_tally.in_flight = server.local_tally.in_flight.saturating_sub(1);
+        server.remove_silence_evidence(attempt.silence_quarters);
         let tally_change = attempt.outcome(ended, now);
-        server.own = server.own.plus(&tally_change);
+        server.local_tally = server.local_tally.plus(&tally_change);
         self.unknown_failures
             .add(&tally_change, server.unanswered_for(now));
         let baseline_failure_ratio = self.baseline_failures.share();
         self.has_new_suspicion |=
-            server.observe(&tally_change, baseline_failure_ratio, now);
-        server.path.add(
+            server.record_outcomes(&tally_change, baseline_failure_ratio, now);
+        server.path_health.add(
             &path_outcome(ended, &tally_change),
             baseline_failure_ratio,
             now,
         );
         self.baseline_failures
-            .add(&tally_change, 1.0 - server.health.sickness());
+            .add(&tally_change, 1.0 - server.health.unhealthy_probability());
     }
 
     /// Applies a tally that a source reports for other boxes; `updates` are the outcomes
@@ -604,19 +606,19 @@
         let Some(server) = self.servers.get_mut(&key) else {
             return;
         };
-        server.heard = Some(now);
+        server.last_report_at = Some(now);
         let previous = server.remote.insert(source, tally).unwrap_or_default();
         if tally.in_flight > previous.in_flight
             || updates.good + updates.failed + updates.refused > 0
         {
-            server.sent = now;
+            server.last_request_at = now;
         }
         self.unknown_failures
             .add(updates, server.unanswered_for(now));
         self.has_new_suspicion |=
-            server.observe(updates, self.baseline_failures.share(), now);
+            server.record_outcomes(updates, self.baseline_failures.share(), now);
         self.baseline_failures
-            .add(updates, 1.0 - server.health.sickness());
+            .add(updates, 1.0 - server.health.unhealthy_probability());
     }
 
     /// Returns whether a server has become much more likely to be faulty since the last
@@ -667,7 +669,7 @@
         }
         attempt.silence_quarters = quarters;
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.own.silence_quarters += added_quarters;
+            server.local_tally.silence_quarters += added_quarters;
             server.changed = true;
         }
         true
@@ -680,10 +682,10 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.answering = true;
+        attempt.response_started = true;
         let quarters = std::mem::take(&mut attempt.silence_quarters);
         if let Some(server) = self.servers.get_mut(&attempt.server) {
-            server.take_back_silence(quarters);
+            server.remove_silence_evidence(quarters);
         }
     }
 
@@ -693,14 +695,17 @@
         changed
             .map(|(key, server)| {
                 server.changed = false;
-                (*key, server.own)
+                (*key, server.local_tally)
             })
             .collect()
     }
 
     /// Returns all of this box's tallies that are not empty.
     pub fn tallies(&self) -> Vec<KeyedTally> {
-        let tallies = self.servers.iter().map(|(key, server)| (*key, server.own));
+        let tallies = self
+            .servers
+            .iter()
+            .map(|(key, server)| (*key, server.local_tally));
         tallies
             .filter(|(_, tally)| *tally != ServerTally::default())
             .collect()
@@ -717,17 +722,17 @@
         let baseline_failure_ratio = self.baseline_failures.share();
         let mut changes = Vec::new();
         for server in self.servers.values_mut() {
-            let probability = server.failure_share(baseline_failure_ratio, now);
+            let probability = server.failure_probability(baseline_failure_ratio, now);
             let suspected = probability >= SUSPECTED_FAILURE_PROBABILITY;
-            if suspected == server.suspect {
+            if suspected == server.is_suspected {
                 continue;
             }
-            server.suspect = suspected;
+            server.is_suspected = suspected;
             changes.push(SuspicionChange {
                 server: server.record.clone(),
                 is_suspected: suspected,
                 failure_probability: probability,
-                last_request_at: now.saturating_duration_since(server.sent),
+                last_request_at: now.saturating_duration_since(server.last_request_at),
             });
         }
         changes
@@ -740,7 +745,7 @@
         let suspected = |server: &&Server| {
             let is_unavailable =
                 self.availability(server, now) == Availability::Unavailable;
-            server.failure_share(baseline_failure_ratio, now)
+            server.failure_probability(baseline_failure_ratio, now)
                 >= SUSPECTED_FAILURE_PROBABILITY
                 || is_unavailable
         };
@@ -762,11 +767,11 @@
             !request.retry_safe && !enforces_floor_strictly(&request.service_load);
         let may_be_healthy = |server: &&Server| {
             let failed = server
-                .failed
+                .last_failure_at
                 .is_some_and(|at| now < at + PROBE_DELAY_AFTER_FAILURE);
             let was_faulty = spares_faulty
                 && server
-                    .surely_sick
+                    .last_certain_failure_at
                     .is_some_and(|at| now < at + PROBE_DELAY_AFTER_FAULT);
             // Servers with limits are not counted, because they are sent what their
             // limits allow. Draining servers and those that back off get no requests at
@@ -785,8 +790,9 @@
                 is_far || (local_only && server.distance != Distance::SameDataCentre);
             IdleServer {
                 key,
-                idle_for: now.saturating_duration_since(server.sent),
-                failure_probability: server.failure_share(baseline_failure_ratio, now),
+                idle_for: now.saturating_duration_since(server.last_request_at),
+                failure_probability: server
+                    .failure_probability(baseline_failure_ratio, now),
                 is_eligible: !is_too_far && !request.tried.contains(&key),
             }
         };
@@ -814,7 +820,7 @@
     ) -> Estimate {
         let in_flight = server.in_flight();
         let slots = f64::from(server.record.slots.max(1));
-        let cold_slowness = if now < server.cold_until {
+        let cold_slowness = if now < server.warmup_until {
             COLD_SLOWNESS
         } else {
             1.0
@@ -825,7 +831,7 @@
         let queue_rounds = (f64::from(in_flight) + 1.0 - slots).max(0.0) / slots;
         let load_slowdown = FULL_LOAD_SLOWDOWN_RATIO * f64::from(in_flight) / slots;
         let baseline_ms = typical_ms * (1.0 + queue_rounds + load_slowdown);
-        let own_probability = server.failure_share(baseline_failure_ratio, now);
+        let own_probability = server.failure_probability(baseline_failure_ratio, now);
         Estimate {
             expected_ms: baseline_ms * slowness,
             baseline_ms,
@@ -850,7 +856,7 @@
         } else {
             NON_RETRY_SAFE_FAILURE_MS
         };
-        let refusal_ratio = server.health.at(now).refusal_share();
+        let refusal_ratio = server.health.at(now).refusal_probability();
         let crossing_ms = request.cross_data_centre_cost.as_secs_f64() * 1000.0;
         let crossing_ms = match server.distance {
             Distance::SameDataCentre => 0.0,
@@ -893,7 +899,9 @@
             candidates,
             choice_set_size: 0,
             is_idle_probe: false,
-            last_report_age: server.heard.map(|at| now.saturating_duration_since(at)),
+            last_report_age: server
+                .last_report_at
+                .map(|at| now.saturating_duration_since(at)),
         }
     }
 }
--- a/crates/wingspur-state/src/correlated_suspicion.rs
+++ b/crates/wingspur-state/src/correlated_suspicion.rs
@@ -12,12 +12,12 @@
 /// them, it may only be slow at present: a suspicion must last until the change of its
 /// latency is known.
 #[derive(Debug)]
-pub struct Unease {
+pub struct CorrelatedSuspicion {
     is_service_wide: bool,
     is_in_raised_group: Vec<bool>,
 }
 
-impl Unease {
+impl CorrelatedSuspicion {
     /// Compares the suspicion score of each server with `raised_at`; `groups` are the
     /// servers of each data centre.
     pub fn new(
@@ -60,7 +60,7 @@
 }
 
 /// Returns the servers of each data centre.
-pub fn groups_of(service: &Service) -> Vec<Vec<ServerIndex>> {
+pub fn servers_by_data_centre(service: &Service) -> Vec<Vec<ServerIndex>> {
     let mut groups: BTreeMap<&str, Vec<ServerIndex>> = BTreeMap::new();
     for (index, server) in service.servers.iter().enumerate() {
         groups.entry(&server.data_centre).or_default().push(index);
@@ -69,7 +69,7 @@
 }
 
 /// A suspicion score counts as raised from this fraction of the ejection threshold.
-pub const UNEASY_SHARE: f64 = 0.25;
+pub const RAISED_SCORE_RATIO: f64 = 0.25;
 const MIN_SERVERS_TO_COMPARE: usize = 3;
 /// The change of a data centre's latency is known after this time.
 const GROUP_SUSPICION_DELAY: Duration = Duration::from_millis(2500);
--- a/crates/wingspur-state/src/fleet_retry_budget.rs
+++ b/crates/wingspur-state/src/fleet_retry_budget.rs
@@ -203,7 +203,7 @@
     }
 
     /// Records the current size of the fleet.
-    pub fn set_division(&mut self, fleet_size: FleetSize) {
+    pub fn set_fleet_size(&mut self, fleet_size: FleetSize) {
         self.fleet_size = fleet_size;
     }
 
--- a/crates/wingspur-state/src/health.rs
+++ b/crates/wingspur-state/src/health.rs
@@ -120,19 +120,19 @@
     /// `usual` is the share of requests that fail at a healthy server. `silence_quarters`
     /// is the failure evidence from unanswered requests in flight, in quarters of a
     /// failure.
-    pub fn failure_share(&self, usual: f64, silence_quarters: u32) -> f64 {
+    pub fn failure_probability(&self, usual: f64, silence_quarters: u32) -> f64 {
         let silent = f64::from(silence_quarters) / 4.0;
         let failing = shift(self.failing, silent, 0.0, usual);
         failing * UNHEALTHY_FAILURE_RATE + (1.0 - failing) * usual
     }
 
     /// Returns the probability that the server refuses a request now.
-    pub fn refusal_share(&self) -> f64 {
+    pub fn refusal_probability(&self) -> f64 {
         self.refusing * UNHEALTHY_FAILURE_RATE
     }
 
     /// Returns the probability that the server is unhealthy, i.e. fails most requests.
-    pub fn sickness(&self) -> f64 {
+    pub fn unhealthy_probability(&self) -> f64 {
         self.failing
     }
 
@@ -148,12 +148,12 @@
 /// Baseline failure rate: the share of requests that fail at healthy servers of a
 /// service.
 #[derive(Debug, Clone, Copy)]
-pub struct UsualFailures {
+pub struct BaselineFailureRate {
     failed: f64,
     all: f64,
 }
 
-impl UsualFailures {
+impl BaselineFailureRate {
     /// Creates the estimate of a service without outcomes.
     pub fn new() -> Self {
         Self {
@@ -187,12 +187,12 @@
 /// servers is unknown most of the time. A server that has responded recently is then a
 /// better choice than its own outcomes alone show.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct UnknownFailures {
+pub struct UnknownServerFailureRate {
     failed: f64,
     all: f64,
 }
 
-impl UnknownFailures {
+impl UnknownServerFailureRate {
     /// Adds outcomes of a server whose last good response was `unanswered_for` ago,
     /// `None` if it has never had one. A server that responded recently is left out.
     pub fn add(&mut self, counts: &ServerTally, unanswered_for: Option<Duration>) {
@@ -222,7 +222,7 @@
     }
 }
 
-impl Default for UsualFailures {
+impl Default for BaselineFailureRate {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/wingspur-state/src/outlier_detector.rs
+++ b/crates/wingspur-state/src/outlier_detector.rs
@@ -11,7 +11,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
+use crate::correlated_suspicion::{
+    CorrelatedSuspicion, RAISED_SCORE_RATIO, servers_by_data_centre,
+};
 use crate::evidence::{Evidence, EvidenceReport, MIN_BUSY_SHARE, ejection_threshold};
 use crate::{BoxId, DataCentreId, ServerIndex, Service};
 
@@ -164,7 +166,7 @@
             busy_share: MIN_BUSY_SHARE,
             floor_slots: service.floor_slots(),
             servers: service.servers.iter().map(MonitoredServer::new).collect(),
-            groups: groups_of(service),
+            groups: servers_by_data_centre(service),
             observers: HashMap::new(),
             record: None,
             last_tick: None,
@@ -212,7 +214,7 @@
     }
 
     /// Sets whether a server is draining.
-    pub fn set_leaving(&mut self, server: ServerIndex, draining: bool) {
+    pub fn set_draining(&mut self, server: ServerIndex, draining: bool) {
         self.servers[server].draining = draining;
     }
 
@@ -366,7 +368,7 @@
     /// Boxes of other data centres should then send it requests too.
     fn needs_observers(&self, server: &MonitoredServer) -> bool {
         let enough = MIN_OBSERVERS.min(self.observers.len());
-        server.ramped_evidence >= self.threshold * UNEASY_SHARE
+        server.ramped_evidence >= self.threshold * RAISED_SCORE_RATIO
             && server.observers() < enough
     }
 
@@ -384,9 +386,10 @@
     /// Marks servers over the threshold as suspected, unless many servers show evidence
     /// at once, and clears those whose evidence is gone.
     fn update_suspicions(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
-        let correlation_threshold = self.threshold * UNEASY_SHARE;
+        let correlation_threshold = self.threshold * RAISED_SCORE_RATIO;
         let scores = self.servers.iter().map(MonitoredServer::correlation_score);
-        let correlated = Unease::new(scores, &self.groups, correlation_threshold);
+        let correlated =
+            CorrelatedSuspicion::new(scores, &self.groups, correlation_threshold);
         for (index, server) in self.servers.iter_mut().enumerate() {
             if server.ramped_evidence < self.threshold {
                 server.over_threshold_since = None;
--- a/crates/wingspur-state/src/quota_pool.rs
+++ b/crates/wingspur-state/src/quota_pool.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PrefetchRequest {
     /// The box that asks.
-    pub borrower: LeaseHolderId,
+    pub holder: LeaseHolderId,
     /// The prefetched tokens that it held when it asked.
     pub held: f64,
     /// The tokens that it wants in addition.
@@ -171,7 +171,7 @@
         history: &ShareHistory,
         now: Instant,
     ) -> PrefetchGrant {
-        if let Some(lease) = self.leases.get_mut(&request.borrower) {
+        if let Some(lease) = self.leases.get_mut(&request.holder) {
             // The box has spent the remainder, so nobody holds it any more.
             lease.amount = lease.amount.min(request.held);
         }
@@ -188,7 +188,7 @@
         // that share.
         let held = self
             .leases
-            .get(&request.borrower)
+            .get(&request.holder)
             .map_or(0.0, |lease| lease.amount);
         let renewed =
             held > 0.0 && self.leased() <= terms.burst * history.prefetch_share(terms);
@@ -197,7 +197,7 @@
                 amount: held + amount,
                 expires_at: now + PREFETCH_LEASE_TTL,
             };
-            self.leases.insert(request.borrower, lease);
+            self.leases.insert(request.holder, lease);
         }
         PrefetchGrant { amount, renewed }
     }
--- a/crates/wingspur-state/src/retry.rs
+++ b/crates/wingspur-state/src/retry.rs
@@ -24,7 +24,7 @@
 
 impl AttemptEnd {
     /// Whether it is certain that the request did not run in this attempt.
-    pub fn surely_not_run(self) -> bool {
+    pub fn certainly_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::RefusedBeforeRunning)
     }
 }
--- a/crates/wingspur-state/src/retry_after.rs
+++ b/crates/wingspur-state/src/retry_after.rs
@@ -30,7 +30,7 @@
 
 impl RetryAfterSchedule {
     /// Reserves a retry time for a refused caller and returns the wait until then, at
-    /// most `LONGEST_RETURN`.
+    /// most `MAX_RETRY_AFTER`.
     ///
     /// Staggering keeps callers that were refused at once from coming back together and
     /// being refused again. Each caller gets a time of its own after those of callers
@@ -44,7 +44,7 @@
     ) -> Duration {
         let interval =
             Duration::from_secs_f64(1.0 / inputs.spare_per_s.max(MIN_SPARE_PER_S));
-        let interval = interval.min(LONGEST_RETURN);
+        let interval = interval.min(MAX_RETRY_AFTER);
         // A random offset keeps boxes that refuse at the same time from giving equal
         // times.
         let phase = interval.mul_f64(random.random());
@@ -53,7 +53,7 @@
         let retry_at = reserved.map_or(earliest, |reserved| reserved.max(earliest));
         // A caller whose time would be past the limit gets the limit and reserves
         // nothing.
-        let limit = now + LONGEST_RETURN;
+        let limit = now + MAX_RETRY_AFTER;
         if retry_at < limit {
             self.next.insert(inputs.priority, retry_at + interval);
         }
@@ -79,10 +79,10 @@
 /// tenths of a second.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The longest wait that a caller is given: a third of its time limit of a few seconds.
-pub const LONGEST_RETURN: Duration = Duration::from_secs(2);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Share of the capacity that is readmitted at least: an overloaded service also
 /// completes requests all the time.
 const MIN_SPARE_SHARE: f64 = 0.1;
 /// One caller in 2 s: at a lower rate the interval between two callers would be longer
-/// than `LONGEST_RETURN`.
+/// than `MAX_RETRY_AFTER`.
 const MIN_SPARE_PER_S: f64 = 0.5;
--- a/crates/wingspur-state/src/route.rs
+++ b/crates/wingspur-state/src/route.rs
@@ -25,14 +25,14 @@
 
 /// The error for two paths that cannot be in one route table.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("`{path}` clashes with `{with}`")]
+#[error("`{path}` clashes with `{conflicting}`")]
 pub struct RouteConflict {
     /// The position of the later route in the bundle.
     pub at: RouteMatch,
     /// The path of the later route.
     pub path: String,
     /// The earlier path, or another reason why the later path is invalid.
-    pub with: String,
+    pub conflicting: String,
 }
 
 impl RouteTable {
@@ -84,7 +84,7 @@
             RouteConflict {
                 at,
                 path: path.to_owned(),
-                with,
+                conflicting: with,
             }
         })?;
         self.paths.push(Vec::with_capacity(1));
--- a/crates/wingspur-state/src/server_limits.rs
+++ b/crates/wingspur-state/src/server_limits.rs
@@ -40,7 +40,7 @@
     /// Records the limit in a response to this box, in requests a second, or its absence.
     ///
     /// Returns the change, or `None` if the limit is the same as before.
-    pub fn receive_answer(
+    pub fn receive_response(
         &mut self,
         server: ServerKey,
         per_s: Option<f64>,
@@ -79,7 +79,7 @@
                 return None;
             }
         }
-        self.receive_answer(server, per_s, latest)
+        self.receive_response(server, per_s, latest)
     }
 
     /// Returns all current limits, for a box that has just linked with this one.
--- a/crates/wingspur-state/src/server_registry.rs
+++ b/crates/wingspur-state/src/server_registry.rs
@@ -285,7 +285,7 @@
     /// `ENTRY_TTL`.
     ///
     /// `as_of` is the instant up to which the store's changes are known.
-    pub fn settle(&mut self, as_of: Instant) -> Vec<RegistryChange> {
+    pub fn finish_grace(&mut self, as_of: Instant) -> Vec<RegistryChange> {
         let mut changes = self.release_suppressed(as_of);
         if !self.is_trusted(as_of) {
             return changes;
--- a/crates/wingspur-state/src/service_table.rs
+++ b/crates/wingspur-state/src/service_table.rs
@@ -7,7 +7,9 @@
 
 use rand::Rng;
 
-use crate::correlated_suspicion::{UNEASY_SHARE, Unease, groups_of};
+use crate::correlated_suspicion::{
+    CorrelatedSuspicion, RAISED_SCORE_RATIO, servers_by_data_centre,
+};
 use crate::evidence::{
     Evidence, EvidenceEntry, EvidenceReport, MIN_BUSY_SHARE, Score, ejection_threshold,
     healthy_evidence,
@@ -112,7 +114,7 @@
             reported_sum: 0.0,
             observations: 0,
         };
-        let groups = groups_of(&service);
+        let groups = servers_by_data_centre(&service);
         let allowed_false_ejections = service.detection.false_ejections_per_server_day;
         Self {
             tag,
@@ -264,7 +266,7 @@
 
     /// Sets whether the platform's list says that a server is draining; a draining server
     /// gets no new requests.
-    pub fn set_listed_leaving(&mut self, server: ServerIndex, draining: bool) {
+    pub fn set_listed_draining(&mut self, server: ServerIndex, draining: bool) {
         self.servers[server].listed_draining = draining;
     }
 
@@ -275,8 +277,8 @@
     }
 
     /// Whether the server is known to be draining.
-    pub fn is_leaving(&self, server: ServerIndex) -> bool {
-        self.servers[server].is_leaving()
+    pub fn is_draining(&self, server: ServerIndex) -> bool {
+        self.servers[server].is_draining()
     }
 
     /// Adds the evidence from attempts without a response and returns a report if one is
@@ -348,7 +350,7 @@
     /// Returns whether and how this box may use a server now.
     pub fn ejection_state(&self, server: ServerIndex, now: Instant) -> EjectionState {
         let entry = &self.servers[server];
-        if entry.is_leaving() {
+        if entry.is_draining() {
             return EjectionState::Excluded;
         }
         let has_verdict = self.has_verdict(now);
@@ -403,9 +405,10 @@
     /// Updates which servers this box suspects by its own evidence.
     fn update_local_suspicion(&mut self, now: Instant) {
         let has_verdict = self.has_verdict(now);
-        let correlation_threshold = self.threshold * UNEASY_SHARE;
+        let correlation_threshold = self.threshold * RAISED_SCORE_RATIO;
         let scores = self.servers.iter().map(|entry| entry.score.sum());
-        let correlated = Unease::new(scores, &self.groups, correlation_threshold);
+        let correlated =
+            CorrelatedSuspicion::new(scores, &self.groups, correlation_threshold);
         for (server, entry) in self.servers.iter_mut().enumerate() {
             if entry.score.sum() < self.threshold {
                 entry.over_threshold_since = None;
@@ -508,7 +511,7 @@
         self.score.add(evidence);
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.listed_draining || self.draining
     }
 
--- a/crates/wingspur-state/src/service_time.rs
+++ b/crates/wingspur-state/src/service_time.rs
@@ -17,7 +17,7 @@
     /// The moving mean of the logarithms' absolute distance from it.
     mean_deviation: f64,
     /// How many responses were recorded; the first ones have a higher weight.
-    answers: u32,
+    response_count: u32,
 }
 
 impl ServiceTime {
@@ -26,7 +26,7 @@
         Self {
             mean_ln: 0.0,
             mean_deviation: INITIAL_DEVIATION,
-            answers: 0,
+            response_count: 0,
         }
     }
 
@@ -36,16 +36,16 @@
         let distance = (ln - self.mean_ln)
             .abs()
             .min(MAX_DISTANCE_RATIO * self.mean_deviation);
-        self.answers = self.answers.saturating_add(1);
-        let weight = (1.0 / (INITIAL_WEIGHT_RESPONSES + f64::from(self.answers)))
+        self.response_count = self.response_count.saturating_add(1);
+        let weight = (1.0 / (INITIAL_WEIGHT_RESPONSES + f64::from(self.response_count)))
             .max(MIN_LEARNING_WEIGHT);
         self.mean_ln += weight * distance.copysign(ln - self.mean_ln);
         self.mean_deviation += weight * (distance - self.mean_deviation);
     }
 
     /// Returns how many successful responses were recorded.
-    pub fn answers(&self) -> u32 {
-        self.answers
+    pub fn response_count(&self) -> u32 {
+        self.response_count
     }
 
     /// Returns the fraction of successful responses that take more than `ratio` times the
--- a/crates/wingspur-state/src/suspects.rs
+++ b/crates/wingspur-state/src/suspects.rs
@@ -72,7 +72,7 @@
     /// The source that counted the latest of these trials.
     pub counted_by: SourceId,
     /// When this box learned of the entry.
-    pub heard: Instant,
+    pub learned_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -259,8 +259,8 @@
             .filter(|known| known.tries > 0)?;
         let is_over = suspect
             .counted_endings()
-            .any(|ending| ending.at > known.heard);
-        (!is_over).then(|| known.heard + max_duration)
+            .any(|ending| ending.at > known.learned_at);
+        (!is_over).then(|| known.learned_at + max_duration)
     }
 
     /// Applies the store's entry of a request; an entry that is not newer than the known
@@ -294,9 +294,15 @@
             // only the answer that cleared it is known.
             let heard = match (suspect.quarantine, suspect.answered) {
                 (None, Some(answered)) => answered,
-                _ => known.heard,
+                _ => known.learned_at,
             };
-            self.apply_quarantine(*request, StoredQuarantine { heard, ..*known });
+            self.apply_quarantine(
+                *request,
+                StoredQuarantine {
+                    learned_at: heard,
+                    ..*known
+                },
+            );
         }
         let era_start = StorePosition::start_of(era);
         for suspect in self.suspects.values_mut() {
@@ -487,7 +493,7 @@
     /// it, or at most `MAX_RECORD_DELAY` before.
     fn active_quarantine(&self) -> Option<&StoredQuarantine> {
         let known = self.quarantine.as_ref()?;
-        let clears = |answered| answered + MAX_RECORD_DELAY >= known.heard;
+        let clears = |answered| answered + MAX_RECORD_DELAY >= known.learned_at;
         let is_cleared = self.answered.is_some_and(clears);
         (!is_cleared).then_some(known)
     }
--- a/crates/wingspur-state/src/tracked_server.rs
+++ b/crates/wingspur-state/src/tracked_server.rs
@@ -17,10 +17,10 @@
     /// Distance from this box.
     pub distance: Distance,
     /// End of the warm-up after its start, during which it is slow.
-    pub cold_until: Instant,
+    pub warmup_until: Instant,
     /// This box's own tally.
-    pub own: ServerTally,
-    /// Whether `own` has changed since it was last sent to other boxes.
+    pub local_tally: ServerTally,
+    /// Whether `local_tally` has changed since it was last sent to other boxes.
     pub changed: bool,
     /// Latest tallies of other boxes, by the source that sent them.
     pub remote: BTreeMap<SourceId, ServerTally>,
@@ -28,23 +28,23 @@
     pub health: Health,
     /// Health estimate from this box's own outcomes, in which a request that could not
     /// reach the server counts as failed.
-    pub path: Health,
+    pub path_health: Health,
     /// When any box last sent it a request, as far as is known.
-    pub sent: Instant,
+    pub last_request_at: Instant,
     /// When it last gave a good response.
-    pub answered: Option<Instant>,
+    pub last_success_at: Option<Instant>,
     /// When it last failed a request.
-    pub failed: Option<Instant>,
+    pub last_failure_at: Option<Instant>,
     /// When it last refused a request.
-    pub refused: Option<Instant>,
+    pub last_refusal_at: Option<Instant>,
     /// When it last failed a request after which it was almost certainly unhealthy.
-    pub surely_sick: Option<Instant>,
+    pub last_certain_failure_at: Option<Instant>,
     /// When a report on it last arrived from another box.
-    pub heard: Option<Instant>,
+    pub last_report_at: Option<Instant>,
     /// State that the server has announced: draining, backoff, replaced, rate limit.
-    pub standing: AnnouncedState,
+    pub announced_state: AnnouncedState,
     /// Whether it was suspected at the last check for changes.
-    pub suspect: bool,
+    pub is_suspected: bool,
 }
 
 /// How far a server is from a box.
@@ -71,7 +71,7 @@
     /// a failure.
     pub silence_quarters: u32,
     /// Whether the response has begun.
-    pub answering: bool,
+    pub response_started: bool,
 }
 
 /// How long the response to an attempt is expected to take.
@@ -119,62 +119,67 @@
     /// probably unhealthy that other boxes should know at once.
     ///
     /// `usual` is the share of requests that fail at a healthy server.
-    pub fn observe(&mut self, outcomes: &ServerTally, usual: f64, now: Instant) -> bool {
-        let before = self.health.at(now).sickness();
+    pub fn record_outcomes(
+        &mut self,
+        outcomes: &ServerTally,
+        usual: f64,
+        now: Instant,
+    ) -> bool {
+        let before = self.health.at(now).unhealthy_probability();
         self.health.add(outcomes, usual, now);
         if outcomes.good > 0 {
-            self.answered = Some(now);
+            self.last_success_at = Some(now);
         }
         if outcomes.refused > 0 {
-            self.refused = Some(now);
+            self.last_refusal_at = Some(now);
         }
         if outcomes.failed > 0 {
-            self.failed = Some(now);
-            if self.health.sickness() >= ALMOST_CERTAIN {
-                self.surely_sick = Some(now);
+            self.last_failure_at = Some(now);
+            if self.health.unhealthy_probability() >= ALMOST_CERTAIN {
+                self.last_certain_failure_at = Some(now);
             }
         }
-        self.health.sickness() - before >= URGENT_INCREASE
+        self.health.unhealthy_probability() - before >= URGENT_INCREASE
     }
 
     /// Returns the time since the last good response, or `None` if there was none.
     pub fn unanswered_for(&self, now: Instant) -> Option<Duration> {
-        let answered = self.answered?;
+        let answered = self.last_success_at?;
         Some(now.saturating_duration_since(answered))
     }
 
     /// Returns the number of requests of all boxes that are in flight at the server.
     pub fn in_flight(&self) -> u32 {
         let remote: u32 = self.remote.values().map(|tally| tally.in_flight).sum();
-        self.own.in_flight + remote
+        self.local_tally.in_flight + remote
     }
 
     /// Returns the failure evidence from those of them that have had no response yet, in
     /// quarters of a failure.
     pub fn silence_quarters(&self) -> u32 {
         let remote = self.remote.values().map(|tally| tally.silence_quarters);
-        self.own.silence_quarters + remote.sum::<u32>()
+        self.local_tally.silence_quarters + remote.sum::<u32>()
     }
 
     /// Removes the failure evidence of an attempt that has ended or whose response has
     /// begun, in quarters of a failure.
-    pub fn take_back_silence(&mut self, quarters: u32) {
-        let counted = &mut self.own.silence_quarters;
+    pub fn remove_silence_evidence(&mut self, quarters: u32) {
+        let counted = &mut self.local_tally.silence_quarters;
         *counted = counted.saturating_sub(quarters);
         self.changed |= quarters > 0;
     }
 
     /// Returns the failure probability of a request: the higher of the estimates from all
     /// boxes and from this box alone.
-    pub fn failure_share(&self, usual: f64, now: Instant) -> f64 {
+    pub fn failure_probability(&self, usual: f64, now: Instant) -> f64 {
         let fleet = self
             .health
             .at(now)
-            .failure_share(usual, self.silence_quarters());
+            .failure_probability(usual, self.silence_quarters());
         let path = self
-            .path
+            .path_health
             .at(now)
-            .failure_share(usual, self.own.silence_quarters);
+            .failure_probability(usual, self.local_tally.silence_quarters);
         fleet.max(path)
     }
 }
@@ -183,13 +188,14 @@
     /// Returns the failure evidence from the missing response at `now`, in quarters of a
     /// failure; 0 once the response has begun.
     pub fn silence_at(&self, now: Instant) -> u32 {
-        if self.answering {
+        if self.response_started {
             return 0;
         }
         let age_ms = now.saturating_duration_since(self.since).as_secs_f64() * 1000.0;
         let ratio = age_ms / self.expected.healthy_ms.max(MIN_EXPECTED_MS);
         let service_time = &self.expected.service_time;
-        let limit = UNKNOWN_ROUTE_SILENCE_QUARTERS.saturating_add(service_time.answers());
+        let limit =
+            UNKNOWN_ROUTE_SILENCE_QUARTERS.saturating_add(service_time.response_count());
         service_time.silence_quarters(ratio).min(limit)
     }
 
--- a/crates/wingspur-transport/src/link.rs
+++ b/crates/wingspur-transport/src/link.rs
@@ -67,7 +67,7 @@
     /// Until the connection is up: a machine without power says nothing at all.
     pub connect: Duration,
     /// Until the other side has answered.
-    pub answer: Duration,
+    pub reply: Duration,
 }
 
 /// Opens a link by a request to a path of the other box.
@@ -95,8 +95,8 @@
         Ok(LinkReceiver::new(response.into_body()))
     };
     let expired = async {
-        wingspur_clock::sleep(patience.answer).await;
-        Err(LinkError::Silent(patience.answer))
+        wingspur_clock::sleep(patience.reply).await;
+        Err(LinkError::Silent(patience.reply))
     };
     Ok((sender, opening.or(expired).await?))
 }
--- a/crates/wingspur-transport/src/server_hints.rs
+++ b/crates/wingspur-transport/src/server_hints.rs
@@ -16,7 +16,7 @@
     pub fn hints(&self, names: &HeaderNames, now: SystemTime) -> ServerHints {
         let headers = &self.headers;
         let is_other_run = self.status == StatusCode::MISDIRECTED_REQUEST
-            && names.expected_incarnation.is_some();
+            && names.expected_server_id.is_some();
         let is_marked = names
             .not_executed
             .is_some_and(|name| headers.contains_key(name));
--- a/crates/wingspur/tests/logs.rs
+++ b/crates/wingspur/tests/logs.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_log_that_nobody_reads_holds_up_no_request() {
-    let running = Program::start(Reply::Whole, &json!({}), Stdio::piped());
+    let running = Program::start(Reply::Complete, &json!({}), Stdio::piped());
     // A pipe holds 64 KiB and the queue 4096 lines: two lines a request fill both.
     let dropped = || {
         let metrics = String::from_utf8(running.get("/metrics").body).unwrap();
--- a/crates/wingspur/tests/signals.rs
+++ b/crates/wingspur/tests/signals.rs
@@ -35,7 +35,9 @@
         let headers = [("host", "site.example"), ("x-wingspur-request-id", "id-1")];
         call(callers, "GET", "/a", &headers, b"")
     });
-    wait_until("the server has it", || !running.server.ran().is_empty());
+    wait_until("the server has it", || {
+        !running.server.executed_ids().is_empty()
+    });
     running.signal(Signal::TERM);
     wait_until("it is stopping", || running.get("/ready").status == 503);
     running.signal(second);
--- a/tests/soak/src/plan.rs
+++ b/tests/soak/src/plan.rs
@@ -103,9 +103,9 @@
 fn draw_reply(random: &mut StdRng) -> Reply {
     const REPLIES: [Reply; 8] = [
         Reply::Error,
-        Reply::Shed,
+        Reply::Refused,
         Reply::Close,
-        Reply::Cut,
+        Reply::Truncated,
         Reply::Garbage,
         Reply::NoStamp,
         Reply::SurplusFirst,
--- a/tests/soak/src/planned/callers.rs
+++ b/tests/soak/src/planned/callers.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use wingspur_tests::{Answer, read_kept_answer};
+use wingspur_tests::{Answer, read_keep_alive_response};
 
 use crate::planned::operator::{HOST, IDLE_LIMIT, ROUTES, RouteKind};
 use crate::planned::record::{BoxIndex, Call, Outcome};
@@ -230,7 +230,7 @@
         let began = Instant::now();
         let written = draft.write(self.stream(), random).is_ok();
         let sent = written.then(Instant::now);
-        let answer = read_kept_answer(&mut self.reader);
+        let answer = read_keep_alive_response(&mut self.reader);
         let ended = Instant::now();
         self.view.in_flight.fetch_sub(1, Ordering::Relaxed);
         let closes = answer.as_ref().is_none_or(|answer| {
--- a/tests/soak/src/run.rs
+++ b/tests/soak/src/run.rs
@@ -110,7 +110,7 @@
     fn start(setup: &Setup, folder: &std::path::Path) -> Self {
         let store = PlatformStore::start(500);
         let replies: Vec<_> = (0..SERVERS)
-            .map(|_| Arc::new(Mutex::new(Reply::Whole)))
+            .map(|_| Arc::new(Mutex::new(Reply::Complete)))
             .collect();
         let servers: Vec<_> = replies
             .iter()
@@ -200,7 +200,7 @@
             }
             FaultKind::Reload(n) => self.boxes[n].signal(Signal::HUP),
             FaultKind::Store(fault) => self.store.set_fault(fault),
-            FaultKind::ForgetHistory => self.store.forget_history(),
+            FaultKind::ForgetHistory => self.store.compact_history(),
             FaultKind::Change => self.change(),
             FaultKind::Server(n, reply) => self.set_reply(n, reply),
             FaultKind::Leave(n) => self.announce(n, "leaving"),
@@ -213,7 +213,7 @@
             FaultKind::KillAll => self.boxes.iter_mut().for_each(SoakBox::start),
             FaultKind::Freeze(n) => self.boxes[n].freeze(false),
             FaultKind::Store(_) => self.store.set_fault(StoreFault::None),
-            FaultKind::Server(n, _) => self.set_reply(n, Reply::Whole),
+            FaultKind::Server(n, _) => self.set_reply(n, Reply::Complete),
             FaultKind::Leave(n) => self.renew_server(n),
             FaultKind::Reload(_) | FaultKind::ForgetHistory | FaultKind::Change => {}
         }
@@ -265,7 +265,7 @@
         }
         self.store
             .remove(&format!("servers/i-{n}-{}", self.run_of(n)));
-        self.replies.push(Arc::new(Mutex::new(Reply::Whole)));
+        self.replies.push(Arc::new(Mutex::new(Reply::Complete)));
         self.servers
             .push(start_server(self.replies[self.replies.len() - 1].clone()));
         let new = self.servers.len() - 1;
@@ -320,7 +320,7 @@
                 late_at_leaving.extend(late.map(|(_, id)| id.clone()));
             }
             arrivals.extend(at_server);
-            for id in server.ran() {
+            for id in server.executed_ids() {
                 *ran.entry(id).or_default() += 1;
             }
         }
@@ -343,7 +343,7 @@
     BackendServer::start(move |_| {
         std::thread::sleep(Duration::from_millis(rand::rng().random_range(2..12)));
         match rand::rng().random_range(0..2) {
-            0 => Reply::Whole,
+            0 => Reply::Complete,
             _ => *reply.lock().expect("no holder panics"),
         }
     })
--- a/tests/src/backend_server.rs
+++ b/tests/src/backend_server.rs
@@ -21,11 +21,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
     /// The request runs, and the response is complete.
-    Whole,
+    Complete,
     /// The request runs, and the response is an error 500.
     Error,
     /// The request is refused before it runs, with the header that states so.
-    Shed,
+    Refused,
     /// The request is refused with 503 without that header, so it may have run.
     Unmarked,
     /// The request is refused with 421, as for another instance of the server.
@@ -33,7 +33,7 @@
     /// The request runs, and the connection closes without a response.
     Close,
     /// The request runs, and the connection closes within the response body.
-    Cut,
+    Truncated,
     /// The request runs, and the bytes sent are not a response.
     Garbage,
     /// The request runs, and the successful response lacks the server's stamp.
@@ -59,7 +59,7 @@
             let reply = reply(heads.len());
             heads.push((Instant::now(), head.clone()));
             drop(heads);
-            if !matches!(reply, Reply::Shed | Reply::Misdirected) {
+            if !matches!(reply, Reply::Refused | Reply::Misdirected) {
                 let id = head.headers.get("x-wingspur-request-id").cloned();
                 let mut ran = served_ran.lock().expect("no holder panics");
                 ran.push(id.unwrap_or_default());
@@ -77,12 +77,12 @@
 
     /// Adds header lines to all responses from now on, each with its line break. They
     /// replace those of an earlier call.
-    pub fn say(&self, lines: &str) {
+    pub fn set_headers(&self, lines: &str) {
         *self.extra_headers.lock().expect("no holder panics") = lines.to_owned();
     }
 
     /// Returns the ids of the requests that ran, in order.
-    pub fn ran(&self) -> Vec<String> {
+    pub fn executed_ids(&self) -> Vec<String> {
         self.ran.lock().expect("no holder panics").clone()
     }
 
@@ -110,12 +110,12 @@
     let own = complete_response(id, "200 OK", extra, "own body");
     let foreign = complete_response("of-another", "200 OK", extra, "not yours");
     match reply {
-        Reply::Whole => write(stream, &own),
+        Reply::Complete => write(stream, &own),
         Reply::Error => write(
             stream,
             &complete_response(id, "500 Internal Server Error", extra, "failed"),
         ),
-        Reply::Shed => {
+        Reply::Refused => {
             let mark = format!("x-wingspur-not-executed: 1\r\n{extra}");
             write(
                 stream,
@@ -131,7 +131,7 @@
             &empty_response(id, "421 Misdirected Request", extra),
         ),
         Reply::Close => false,
-        Reply::Cut => {
+        Reply::Truncated => {
             write(stream, &own[..own.len() - 3]);
             false
         }
--- a/tests/src/http.rs
+++ b/tests/src/http.rs
@@ -123,7 +123,7 @@
 
 /// Reads a response from a connection that stays open. Returns `None` where the
 /// connection ends before the response is complete.
-pub fn read_kept_answer(reader: &mut impl BufRead) -> Option<Answer> {
+pub fn read_keep_alive_response(reader: &mut impl BufRead) -> Option<Answer> {
     let (line, headers) = read_head(reader)?;
     let status = line.split(' ').nth(1)?.parse().ok()?;
     let body = read_body(reader, &headers)?;
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub use backend_server::{BackendServer, Reply};
 pub use http::{
-    Answer, Head, call, read_body, read_kept_answer, read_request_head, try_call,
+    Answer, Head, call, read_body, read_keep_alive_response, read_request_head, try_call,
 };
-pub use mortal_server::{MortalServer, ServerRun};
+pub use mortal_server::{CrashingServer, ServerInstance};
 pub use platform_store::{PlatformStore, StoreCopy, StoreFault};
--- a/tests/src/mortal_server.rs
+++ b/tests/src/mortal_server.rs
@@ -13,13 +13,13 @@
 /// A sequence of server instances. Each one ends at the first harmful request, and the
 /// next one starts when the test asks for it.
 #[derive(Clone)]
-pub struct MortalServer {
+pub struct CrashingServer {
     shared: Arc<Shared>,
 }
 
 /// One instance of the server.
 #[derive(Debug, Clone)]
-pub struct ServerRun {
+pub struct ServerInstance {
     /// The address at which the instance listens.
     pub address: SocketAddr,
     /// Whether the instance has ended.
@@ -37,12 +37,12 @@
 }
 
 struct Running {
-    record: ServerRun,
+    record: ServerInstance,
     stop: Arc<AtomicBool>,
     streams: Vec<TcpStream>,
 }
 
-impl MortalServer {
+impl CrashingServer {
     /// Starts a server whose requests take `work`, and which ends as soon as it starts to
     /// run a request for which `harms` returns true.
     pub fn start(harms: fn(&Head) -> bool, work: Duration) -> Self {
@@ -67,7 +67,7 @@
             .expect("loopback sockets can be");
         let stop = Arc::new(AtomicBool::new(false));
         let running = Running {
-            record: ServerRun {
+            record: ServerInstance {
                 address,
                 ended: false,
                 arrivals: Vec::new(),
@@ -86,7 +86,7 @@
     }
 
     /// Returns the state of each instance, oldest first.
-    pub fn runs(&self) -> Vec<ServerRun> {
+    pub fn runs(&self) -> Vec<ServerInstance> {
         self.lock_runs()
             .iter()
             .map(|run| run.record.clone())
--- a/tests/src/platform_store.rs
+++ b/tests/src/platform_store.rs
@@ -114,7 +114,7 @@
     }
 
     /// Compacts all history.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.lock();
         state.compacted = state.revision;
         state.history.clear();
--- a/tests/tests/allowance_bound.rs
+++ b/tests/tests/allowance_bound.rs
@@ -30,7 +30,7 @@
             ..both(one, other)
         };
         let play = Play::of_account(scenario, *boxes, *per_s, *seed).run();
-        let (most, allowed) = play.fullest();
+        let (most, allowed) = play.busiest_window();
         (most as f64 > allowed).then(|| {
             format!(
                 "{} and {}, {boxes} boxes, {per_s}/s, seed {seed}: \
@@ -51,7 +51,7 @@
             ..CALM
         };
         let play = Play::of_account(asks_more, boxes, per_s, seed).run();
-        let (most, _) = play.fullest();
+        let (most, _) = play.busiest_window();
         let limit = per_s * QUOTA.window_s;
         let used = most as f64 / limit;
         assert!(
@@ -87,7 +87,7 @@
     let plans: Vec<_> = plans.collect();
     let played = play_all(&plans, |(boxes, per_s, seed)| {
         let play = Play::of_account(LOSSES, *boxes, *per_s, *seed).run();
-        let (most, allowed) = play.fullest();
+        let (most, allowed) = play.busiest_window();
         assert!(
             most as f64 <= allowed,
             "{most} requests admitted in a window, {allowed} allowed"
--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -372,7 +372,7 @@
             link,
             to,
             note: run.fleet.outgoing_notes(&known, now).note_for(with),
-            census: run.fleet.census_for(link),
+            census: run.fleet.membership_updates_for(link),
         });
     }
 
@@ -408,7 +408,7 @@
                 .expect("a removed link has no updates in transit");
             let sent_at = Some(sent.sent_at);
             run.fleet
-                .receive_census(sent.link, &sent.census, &known, now);
+                .receive_membership(sent.link, &sent.census, &known, now);
             run.fleet
                 .receive(sent.link, sent.note, &known, sent_at, now);
         }
--- a/tests/tests/budgets.rs
+++ b/tests/tests/budgets.rs
@@ -95,7 +95,7 @@
     for (id, name) in linked.iter().enumerate() {
         let id = id as u64 + 1;
         view.add_link(id, peer(name, id * 100), PeerRole::Hub, start);
-        view.receive_census(id, &census(id, 10), known, start);
+        view.receive_membership(id, &census(id, 10), known, start);
     }
     let note = FleetStatus::default();
     for tick in 0..=(span.as_millis() / 300) as u32 {
@@ -467,7 +467,7 @@
     let known = hub_of(&["b"]);
     let mut view = FleetView::new(OWN_KEY, Instant::now());
     view.add_link(1, peer("b", 100), PeerRole::Hub, now);
-    view.receive_census(1, &census(1, 10), &known, now);
+    view.receive_membership(1, &census(1, 10), &known, now);
     let note = FleetStatus {
         boxes: 0,
         counted: 35,
--- a/tests/tests/client_accounts.rs
+++ b/tests/tests/client_accounts.rs
@@ -97,7 +97,7 @@
 #[test]
 fn servers_are_told_the_account_of_the_key_and_never_the_key() {
     for (class, headers, status, account) in CASES {
-        let servers = [BackendServer::start(|_| Reply::Whole)];
+        let servers = [BackendServer::start(|_| Reply::Complete)];
         let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
         let answer = ask(&deployment, class, headers);
         assert_eq!(answer.status, *status, "{class} {headers:?}");
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_refusal_for_want_of_a_key_says_how_one_is_given() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
     let answer = ask(&deployment, "read", &[]);
     assert_eq!(answer.headers["www-authenticate"], "Bearer");
@@ -127,7 +127,7 @@
 
 #[test]
 fn without_accounts_keys_are_none_of_the_boxs_business() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let plain = configuration(1, &[Route::new("read")]);
     let deployment = Deployment::start_configured(&servers, &plain);
     assert_eq!(ask_with_key(&deployment, "read", "key-z"), 200);
@@ -138,7 +138,7 @@
 
 #[test]
 fn keys_come_and_go_in_series_and_move_from_one_account_to_another() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
     for round in 0..10u64 {
         let (account, other) = match round % 2 {
@@ -173,7 +173,7 @@
             while !is_revoked.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(5));
             }
-            Reply::Shed
+            Reply::Refused
         })
     };
     let servers = [server(), server()];
@@ -205,8 +205,8 @@
     let server = || {
         let attempts = attempts.clone();
         BackendServer::start(move |_| match attempts.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Shed,
-            _ => Reply::Whole,
+            0 => Reply::Refused,
+            _ => Reply::Complete,
         })
     };
     let servers = [server(), server()];
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_box_whose_news_is_late_says_come_back_and_not_that_a_key_is_unknown() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start_configured(&servers, &bundle(1, ACCOUNTS));
     assert_eq!(ask_with_key(&deployment, "read", "key-z"), 401);
     deployment
--- a/tests/tests/edge_control.rs
+++ b/tests/tests/edge_control.rs
@@ -21,7 +21,7 @@
 impl Boxes {
     fn start(count: usize) -> Self {
         let store = PlatformStore::start(500);
-        let server = BackendServer::start(|_| Reply::Whole);
+        let server = BackendServer::start(|_| Reply::Complete);
         store.put("op/config", &configuration(1, &ROUTES()));
         let entry = server_entry(server.address, "ready");
         store.put("servers/i-0", &entry);
@@ -126,7 +126,7 @@
     boxes.store.remove("servers/i-0");
     let entry = server_entry(boxes.server.address, "ready");
     boxes.store.put("servers/i-new", &entry);
-    boxes.store.forget_history();
+    boxes.store.compact_history();
     boxes.store.set_fault(StoreFault::None);
     wait_until("version 4", || boxes.all_have(4));
     let headers = [("host", "site.example"), ("x-wingspur-request-id", "id-1")];
@@ -164,8 +164,8 @@
 #[test]
 fn a_leaving_server_gets_no_new_work() {
     let servers = [
-        BackendServer::start(|_| Reply::Whole),
-        BackendServer::start(|_| Reply::Whole),
+        BackendServer::start(|_| Reply::Complete),
+        BackendServer::start(|_| Reply::Complete),
     ];
     let deployment = Deployment::start(&servers, &ROUTES());
     deployment.announce("i-0", servers[0].address, "leaving");
--- a/tests/tests/edge_path.rs
+++ b/tests/tests/edge_path.rs
@@ -21,78 +21,78 @@
 const CASES: &[Case] = &[
     Case {
         name: "a complete response",
-        first: Reply::Whole,
-        second: Reply::Whole,
+        first: Reply::Complete,
+        second: Reply::Complete,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
         name: "a server error",
         first: Reply::Error,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (500, "failed", 1),
     },
     Case {
         name: "refused before it ran",
-        first: Reply::Shed,
-        second: Reply::Whole,
+        first: Reply::Refused,
+        second: Reply::Complete,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
         name: "refused without the not-run mark",
         first: Reply::Unmarked,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
         name: "another instance has the address",
         first: Reply::Misdirected,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
         name: "no response",
         first: Reply::Close,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
         name: "an interrupted response",
-        first: Reply::Cut,
-        second: Reply::Whole,
+        first: Reply::Truncated,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
         name: "bytes that are no HTTP response",
         first: Reply::Garbage,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
         name: "a success without the server's stamp",
         first: Reply::NoStamp,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 2),
         once_only: (502, "{", 1),
     },
     Case {
         name: "a response to another request before its own",
         first: Reply::SurplusFirst,
-        second: Reply::Whole,
+        second: Reply::Complete,
         read: (200, "own body", 1),
         once_only: (200, "own body", 1),
     },
     Case {
         name: "refused by all",
-        first: Reply::Shed,
-        second: Reply::Shed,
+        first: Reply::Refused,
+        second: Reply::Refused,
         read: (503, "{", 0),
         once_only: (503, "{", 0),
     },
@@ -117,7 +117,10 @@
             let servers = [server(), server()];
             let deployment = Deployment::start(&servers, &[Route::new(class)]);
             let response = deployment.call(class, "id-1");
-            let ran: usize = servers.iter().map(|server| server.ran().len()).sum();
+            let ran: usize = servers
+                .iter()
+                .map(|server| server.executed_ids().len())
+                .sum();
             let body = String::from_utf8_lossy(&response.body).into_owned();
             let got = (response.status, ran);
             assert_eq!(
@@ -138,13 +141,13 @@
 
 #[test]
 fn a_promise_that_nothing_ran_says_when_to_come_back() {
-    let servers = [BackendServer::start(|_| Reply::Shed)];
+    let servers = [BackendServer::start(|_| Reply::Refused)];
     let deployment = Deployment::start(&servers, &[Route::new("once_only")]);
     let response = deployment.call("once_only", "id-1");
     assert_eq!(response.status, 503);
     let after: f64 = response.headers["retry-after"].parse().unwrap();
     assert!((0.1..=1.0).contains(&after), "{after}");
-    assert_eq!(servers[0].ran(), Vec::<String>::new());
+    assert_eq!(servers[0].executed_ids(), Vec::<String>::new());
     deployment.close();
 }
 
@@ -152,7 +155,7 @@
 fn a_surplus_answer_never_reaches_the_next_caller() {
     let servers = [BackendServer::start(|n| match n {
         0 => Reply::SurplusAfter,
-        _ => Reply::Whole,
+        _ => Reply::Complete,
     })];
     let deployment = Deployment::start(&servers, &[Route::new("read")]);
     for id in ["id-1", "id-2", "id-3"] {
@@ -168,7 +171,7 @@
 
 #[test]
 fn servers_get_the_request_as_it_was_and_what_is_left_of_its_time() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start(&servers, &[Route::new("once_only")]);
     deployment.call("once_only", "id-1");
     let head = servers[0].heads().remove(0);
@@ -194,7 +197,7 @@
 
 #[test]
 fn a_route_that_is_not_there_is_refused_by_404_and_reaches_nobody() {
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start(&servers, &[Route::new("read")]);
     assert_eq!(deployment.call("nowhere", "id-1").status, 404);
     assert_eq!(servers[0].heads().len(), 0);
@@ -208,14 +211,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let connection = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let closed = connection.local_addr().unwrap();
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let deployment = Deployment::start(&servers, &[Route::new("once_only")]);
     deployment.announce("i-dead", closed, "ready");
     for n in 0..20 {
         let response = deployment.call("once_only", &format!("id-{n}"));
         assert_eq!(response.status, 200);
     }
-    let ran = servers[0].ran();
+    let ran = servers[0].executed_ids();
     assert_eq!(ran.len(), 20);
     deployment.close();
 }
@@ -232,7 +235,10 @@
     };
     let deployment = Deployment::start(&servers, &[route]);
     assert_eq!(deployment.call("once_only", "id-1").status, 504);
-    let ran: usize = servers.iter().map(|server| server.ran().len()).sum();
+    let ran: usize = servers
+        .iter()
+        .map(|server| server.executed_ids().len())
+        .sum();
     assert_eq!(ran, 1);
     deployment.close();
 }
@@ -241,7 +247,7 @@
 fn a_planned_stop_ends_the_request_in_flight_and_then_the_connection() {
     let servers = [BackendServer::start(|_| {
         std::thread::sleep(std::time::Duration::from_millis(400));
-        Reply::Whole
+        Reply::Complete
     })];
     let deployment = Deployment::start(&servers, &[Route::new("read")]);
     let caller = deployment.caller();
@@ -266,7 +272,7 @@
                     std::thread::sleep(std::time::Duration::from_millis(1500));
                     Reply::Error
                 }
-                _ => Reply::Whole,
+                _ => Reply::Complete,
             }
         })
     };
--- a/tests/tests/ending_requests.rs
+++ b/tests/tests/ending_requests.rs
@@ -10,14 +10,14 @@
 
 use edge::{Route, configuration, server_entry, start_box, wait_until};
 use wingspur_edge::EdgeBox;
-use wingspur_tests::{Answer, Head, MortalServer, PlatformStore, call};
+use wingspur_tests::{Answer, CrashingServer, Head, PlatformStore, call};
 use wingspur_transport::Workers;
 
 /// Boxes in front of servers that end when they run the request to `FATAL`.
 struct Fleet {
     store: PlatformStore,
     boxes: Vec<EdgeBox>,
-    servers: Vec<MortalServer>,
+    servers: Vec<CrashingServer>,
     workers: Workers,
 }
 
@@ -26,7 +26,7 @@
         let store = PlatformStore::start(500);
         store.put("op/config", &configuration(1, &[Route::new("read")]));
         let servers: Vec<_> = (0..servers)
-            .map(|_| MortalServer::start(ends_servers, WORK))
+            .map(|_| CrashingServer::start(ends_servers, WORK))
             .collect();
         for (n, server) in servers.iter().enumerate() {
             announce(&store, n, server);
@@ -75,7 +75,7 @@
 
     /// Returns when requests to a path arrived at servers, sorted.
     fn arrivals(&self, path: &str) -> Vec<Instant> {
-        let runs = self.servers.iter().flat_map(MortalServer::runs);
+        let runs = self.servers.iter().flat_map(CrashingServer::runs);
         let arrivals = runs.flat_map(|instance| instance.arrivals);
         let wanted = arrivals.filter(|(_, head)| head.path == path);
         let mut at: Vec<_> = wanted.map(|(at, _)| at).collect();
@@ -84,7 +84,7 @@
     }
 
     fn ended(&self) -> usize {
-        let runs = self.servers.iter().flat_map(MortalServer::runs);
+        let runs = self.servers.iter().flat_map(CrashingServer::runs);
         runs.filter(|instance| instance.ended).count()
     }
 
@@ -96,7 +96,7 @@
     }
 }
 
-fn announce(store: &PlatformStore, n: usize, server: &MortalServer) {
+fn announce(store: &PlatformStore, n: usize, server: &CrashingServer) {
     let runs = server.runs();
     let instance = runs.last().expect("it has started");
     let key = format!("servers/i-{n}-{}", runs.len() - 1);
--- a/tests/tests/evacuation.rs
+++ b/tests/tests/evacuation.rs
@@ -26,7 +26,7 @@
         let store = PlatformStore::start(500);
         store.put("op/config", &configuration_of(1));
         let servers: Vec<_> = (0..4)
-            .map(|_| BackendServer::start(|_| Reply::Whole))
+            .map(|_| BackendServer::start(|_| Reply::Complete))
             .collect();
         let fleet = Self {
             store,
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -284,7 +284,7 @@
 pub struct Arrival {
     pub ms: u64,
     /// Since when its box has known that there is a limit; `None` if it knows of none.
-    pub told_ms: Option<u64>,
+    pub limit_known_since_ms: Option<u64>,
 }
 
 /// A response of the server in transit.
@@ -334,10 +334,10 @@
     pub refused: u64,
     /// Longest time for which a box still applied a limit after the server had stopped
     /// reporting one, in milliseconds.
-    pub longest_unheard_ms: u64,
+    pub longest_outdated_limit_ms: u64,
     unlimited_since_ms: Option<u64>,
     /// Largest sum of the shares of the limit of the server over all boxes.
-    pub most_parts: f64,
+    pub max_share_sum: f64,
 }
 
 impl Play {
@@ -390,9 +390,9 @@
             arrivals: Vec::new(),
             asked: 0,
             refused: 0,
-            longest_unheard_ms: 0,
+            longest_outdated_limit_ms: 0,
             unlimited_since_ms: None,
-            most_parts: 0.0,
+            max_share_sum: 0.0,
         }
     }
 
@@ -608,7 +608,7 @@
                 .collect();
             let notes = links.into_iter().map(|(to, echo)| {
                 let status = run.view.note_for_link(to.1, &outgoing, now);
-                let membership = run.view.census_for(to.1);
+                let membership = run.view.membership_updates_for(to.1);
                 let delegated = run.view.delegate_shares(to.1, &known, now);
                 (
                     to,
@@ -684,7 +684,7 @@
         let messages = messages.into_iter();
         let messages = messages.filter_map(|message| {
             let to = to(message.link)?;
-            Some((to, Payload::Lease(message.lending)))
+            Some((to, Payload::Lease(message.messages)))
         });
         let messages: Vec<_> = messages.collect();
         for (to, payload) in messages {
@@ -740,7 +740,8 @@
             } => {
                 link.echo = Some(sent);
                 link.vouched = echo.or(link.vouched);
-                run.view.receive_census(from.1, &membership, &known, now);
+                run.view
+                    .receive_membership(from.1, &membership, &known, now);
                 run.view.receive(from.1, status, &known, echo, now);
                 run.view.receive_delegated_shares(from.1, &delegated, echo);
             }
@@ -756,9 +757,8 @@
                     );
                 }
                 for reply in &messages.replies {
-                    outgoing.extend(
-                        lease_manager.handle_answer(reply, &topology, &find, now),
-                    );
+                    outgoing
+                        .extend(lease_manager.handle_reply(reply, &topology, &find, now));
                 }
                 self.send_all(to.0, outgoing);
             }
@@ -846,7 +846,7 @@
         let run = &self.boxes[&place];
         self.arrivals.push(Arrival {
             ms: self.now_ms,
-            told_ms: run.limit_known_since_ms,
+            limit_known_since_ms: run.limit_known_since_ms,
         });
         let due_ms = self.now_ms + SERVICE_TIME_MS;
         let Subject::Server(server) = &self.subject else {
@@ -878,7 +878,8 @@
                 Some(_) => run.limit_known_since_ms.or(Some(now_ms)),
                 None => None,
             };
-            if let Some(change) = run.limits.receive_answer(SERVER, response.per_s, now) {
+            if let Some(change) = run.limits.receive_response(SERVER, response.per_s, now)
+            {
                 self.queue_limit_change(place, &change, None);
             }
         }
@@ -929,7 +930,7 @@
             let run = self.boxes.get_mut(&place).expect("it runs");
             sum += run.view.share_for(&place_name, &known, now);
         }
-        self.most_parts = self.most_parts.max(sum);
+        self.max_share_sum = self.max_share_sum.max(sum);
     }
 
     /// Records how long boxes apply a limit that the server no longer reports.
@@ -945,7 +946,8 @@
         let knows = |run: &SimBox| run.limits.limit(SERVER).is_some();
         if self.boxes.values().any(knows) {
             let outdated_ms = self.now_ms - since_ms;
-            self.longest_unheard_ms = self.longest_unheard_ms.max(outdated_ms);
+            self.longest_outdated_limit_ms =
+                self.longest_outdated_limit_ms.max(outdated_ms);
         }
     }
 
@@ -975,7 +977,7 @@
 
     /// Returns the largest number of requests granted in any window, and the number
     /// allowed.
-    pub fn fullest(&self) -> (usize, f64) {
+    pub fn busiest_window(&self) -> (usize, f64) {
         let window_ms = (QUOTA.window_s * 1000.0) as u64;
         let mut most = 0;
         let mut first = 0;
@@ -996,7 +998,7 @@
 impl Subject {
     fn leased_resource(&self) -> LeasedResource {
         match self {
-            Self::Account(account) => LeasedResource::Account(account.allowance()),
+            Self::Account(account) => LeasedResource::Account(account.quota_key()),
             Self::Server(_) => LeasedResource::Server(SERVER),
         }
     }
--- a/tests/tests/foreign_entries.rs
+++ b/tests/tests/foreign_entries.rs
@@ -155,8 +155,8 @@
 #[test]
 fn an_entry_that_becomes_unreadable_names_no_server_any_more() {
     let servers = [
-        BackendServer::start(|_| Reply::Whole),
-        BackendServer::start(|_| Reply::Whole),
+        BackendServer::start(|_| Reply::Complete),
+        BackendServer::start(|_| Reply::Complete),
     ];
     let deployment = Deployment::start(&servers, &[Route::new("read")]);
     deployment.store.put_bytes("servers/i-0", b"\xff");
--- a/tests/tests/judging.rs
+++ b/tests/tests/judging.rs
@@ -132,14 +132,14 @@
                     let record = Some(store.record.clone());
                     detectors[detector] = OutlierDetector::new(&service, 1, record, now);
                     for (server, draining) in draining.iter().enumerate() {
-                        detectors[detector].set_leaving(server, *draining);
+                        detectors[detector].set_draining(server, *draining);
                     }
                 }
-                Event::Leave { server, leaving: is_leaving } => {
-                    draining[server] = is_leaving;
+                Event::Leave { server, leaving: is_draining } => {
+                    draining[server] = is_draining;
                     detectors
                         .iter_mut()
-                        .for_each(|detector| detector.set_leaving(server, is_leaving));
+                        .for_each(|detector| detector.set_draining(server, is_draining));
                 }
             }
         }
--- a/tests/tests/late_answers.rs
+++ b/tests/tests/late_answers.rs
@@ -91,8 +91,8 @@
     fn start() -> Self {
         let store = PlatformStore::start(500);
         let workers = Workers::start(2);
-        let other_server = BackendServer::start(|_| Reply::Whole);
-        let draining_server = BackendServer::start(|_| Reply::Whole);
+        let other_server = BackendServer::start(|_| Reply::Complete);
+        let draining_server = BackendServer::start(|_| Reply::Complete);
         store.put("op/config", &configuration(1, &[Route::new("read")]));
         store.put(
             "servers/i-stays",
@@ -153,7 +153,7 @@
         let entry = server_entry(self.other_server.address, "draining");
         self.store.put("servers/i-stays", &entry);
         thread::sleep(3 * RESPONSE_DELAY);
-        let before = self.draining_server.ran().len();
+        let before = self.draining_server.executed_ids().len();
         for n in 0..3 {
             let id = format!("r-{n}");
             let headers = [("host", "site.example"), ("x-wingspur-request-id", &*id)];
@@ -165,7 +165,7 @@
                 b"",
             );
         }
-        self.draining_server.ran().len() - before
+        self.draining_server.executed_ids().len() - before
     }
 
     fn close(self) {
--- a/tests/tests/lending.rs
+++ b/tests/tests/lending.rs
@@ -140,7 +140,7 @@
     let terms = QuotaTerms::of_account(&account, &QuotaTolerance::default());
     let (mut history, mut pool) = (ShareHistory::new(start), QuotaPool::default());
     let request = |held| PrefetchRequest {
-        borrower: 7,
+        holder: 7,
         held,
         wanted: 5.0,
     };
--- a/tests/tests/lending_desk.rs
+++ b/tests/tests/lending_desk.rs
@@ -105,7 +105,7 @@
     for (on_demand_count, has_retry_after) in [(9, false), (50, true)] {
         let messages =
             manager.handle_request(7, &ask(on_demand_count), &hub(), &quota_of, now);
-        let reply = messages[0].lending.replies[0];
+        let reply = messages[0].messages.replies[0];
         assert_eq!(
             reply.retry_after_ms.is_some(),
             has_retry_after,
--- a/tests/tests/link_memory.rs
+++ b/tests/tests/link_memory.rs
@@ -48,7 +48,7 @@
     let connector = Connector::new(workers.spawner(), None);
     let timeouts = LinkTimeouts {
         connect: LINK_TIMEOUT,
-        answer: LINK_TIMEOUT,
+        reply: LINK_TIMEOUT,
     };
     let (_senders, mut receivers): (Vec<_>, Vec<_>) = (0..LINKS)
         .map(|_| {
--- a/tests/tests/listings.rs
+++ b/tests/tests/listings.rs
@@ -53,7 +53,7 @@
 
 fn pending(listing: &Arc<CatalogSnapshotUpdate>, bundle_version: u64) -> PendingSnapshot {
     PendingSnapshot {
-        listing: listing.clone(),
+        snapshot: listing.clone(),
         bundle_version,
     }
 }
@@ -126,12 +126,12 @@
     let mut queue = CatalogQueue::new();
     queue.push(&CatalogUpdate::Snapshot(listing(Some(bundle(3)))), true);
     queue.push(&change, true);
-    queue.drop_known_listing(at(6), 3);
-    assert!(queue.has_listing(), "the peer knows an older history");
-    queue.drop_known_listing(at(7), 2);
-    assert!(queue.has_listing(), "the peer has an older bundle");
-    queue.drop_known_listing(at(7), 3);
-    assert!(!queue.has_listing());
+    queue.drop_known_snapshot(at(6), 3);
+    assert!(queue.has_snapshot(), "the peer knows an older history");
+    queue.drop_known_snapshot(at(7), 2);
+    assert!(queue.has_snapshot(), "the peer has an older bundle");
+    queue.drop_known_snapshot(at(7), 3);
+    assert!(!queue.has_snapshot());
     assert_eq!(queue.take(Instant::now()), [change]);
 }
 
@@ -141,8 +141,8 @@
     update.returned.push("i-1".into());
     let mut queue = CatalogQueue::new();
     queue.push(&CatalogUpdate::Snapshot(Arc::new(update)), true);
-    queue.drop_known_listing(at(9), 9);
-    assert!(queue.has_listing());
+    queue.drop_known_snapshot(at(9), 9);
+    assert!(queue.has_snapshot());
 }
 
 /// Returns records as servers announce them, with IPv4 and IPv6 addresses.
--- a/tests/tests/log_lines.rs
+++ b/tests/tests/log_lines.rs
@@ -21,7 +21,7 @@
 #[test]
 fn each_request_has_one_outcome_in_the_log_and_its_decisions_before_it() {
     let log = KeptLog::start();
-    let reply = Arc::new(Mutex::new(Reply::Whole));
+    let reply = Arc::new(Mutex::new(Reply::Complete));
     let current_reply = reply.clone();
     let servers = [BackendServer::start(move |_| {
         *current_reply.lock().unwrap()
@@ -32,7 +32,7 @@
     };
     let deployment = Deployment::start(&servers, &[Route::new("read"), short]);
     let cases = [
-        ("once_only", Reply::Whole, 200, 0, "request: passed on."),
+        ("once_only", Reply::Complete, 200, 0, "request: passed on."),
         (
             "once_only",
             Reply::Error,
@@ -41,9 +41,9 @@
             "request: failure passed on.",
         ),
         ("once_only", Reply::Close, 502, 3004, "request: refused."),
-        ("once_only", Reply::Shed, 503, 3002, "request: refused."),
+        ("once_only", Reply::Refused, 503, 3002, "request: refused."),
         ("once_only", Reply::Silent, 504, 3003, "request: refused."),
-        ("nowhere", Reply::Whole, 404, 1001, "request: refused."),
+        ("nowhere", Reply::Complete, 404, 1001, "request: refused."),
     ];
     for (n, (class, server_reply, status, code, outcome)) in cases.into_iter().enumerate()
     {
@@ -74,7 +74,7 @@
         assert_eq!(logged[0], "attempt: sent.");
         assert_eq!(lines[0]["server"], "i-0");
         assert_eq!(last["version"], 1);
-        let failed = server_reply != Reply::Whole;
+        let failed = server_reply != Reply::Complete;
         for line in ["attempt: failed.", "request: given up."] {
             assert_eq!(
                 logged.contains(&line),
--- a/tests/tests/news_age.rs
+++ b/tests/tests/news_age.rs
@@ -122,7 +122,7 @@
     assert_eq!(tracker.staleness(start + ms(1_500)), ms(800));
     assert!(!tracker.is_lagging(start + ms(1_900)));
     assert!(tracker.is_lagging(start + ms(2_000)));
-    tracker.note_answer(start + ms(2_000));
+    tracker.record_store_reply(start + ms(2_000));
     assert_eq!(tracker.staleness(start + ms(2_050)), ms(50));
 }
 
--- a/tests/tests/platform_catalog.rs
+++ b/tests/tests/platform_catalog.rs
@@ -95,7 +95,7 @@
     let store = PlatformStore::start(500);
     put_server(&store, "i-1");
     put_server(&store, "i-2");
-    store.forget_history();
+    store.compact_history();
     with_patient_catalog(&store, |catalog| {
         let lost = outcome_of((catalog.watch)(at(1), WAIT)).unwrap_err();
         assert!(matches!(lost, CatalogError::HistoryLost));
--- a/tests/tests/quarantine/mod.rs
+++ b/tests/tests/quarantine/mod.rs
@@ -1386,7 +1386,7 @@
                     position: StorePosition::new(self.store.era, record.revision),
                     tries: record.tries,
                     counted_by: record.counted_by,
-                    heard,
+                    learned_at: heard,
                 };
                 simulated.suspects.apply_quarantine(fingerprint, known);
             }
@@ -1575,7 +1575,7 @@
                 position: StorePosition::new(era, record.revision),
                 tries: record.tries,
                 counted_by: record.counted_by,
-                heard,
+                learned_at: heard,
             };
             (*fingerprint, known)
         });
--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -353,7 +353,7 @@
                 life,
                 number,
                 answer,
-            } => self.receive_answer(place, life, number, answer),
+            } => self.receive_response(place, life, number, answer),
             Event::Frame {
                 from,
                 from_life,
@@ -833,7 +833,7 @@
         );
     }
 
-    fn receive_answer(&mut self, place: Place, life: u32, number: u64, answer: Answer) {
+    fn receive_response(&mut self, place: Place, life: u32, number: u64, answer: Answer) {
         let played = &self.boxes[place];
         if !played.alive || played.life != life {
             return;
@@ -859,7 +859,7 @@
             outcome = Err(Failure::HistoryLost);
         }
         match outcome {
-            Ok(Told::Listing(listing)) => self.take_listing(place, listing),
+            Ok(Told::Listing(listing)) => self.take_snapshot(place, listing),
             Ok(Told::Changes(changes)) => self.take_changes(place, changes),
             Err(Failure::HistoryLost) => {
                 let reading = &mut self.boxes[place].reading;
@@ -875,7 +875,7 @@
             Err(Failure::Away) => {
                 let played = &mut self.boxes[place];
                 played.reading.failures += 1;
-                played.feed.note_no_answer();
+                played.feed.record_store_failure();
                 played.directory.store_lost();
                 let is_hub = self.hubs[place % DATA_CENTRES] == Some(place);
                 let mut pause = self.pause(self.boxes[place].reading.failures);
@@ -914,7 +914,7 @@
         change
     }
 
-    fn take_listing(&mut self, place: Place, listing: CatalogSnapshot) {
+    fn take_snapshot(&mut self, place: Place, listing: CatalogSnapshot) {
         let known = self.boxes[place].feed.position();
         self.boxes[place].reading.lists = false;
         if listing.position < known {
@@ -929,7 +929,7 @@
         };
         self.apply_listing(place, read);
         let now = self.instant();
-        self.boxes[place].feed.note_answer(now);
+        self.boxes[place].feed.record_store_reply(now);
         if position > known {
             let told = self.boxes[place].listing(now);
             self.spread(place, &told, true, None);
@@ -954,7 +954,7 @@
             self.spread(place, &update, urgent, None);
         }
         self.apply_changes(place, changes);
-        self.boxes[place].feed.note_answer(now);
+        self.boxes[place].feed.record_store_reply(now);
     }
 
     // What a box knows.
@@ -1059,7 +1059,7 @@
         from: Option<Place>,
     ) {
         let played = &mut self.boxes[place];
-        played.recent.put(update);
+        played.recent.record(update);
         for (to, link) in &mut played.links {
             if Some(*to) != from {
                 link.queue.push(update, urgent);
@@ -1083,7 +1083,7 @@
             played.settled_ms = self.now;
             let age = played.feed.confirmed_age(now);
             if let Some(as_of) = age.and_then(|age| now.checked_sub(age)) {
-                let changes = played.directory.settle(as_of);
+                let changes = played.directory.finish_grace(as_of);
                 played.follow(&changes, now);
             }
         }
--- a/tests/tests/server_limit_bound.rs
+++ b/tests/tests/server_limit_bound.rs
@@ -115,7 +115,7 @@
 /// received the limit.
 fn windows_over(play: &Play, names: LimitFn) -> Vec<String> {
     let sent_after_limit = play.arrivals.iter().filter(|arrival| {
-        let received_ms = arrival.told_ms;
+        let received_ms = arrival.limit_known_since_ms;
         received_ms
             .is_some_and(|received_ms| received_ms + LIMIT_RECEIVED_MS <= arrival.ms)
     });
@@ -210,7 +210,7 @@
     let played = play_all(&planned, |(one, other, (boxes, seed))| {
         let server = one_of_sixteen(three);
         let play = Play::of_server(both(one, other), *boxes, server, *seed).run();
-        let sum = play.most_parts;
+        let sum = play.max_share_sum;
         (sum > 1.0 + 1e-6).then(|| {
             format!(
                 "{} and {}, {boxes} boxes: shares add up to {sum}",
@@ -260,7 +260,7 @@
                     ..CALM
                 };
                 let play = Play::of_server(scenario, boxes, server, seed).run();
-                let until_full_use_ms = play.longest_unheard_ms;
+                let until_full_use_ms = play.longest_outdated_limit_ms;
                 eprintln!("{boxes} boxes: in full after {until_full_use_ms} ms");
                 assert!(
                     until_full_use_ms <= 2_000,
--- a/tests/tests/server_limit_values.rs
+++ b/tests/tests/server_limit_values.rs
@@ -44,8 +44,8 @@
     let start = Instant::now();
     let mut limits = ServerLimits::default();
     let at = |ms| start + Duration::from_millis(ms);
-    assert_eq!(limits.receive_answer(7, None, at(0)), None);
-    let named = limits.receive_answer(7, Some(1.5), at(10));
+    assert_eq!(limits.receive_response(7, None, at(0)), None);
+    let named = limits.receive_response(7, Some(1.5), at(10));
     let expected = ServerLimitChange {
         server: 7,
         before: None,
@@ -54,18 +54,18 @@
     };
     assert_eq!(named, Some(expected));
     assert_eq!(
-        limits.receive_answer(7, Some(1.5), at(20)),
+        limits.receive_response(7, Some(1.5), at(20)),
         None,
         "no change"
     );
     assert_eq!(limits.limit(7), Some(1.5));
     assert_eq!(limits.limit(8), None);
     let ended = limits
-        .receive_answer(7, None, at(30))
+        .receive_response(7, None, at(30))
         .expect("the limit has ended");
     assert_eq!((ended.before, ended.per_s), (Some(1.5), None));
     assert_eq!(limits.limit(7), None);
-    limits.receive_answer(9, Some(0.0), at(40));
+    limits.receive_response(9, Some(0.0), at(40));
     assert_eq!(limits.limit(9), Some(0.0), "zero is a limit as well");
     limits.forget(9);
     assert_eq!(limits.limit(9), None);
--- a/tests/tests/server_limits.rs
+++ b/tests/tests/server_limits.rs
@@ -24,7 +24,7 @@
 
 impl Fleet {
     fn start(boxes: usize, servers: usize) -> Self {
-        Self::start_with(boxes, servers, |_| Reply::Whole)
+        Self::start_with(boxes, servers, |_| Reply::Complete)
     }
 
     fn start_with(boxes: usize, servers: usize, reply: fn(usize) -> Reply) -> Self {
@@ -112,7 +112,7 @@
     let fleet = Fleet::start(3, 4);
     for class in ["read", "once_only"] {
         let named = Instant::now();
-        fleet.servers[0].say("server-limit: 1.5\r\n");
+        fleet.servers[0].set_headers("server-limit: 1.5\r\n");
         let statuses = fleet.send_for(class, Duration::from_secs(8));
         let most = max_arrivals(&fleet.servers[0], named + KNOWN_WITHIN);
         assert!(most <= allowed(1.5), "{class}: {most} in four seconds");
@@ -131,12 +131,12 @@
 #[test]
 fn a_limit_is_heard_from_errors_and_rejections_as_well() {
     let fleet = Fleet::start_with(3, 4, |number| match number % 3 {
-        0 => Reply::Shed,
+        0 => Reply::Refused,
         1 => Reply::Error,
-        _ => Reply::Whole,
+        _ => Reply::Complete,
     });
     let named = Instant::now();
-    fleet.servers[0].say("server-limit: 1\r\n");
+    fleet.servers[0].set_headers("server-limit: 1\r\n");
     fleet.send_for("read", Duration::from_secs(8));
     let most = max_arrivals(&fleet.servers[0], named + KNOWN_WITHIN);
     assert!(most <= allowed(1.0), "{most} in four seconds");
@@ -147,7 +147,7 @@
 fn where_all_servers_are_at_their_limits_callers_are_told_when_to_come_back() {
     let fleet = Fleet::start(2, 2);
     for server in &fleet.servers {
-        server.say("server-limit: 0.5\r\n");
+        server.set_headers("server-limit: 0.5\r\n");
     }
     let named = Instant::now();
     fleet.send_for("once_only", Duration::from_secs(5));
@@ -174,7 +174,7 @@
 #[test]
 fn callers_are_shown_what_the_server_said() {
     let fleet = Fleet::start(1, 1);
-    fleet.servers[0].say("Server-Limit: 2.50\r\n");
+    fleet.servers[0].set_headers("Server-Limit: 2.50\r\n");
     let answer = fleet.send("read");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.headers["server-limit"], "2.50");
@@ -186,7 +186,7 @@
 #[test]
 fn what_a_server_takes_is_used_from_all_data_centres() {
     let fleet = Fleet::start(6, 4);
-    fleet.servers[0].say("server-limit: 2\r\n");
+    fleet.servers[0].set_headers("server-limit: 2\r\n");
     fleet.send_for("once_only", Duration::from_secs(4));
     let before = fleet.servers[0].arrivals().len();
     fleet.send_for("once_only", Duration::from_secs(8));
@@ -199,9 +199,9 @@
 #[test]
 fn a_server_that_names_none_any_more_is_sent_its_share_again() {
     let fleet = Fleet::start(6, 4);
-    fleet.servers[0].say("server-limit: 0\r\n");
+    fleet.servers[0].set_headers("server-limit: 0\r\n");
     fleet.send_for("read", Duration::from_secs(4));
-    fleet.servers[0].say("");
+    fleet.servers[0].set_headers("");
     wait_until("the server gets its share", || {
         let before = fleet.servers[0].arrivals().len();
         fleet.send_for("read", Duration::from_secs(1));
@@ -220,7 +220,7 @@
         "server-limit:\r\n",
     ];
     for odd in odd {
-        fleet.servers[0].say(odd);
+        fleet.servers[0].set_headers(odd);
         let before = fleet.servers[0].arrivals().len();
         let statuses = fleet.send_for("read", Duration::from_secs(1));
         assert!(statuses.iter().all(|status| *status == 200), "{odd:?}");
--- a/tests/tests/server_list.rs
+++ b/tests/tests/server_list.rs
@@ -48,14 +48,14 @@
     registry.store_recovered(now);
     assert_eq!(registry.replace(Vec::new(), now), []);
     let almost = now + STORE_RECOVERY_GRACE - Duration::from_millis(1);
-    assert_eq!(registry.settle(almost), []);
+    assert_eq!(registry.finish_grace(almost), []);
     assert_eq!(
         registry.put(record("back")),
         None,
         "the server was never removed"
     );
     assert_eq!(
-        registry.settle(now + STORE_RECOVERY_GRACE),
+        registry.finish_grace(now + STORE_RECOVERY_GRACE),
         [removed("lost")]
     );
     assert_eq!(registry.len(), 1);
@@ -86,12 +86,15 @@
     registry.store_recovered(now);
     registry.remove("a", now);
     registry.store_lost();
-    assert_eq!(registry.settle(now + STORE_RECOVERY_GRACE), []);
+    assert_eq!(registry.finish_grace(now + STORE_RECOVERY_GRACE), []);
     let recovered = now + Duration::from_secs(5);
     registry.store_recovered(recovered);
-    assert_eq!(registry.settle(recovered + Duration::from_secs(1)), []);
     assert_eq!(
-        registry.settle(recovered + STORE_RECOVERY_GRACE),
+        registry.finish_grace(recovered + Duration::from_secs(1)),
+        []
+    );
+    assert_eq!(
+        registry.finish_grace(recovered + STORE_RECOVERY_GRACE),
         [removed("a")]
     );
 }
@@ -102,9 +105,9 @@
     let mut registry = with(&["a"]);
     registry.store_read_by_peer(Duration::from_millis(800), now);
     assert_eq!(registry.remove("a", now), None);
-    assert_eq!(registry.settle(now + Duration::from_millis(700)), []);
+    assert_eq!(registry.finish_grace(now + Duration::from_millis(700)), []);
     assert_eq!(
-        registry.settle(now + Duration::from_millis(800)),
+        registry.finish_grace(now + Duration::from_millis(800)),
         [removed("a")]
     );
 }
@@ -169,11 +172,11 @@
     let mut registry = restored_with_removed("a", now);
     assert!(registry.is_empty());
     let almost = now + ENTRY_TTL - Duration::from_millis(1);
-    assert_eq!(registry.settle(almost), []);
+    assert_eq!(registry.finish_grace(almost), []);
     // Another snapshot of the same era does not restart the time.
     assert_eq!(registry.replace(vec![record("a")], almost), []);
     assert_eq!(registry.remove("a", almost), None, "the entry has expired");
-    assert_eq!(registry.settle(now + ENTRY_TTL), []);
+    assert_eq!(registry.finish_grace(now + ENTRY_TTL), []);
 }
 
 #[test]
@@ -181,7 +184,10 @@
     let now = Instant::now();
     let mut registry = restored_with_removed("a", now);
     let put = RegistryChange::Updated(record("a"));
-    assert_eq!(registry.settle(now + ENTRY_TTL), std::slice::from_ref(&put));
+    assert_eq!(
+        registry.finish_grace(now + ENTRY_TTL),
+        std::slice::from_ref(&put)
+    );
     let mut registry = restored_with_removed("a", now);
     assert_eq!(
         registry.put(record("a")),
@@ -202,7 +208,7 @@
         None,
         "the server was never removed"
     );
-    assert_eq!(registry.settle(now + STORE_RECOVERY_GRACE), []);
+    assert_eq!(registry.finish_grace(now + STORE_RECOVERY_GRACE), []);
     assert_eq!(registry.len(), 2);
 }
 
@@ -217,7 +223,7 @@
     let missing = starting.put_missing(record("missing"), now);
     assert_eq!(missing, Some(RegistryChange::Updated(record("missing"))));
     assert_eq!(
-        starting.settle(now + STORE_RECOVERY_GRACE),
+        starting.finish_grace(now + STORE_RECOVERY_GRACE),
         [removed("missing")]
     );
 }
--- a/tests/tests/server_words.rs
+++ b/tests/tests/server_words.rs
@@ -37,15 +37,15 @@
 fn fails_often(number: usize) -> Reply {
     match number % 3 {
         2 => Reply::Error,
-        _ => Reply::Whole,
+        _ => Reply::Complete,
     }
 }
 
 /// A server that refuses a single request, after some successes.
 fn sheds_once(number: usize) -> Reply {
     match number {
-        SUCCESSES_BEFORE_REFUSAL => Reply::Shed,
-        _ => Reply::Whole,
+        SUCCESSES_BEFORE_REFUSAL => Reply::Refused,
+        _ => Reply::Complete,
     }
 }
 
@@ -60,8 +60,8 @@
 
 #[test]
 fn a_server_that_says_it_leaves_gets_nothing_more() {
-    let servers = [0, 1].map(|_| BackendServer::start(|_| Reply::Whole));
-    servers[0].say("server-leaving: 1\r\n");
+    let servers = [0, 1].map(|_| BackendServer::start(|_| Reply::Complete));
+    servers[0].set_headers("server-leaving: 1\r\n");
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], 1);
     let before = servers[0].arrivals().len();
@@ -80,13 +80,13 @@
 #[test]
 fn what_a_server_said_outlives_all_but_its_run() {
     let servers = [
-        BackendServer::start(|_| Reply::Whole),
+        BackendServer::start(|_| Reply::Complete),
         BackendServer::start(fails_often),
     ];
-    servers[0].say("server-leaving: 1\r\n");
+    servers[0].set_headers("server-leaving: 1\r\n");
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], 1);
-    servers[0].say("");
+    servers[0].set_headers("");
     let before = servers[0].arrivals().len();
     let assert_unused = |event: &str| {
         send_many(&deployment, event);
@@ -99,7 +99,7 @@
     deployment.wait_for_updates();
     deployment.announce("i-0", servers[0].address, "ready");
     assert_unused("its entry is removed and written again");
-    deployment.store.forget_history();
+    deployment.store.compact_history();
     deployment.wait_for_updates();
     assert_unused("a new snapshot is read");
     deployment.store.set_fault(StoreFault::Refuses(503));
@@ -124,10 +124,10 @@
         BackendServer::start(sheds_once),
         BackendServer::start(fails_often),
     ];
-    servers[0].say("retry-after: 3600\r\n");
+    servers[0].set_headers("retry-after: 3600\r\n");
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], SUCCESSES_BEFORE_REFUSAL + 1);
-    servers[0].say("");
+    servers[0].set_headers("");
     send_many(&deployment, "resting");
     assert_eq!(
         servers[0].arrivals().len(),
@@ -143,7 +143,7 @@
         BackendServer::start(sheds_once),
         BackendServer::start(fails_often),
     ];
-    servers[0].say("retry-after: 0.25\r\n");
+    servers[0].set_headers("retry-after: 0.25\r\n");
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], SUCCESSES_BEFORE_REFUSAL + 1);
     wait_until("it is used again", || {
@@ -157,9 +157,9 @@
 /// backoff ends.
 #[test]
 fn where_all_servers_rest_callers_are_told_when_the_first_is_back() {
-    let servers = [0, 1].map(|_| BackendServer::start(|_| Reply::Shed));
+    let servers = [0, 1].map(|_| BackendServer::start(|_| Reply::Refused));
     for server in &servers {
-        server.say("retry-after: 3600\r\n");
+        server.set_headers("retry-after: 3600\r\n");
     }
     let deployment = start(&servers);
     for server in &servers {
@@ -188,7 +188,7 @@
     ];
     for headers in invalid_or_void {
         let servers = [0, 1].map(|_| BackendServer::start(sheds_once));
-        servers[0].say(headers);
+        servers[0].set_headers(headers);
         let deployment = start(&servers);
         send_until_reached(&deployment, &servers[0], SUCCESSES_BEFORE_REFUSAL + 1);
         wait_until("it is used as before", || {
@@ -206,12 +206,12 @@
         BackendServer::start(sheds_once),
         BackendServer::start(fails_often),
     ];
-    servers[0].say(
+    servers[0].set_headers(
         "date: Thu, 01 Jan 2026 00:00:00 GMT\r\nretry-after: Thu, 01 Jan 2026 01:00:00 GMT\r\n",
     );
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], SUCCESSES_BEFORE_REFUSAL + 1);
-    servers[0].say("");
+    servers[0].set_headers("");
     send_many(&deployment, "resting");
     assert_eq!(
         servers[0].arrivals().len(),
@@ -226,14 +226,14 @@
 fn second_attempts_leave_out_a_server_that_rests() {
     let failing = |number: usize| match number % 8 {
         7 => Reply::Close,
-        _ => Reply::Whole,
+        _ => Reply::Complete,
     };
     let servers = [
         BackendServer::start(sheds_once),
         BackendServer::start(failing),
         BackendServer::start(failing),
     ];
-    servers[0].say("retry-after: 3600\r\n");
+    servers[0].set_headers("retry-after: 3600\r\n");
     let deployment = start(&servers);
     send_until_reached(&deployment, &servers[0], SUCCESSES_BEFORE_REFUSAL + 1);
     for _ in 0..4 {
--- a/tests/tests/sharing.rs
+++ b/tests/tests/sharing.rs
@@ -268,7 +268,7 @@
 fn two_hubs_that_both_try_in_vain_do_not_wait_for_each_other() {
     let now = Instant::now();
     let mut freshness = CatalogFreshnessTracker::new(BoxId::from("own"), now);
-    freshness.note_no_answer();
+    freshness.record_store_failure();
     let other_tries = CatalogFreshness {
         reader: None,
         age_ms: 0,
@@ -419,9 +419,9 @@
 #[test]
 fn a_box_that_is_a_little_behind_is_told_the_changes_that_it_lacks() {
     let mut recent = RecentChanges::default();
-    recent.put(&changes(10, 12, &["a"]));
-    recent.put(&changes(12, 12, &[]));
-    recent.put(&changes(11, 15, &["b", "c"]));
+    recent.record(&changes(10, 12, &["a"]));
+    recent.record(&changes(12, 12, &[]));
+    recent.record(&changes(11, 15, &["b", "c"]));
     let CatalogUpdate::Changes { changes: all, .. } = changes(10, 15, &["a", "b", "c"])
     else {
         unreachable!()
@@ -440,8 +440,8 @@
 #[test]
 fn changes_that_do_not_follow_on_those_before_begin_anew() {
     let mut recent = RecentChanges::default();
-    recent.put(&changes(10, 12, &["a"]));
-    recent.put(&changes(14, 15, &["c"]));
+    recent.record(&changes(10, 12, &["a"]));
+    recent.record(&changes(14, 15, &["c"]));
     assert_eq!(recent.since(at(10)), None);
     assert_eq!(recent.since(at(12)), None);
     assert_eq!(
@@ -449,7 +449,7 @@
         Some(1)
     );
     for revision in 15..2000 {
-        recent.put(&changes(revision, revision + 1, &["d"]));
+        recent.record(&changes(revision, revision + 1, &["d"]));
     }
     assert_eq!(recent.since(at(14)), None);
     assert_eq!(
--- a/tests/tests/standing.rs
+++ b/tests/tests/standing.rs
@@ -55,7 +55,7 @@
         Event::Unlisted => states.withdraw(INSTANCE),
         Event::Listed => states.announce(INSTANCE),
         Event::Limit(per_s) => {
-            states.limits.receive_answer(INSTANCE, per_s, now);
+            states.limits.receive_response(INSTANCE, per_s, now);
         }
         Event::Backoff(ms) => {
             states.receive_backoff(INSTANCE, now + Duration::from_millis(ms));
@@ -157,7 +157,7 @@
     let mut states = AnnouncedStates::default();
     states.record_draining(INSTANCE, now);
     states.receive_backoff(INSTANCE, now + Duration::from_secs(60));
-    states.limits.receive_answer(INSTANCE, Some(1.0), now);
+    states.limits.receive_response(INSTANCE, Some(1.0), now);
     states.forget(INSTANCE);
     assert_eq!(states.state(INSTANCE), AnnouncedState::default());
     assert_eq!(states.state(OTHER_INSTANCE), AnnouncedState::default());
--- a/tests/tests/stop_lines.rs
+++ b/tests/tests/stop_lines.rs
@@ -26,7 +26,7 @@
     stream.write_all(b"GET /read/a HTTP/1.1\r\nhost: site.example\r\nx-wingspur-request-id: left\r\n\r\n")
         .unwrap();
     wait_until("the server has the first request", || {
-        !servers[0].ran().is_empty()
+        !servers[0].executed_ids().is_empty()
     });
     drop(stream);
     wait_until("the end of the first request is logged", || {
@@ -48,7 +48,7 @@
 
     let calling = std::thread::spawn(move || caller.call("read", "waits"));
     wait_until("the server has the second request", || {
-        servers[0].ran().len() == 2
+        servers[0].executed_ids().len() == 2
     });
     deployment.close();
     calling.join().expect("the caller ends");
--- a/tests/tests/stopping.rs
+++ b/tests/tests/stopping.rs
@@ -45,7 +45,7 @@
     let caller = deployment.caller();
     let calling = std::thread::spawn(move || caller.call(class, "id-1"));
     edge::wait_until("the server has the request", || {
-        !servers[0].ran().is_empty()
+        !servers[0].executed_ids().is_empty()
     });
     let cut = deployment.close();
     (calling.join().expect("the caller ends"), cut)
@@ -103,14 +103,14 @@
 const STOP_CASES: &[StopCase] = &[
     StopCase {
         name: "nothing sent",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: "",
         during: "",
         status: 0,
     },
     StopCase {
         name: "all sent during the stop",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: "",
         during: concat!(
             "GET /read/a HTTP/1.1\r\n",
@@ -130,21 +130,21 @@
     },
     StopCase {
         name: "half a head sent",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: "GET /read/a HTTP/1.1\r\n",
         during: "host: site.example\r\nx-wingspur-request-id: id-1\r\n\r\n",
         status: 200,
     },
     StopCase {
         name: "half a head sent, and no more",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: "GET /read/a HTTP/1.1\r\n",
         during: "",
         status: 0,
     },
     StopCase {
         name: "half a body sent",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: concat!(
             "POST /once_only/a HTTP/1.1\r\n",
             "host: site.example\r\nx-wingspur-request-id: id-1\r\n",
@@ -155,7 +155,7 @@
     },
     StopCase {
         name: "half a body sent, and no more",
-        reply: Reply::Whole,
+        reply: Reply::Complete,
         before: concat!(
             "POST /once_only/a HTTP/1.1\r\n",
             "host: site.example\r\nx-wingspur-request-id: id-1\r\n",
--- a/tests/tests/store_restore.rs
+++ b/tests/tests/store_restore.rs
@@ -23,7 +23,7 @@
     fn start() -> Self {
         let store = PlatformStore::start(500);
         let workers = Workers::start(2);
-        let servers = [(); 2].map(|()| BackendServer::start(|_| Reply::Whole));
+        let servers = [(); 2].map(|()| BackendServer::start(|_| Reply::Complete));
         let fleet = Self {
             boxes: vec![
                 start_box("box-1", &store, &workers),
@@ -79,7 +79,7 @@
 
     /// Sends ten requests to each box, and returns how many of them reach a server.
     fn count_at(&self, number: usize) -> usize {
-        let before = self.servers[number].ran().len();
+        let before = self.servers[number].executed_ids().len();
         for (n, running) in self.boxes.iter().enumerate() {
             for m in 0..10 {
                 let id = format!("r-{n}-{m}");
@@ -87,7 +87,7 @@
                 call(running.caller_address(), "GET", "/read/a", &headers, b"");
             }
         }
-        self.servers[number].ran().len() - before
+        self.servers[number].executed_ids().len() - before
     }
 
     fn close(self) {
--- a/tests/tests/suspects.rs
+++ b/tests/tests/suspects.rs
@@ -45,7 +45,7 @@
         position: StorePosition::new(0, revision),
         tries,
         counted_by: 7,
-        heard,
+        learned_at: heard,
     }
 }
 
--- a/tests/tests/suspended_box.rs
+++ b/tests/tests/suspended_box.rs
@@ -80,7 +80,7 @@
 #[test]
 fn a_box_that_was_suspended_says_nothing_final_by_its_old_news() {
     let _clock = lock_clock();
-    let servers = [BackendServer::start(|_| Reply::Whole)];
+    let servers = [BackendServer::start(|_| Reply::Complete)];
     let bundle = configuration(1, &[Route::new("read")]);
     let bundle = with_accounts(bundle, &[("school", &["key-a"])]);
     let deployment = Deployment::start_configured(&servers, &bundle);
--- a/tests/tests/words_table.rs
+++ b/tests/tests/words_table.rs
@@ -202,7 +202,7 @@
         words.join(" ").replace(" .", ".")
     };
     let sources: Vec<_> = READERS.iter().map(|path| on_one_line(read(path))).collect();
-    for field in fields.filter(|field| *field != "load_form") {
+    for field in fields.filter(|field| *field != "load_format") {
         let row = rows.iter().find(|row| row.read_as == field);
         let row = row.unwrap_or_else(|| panic!("the table lacks `{field}`"));
         let accesses = [format!("names.{field}"), format!("header_names.{field}")];
