--- a/crates/wingspur-entry/src/proxy.rs
+++ b/crates/wingspur-entry/src/proxy.rs
@@ -187,8 +187,8 @@
                 guard.record_outcome(OperationOutcome::Ran);
                 Ok(self.relay(&pending, response, connection, attempt, permit))
             }
-            Err((code, surely_not_run)) => {
-                guard.record_outcome(match surely_not_run {
+            Err((code, certainly_not_run)) => {
+                guard.record_outcome(match certainly_not_run {
                     true => OperationOutcome::NotRun,
                     false => OperationOutcome::Unknown,
                 });
@@ -219,7 +219,7 @@
                 Ok(head) => return Ok(head),
                 Err(failed) => failed,
             };
-            may_have_run |= !failed.end.surely_not_run();
+            may_have_run |= !failed.end.certainly_not_run();
             body = failed.unsent.or(resendable);
             if !self.may_retry(pending, failed.end, tried.len(), body.is_some()) {
                 return Err(final_failure(failed.code, may_have_run));
--- a/crates/wingspur-transport/src/link.rs
+++ b/crates/wingspur-transport/src/link.rs
@@ -70,7 +70,7 @@
     /// refuse it.
     pub connect: Duration,
     /// Timeout until the response has arrived, including the time to connect.
-    pub answer: Duration,
+    pub reply: Duration,
 }
 
 /// Opens a link by a POST request to `path` at the box with address `to`.
@@ -101,8 +101,8 @@
         Ok(LinkReceiver::new(response.into_body()))
     };
     let expired = async {
-        wingspur_clock::sleep(timeouts.answer).await;
-        Err(LinkError::Silent(timeouts.answer))
+        wingspur_clock::sleep(timeouts.reply).await;
+        Err(LinkError::Silent(timeouts.reply))
     };
     Ok((sender, opening.or(expired).await?))
 }
--- a/tests/soak/src/planned/callers.rs
+++ b/tests/soak/src/planned/callers.rs
@@ -10,7 +10,7 @@
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use wingspur_tests::{Answer, read_kept_answer};
+use wingspur_tests::{Answer, read_keep_alive_response};
 
 use crate::planned::operator::{HOST, IDLE_TIMEOUT, ROUTES, RouteKind};
 use crate::planned::record::{BoxIndex, Call, Outcome};
@@ -239,7 +239,7 @@
         let began = Instant::now();
         let written = draft.write(self.stream(), random).is_ok();
         let sent = written.then(Instant::now);
-        let response = read_kept_answer(&mut self.reader);
+        let response = read_keep_alive_response(&mut self.reader);
         let ended = Instant::now();
         self.view.in_flight.fetch_sub(1, Ordering::Relaxed);
         let will_close = response.as_ref().is_none_or(|response| {
--- a/tests/tests/restore_play/fleet.rs
+++ b/tests/tests/restore_play/fleet.rs
@@ -948,7 +948,7 @@
             Err(Failure::Unavailable) => {
                 let played = &mut self.boxes[box_index];
                 played.reading.failures += 1;
-                played.freshness.note_no_answer();
+                played.freshness.record_store_failure();
                 played.registry.store_lost();
                 let is_hub = self.hubs[box_index % DATA_CENTRES] == Some(box_index);
                 let mut pause = self.pause(self.boxes[box_index].reading.failures);
@@ -1002,7 +1002,7 @@
         };
         self.apply_snapshot(box_index, read);
         let now = self.instant();
-        self.boxes[box_index].freshness.note_answer(now);
+        self.boxes[box_index].freshness.record_store_reply(now);
         if position > known {
             let own = self.boxes[box_index].snapshot(now);
             self.forward(box_index, &own, true, None);
@@ -1027,7 +1027,7 @@
             self.forward(box_index, &update, urgent, None);
         }
         self.apply_changes(box_index, changes);
-        self.boxes[box_index].freshness.note_answer(now);
+        self.boxes[box_index].freshness.record_store_reply(now);
     }
 
     // State of a box.
@@ -1143,7 +1143,7 @@
         from: Option<BoxIndex>,
     ) {
         let played = &mut self.boxes[box_index];
-        played.recent.put(update);
+        played.recent.record(update);
         for (to, link) in &mut played.links {
             if Some(*to) != from {
                 link.queue.push(update, urgent);
@@ -1173,7 +1173,7 @@
             played.settled_ms = self.now;
             let age = played.freshness.confirmed_age(now);
             if let Some(as_of) = age.and_then(|age| now.checked_sub(age)) {
-                let changes = played.registry.settle(as_of);
+                let changes = played.registry.finish_grace(as_of);
                 played.apply_to_services(&changes, now);
             }
         }
