--- a/crates/wingspur-state/src/server_registry.rs
+++ b/crates/wingspur-state/src/server_registry.rs
@@ -114,8 +114,8 @@
         let until = now + unreliable;
         match self.store {
             StoreStatus::UnreliableUntil(known) if known >= until => {}
-            // The other box's grace is over; here `settle` ends it once the changes up to
-            // that instant are known.
+            // The other box's grace is over; here `finish_grace` ends it once the
+            // changes up to that instant are known.
             StoreStatus::UnreliableUntil(_) if unreliable.is_zero() => {}
             _ if unreliable.is_zero() && self.missing().next().is_none() => {
                 self.store = StoreStatus::Reliable;
