--- a/crates/wingspur-bench/src/store.rs
+++ b/crates/wingspur-bench/src/store.rs
@@ -202,12 +202,12 @@
         self.count("txn");
         let holds = body["compare"].as_array()?.iter().all(|compare| {
             let key = decode_field(compare, "key").unwrap_or_default();
-            let expected_revision = compare["mod_revision"]
+            let required_revision = compare["mod_revision"]
                 .as_str()
                 .and_then(|r| r.parse().ok());
             let current_revision =
                 self.pairs.get(&key).map_or(0, |stored| stored.mod_revision);
-            expected_revision == Some(current_revision)
+            required_revision == Some(current_revision)
         });
         let operations = if holds {
             &body["success"]
