--- a/crates/wingspur-coordination/src/quota_leases.rs
+++ b/crates/wingspur-coordination/src/quota_leases.rs
@@ -27,11 +27,12 @@
     data_centre_histories: BTreeMap<DataCentreId, ShareHistory>,
     pools: HashMap<LeasedResource, QuotaPool>,
     lease_clients: HashMap<LeasedResource, LeaseClient>,
-    /// Requests that wait for quota, in the order of their arrival.
+    /// Requests that wait for quota. When units are granted, the queue is sorted by
+    /// `reserve`, the most urgent first, and by arrival where that is equal.
     waiting: HashMap<LeasedResource, VecDeque<Waiting>>,
     /// Searches for quota at other hubs, by the id of the last lease request.
     searches: HashMap<u32, Search>,
-    /// Resources of which the other hubs recently had no quota left.
+    /// Resources for which a recent search ended before it had all units.
     recent_misses: HashMap<LeasedResource, SearchMiss>,
     last_request_id: u32,
 }
@@ -61,15 +62,15 @@
 /// Receives the outcome for a request that waits for quota.
 pub type PendingGrant = async_channel::Receiver<AcquireOutcome>;
 
-/// Share of a pool's capacity beyond one unit that a request of lower priority leaves to
-/// those of higher priority; the lower, the more urgent.
+/// Share of a pool's capacity beyond one unit that a request must leave untouched, for
+/// requests of higher priority. The lower this share, the more urgent the request.
 pub type ReserveShare = f32;
 
 /// A search for quota at other hubs, which are asked one after the other.
 #[derive(Debug)]
 struct Search {
     resource: LeasedResource,
-    /// The member that asked, with the id of its request; `None` for this box's own
+    /// The member that asked, with the id of its lease request; `None` for this box's own
     /// requests.
     requester: Option<(LinkId, u32)>,
     granted: u32,
@@ -84,10 +85,11 @@
     deadline: Instant,
 }
 
-/// Records that the other hubs have no quota left for a resource.
+/// Records that a search asked the other hubs, or ran out of time, before it had all
+/// units that were missing.
 #[derive(Debug, Clone, Copy)]
 struct SearchMiss {
-    /// Until when they are not asked again.
+    /// Until when the other hubs are not asked again.
     until: Instant,
     /// When they expect to have more, counted from when they were asked.
     next_available: NextAvailable,
@@ -97,12 +99,13 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct NextAvailable {
     soonest: Option<Duration>,
-    /// Whether one of them cannot tell, since its share has changed recently.
+    /// Whether a reply named no time, for example because the share of the box that sent
+    /// it has changed recently. A box that did not reply at all does not set this.
     is_unknown: bool,
 }
 
 impl NextAvailable {
-    fn add(&mut self, more_in: Option<Duration>) {
+    fn add_reply(&mut self, more_in: Option<Duration>) {
         let Some(more_in) = more_in else {
             self.is_unknown = true;
             return;
@@ -110,12 +113,12 @@
         self.soonest = Some(self.soonest.map_or(more_in, |known| known.min(more_in)));
     }
 
-    fn known(self) -> Option<Duration> {
+    fn if_all_known(self) -> Option<Duration> {
         self.soonest.filter(|_| !self.is_unknown)
     }
 }
 
-/// Messages to be sent once the state is unlocked.
+/// Messages for the caller to send once it has released the lock on the state.
 pub type QuotaMessages = Vec<QuotaMessage>;
 
 /// A lease request to another box, or a reply.
@@ -125,7 +128,8 @@
     pub link: LinkId,
     /// The lease requests and replies in it.
     pub messages: LeaseMessages,
-    /// Whether a request waits for it; otherwise it is sent with the next frame.
+    /// Whether a caller's request waits for it. A message that is not urgent is sent with
+    /// the next frame.
     pub urgent: bool,
 }
 
@@ -135,11 +139,13 @@
     /// The hub that it is a member of; `None` if it is a hub itself.
     pub own_hub: Option<LinkId>,
     /// The links that it asks when its own share is used up: the hubs of other data
-    /// centres, or its own hub if other boxes use this one as a hub.
+    /// centres, or its own hub if it has one. A box with a hub asks it this way only for
+    /// other boxes that use this box as a hub.
     pub allocators: Vec<LinkId>,
     /// Its share of all quotas, including the shares delegated to it.
     pub share: f64,
-    /// Its shares of the quotas that the hub of one data centre allocates for all boxes.
+    /// Its shares of the quotas that the hub of one data centre allocates for all boxes;
+    /// empty if it is a member of a hub.
     pub data_centres: Vec<DataCentreQuota>,
 }
 
@@ -192,7 +198,7 @@
         }
     }
 
-    /// Records this box's shares from now on.
+    /// Records the shares that this box has from `now` on.
     pub fn update_shares(&mut self, topology: &QuotaTopology, now: Instant) {
         self.share_history.record_share(topology.share, now);
         for data_centre in &topology.data_centres {
@@ -283,8 +289,9 @@
     }
 
     /// Takes one unit of this box's own share for a request with `ahead` others waiting
-    /// before it. The outcome is `Unknown` if the share is empty but has changed
-    /// recently, or if the box has none.
+    /// before it. The outcome is `Unknown` if there is no quota or the box has no share
+    /// of it, or if no unit is left but the share has changed recently and the queue is
+    /// not too long.
     fn take_from_pool(
         &mut self,
         (resource, reserve, ahead): (LeasedResource, ReserveShare, usize),
@@ -387,6 +394,7 @@
         let allocators = allocators.unwrap_or_default();
         let can_search =
             !allocators.is_empty() && !self.was_missed_recently(request.resource, now);
+        // An allocator asks the other hubs itself, so its request is not passed on.
         if missing == 0 || is_from_allocator || !can_search {
             return vec![QuotaMessage::reply(link, reply, true)];
         }
@@ -497,7 +505,7 @@
             .map(|ms| Duration::from_millis(ms.into()));
         if let Some(mut search) = self.searches.remove(&reply.request_id) {
             search.take(reply.on_demand_granted);
-            search.next_available.add(more_in);
+            search.next_available.add_reply(more_in);
             if search.missing == 0 {
                 return self.end_search(search, topology, find, now);
             }
@@ -527,9 +535,9 @@
         }
     }
 
-    /// Grants `granted` units to the most urgent waiting requests, and refuses the others
-    /// if a refusal is given and they may not wait for it. Returns the number of requests
-    /// granted.
+    /// Grants `granted` units to the most urgent waiting requests. If a refusal is given,
+    /// it goes to those of the others that may not wait as long as it says. Returns the
+    /// number of requests granted.
     fn notify_waiting(
         &mut self,
         resource: LeasedResource,
@@ -566,8 +574,9 @@
         granted as u32
     }
 
-    /// Adds to a refusal what the other hubs recently replied about when they expect
-    /// more; it becomes `Unknown` if one of them could not tell.
+    /// Shortens the wait of a refusal to the shortest one that the other hubs named in
+    /// the last search, if its miss has not been evicted yet. The outcome becomes
+    /// `Unknown` if one of their replies named no time.
     fn with_recent_miss(
         &self,
         resource: LeasedResource,
@@ -579,27 +588,28 @@
             return outcome;
         };
         let mut next_available = miss.next_available;
-        next_available.add(Some(more_in));
+        next_available.add_reply(Some(more_in));
         next_available
-            .known()
+            .if_all_known()
             .map_or(AcquireOutcome::Unknown, AcquireOutcome::Refused)
     }
 
-    /// Returns whether the other hubs were asked recently and had none.
+    /// Returns whether a recent search ended before it had all units.
     fn was_missed_recently(&self, resource: LeasedResource, now: Instant) -> bool {
         self.recent_misses
             .get(&resource)
             .is_some_and(|miss| miss.until > now)
     }
 
-    /// Starts a search by asking the first of some hubs.
+    /// Starts a search among some hubs by asking one of them.
     fn begin_search(
         &mut self,
         mut search: Search,
         mut allocators: Vec<LinkId>,
         now: Instant,
     ) -> QuotaMessages {
-        // Starts with a different hub each time.
+        // Spreads searches over the hubs. Hubs are taken from the end of the list, so the
+        // one at `first` is asked last.
         let first = self.last_request_id as usize % allocators.len().max(1);
         allocators.rotate_left(first);
         search.hubs = allocators;
@@ -625,8 +635,8 @@
         vec![QuotaMessage::request(hub, request)]
     }
 
-    /// Asks the next hub, or ends the search without success if no hub or no time is
-    /// left.
+    /// Asks the next hub. If no hub or no time is left, records a miss and ends the
+    /// search with what was granted so far.
     fn continue_or_end_search(
         &mut self,
         mut search: Search,
@@ -661,9 +671,9 @@
             .is_some_and(|quota| topology.share_of(quota) > 0.0);
         let mut next_available = search.next_available;
         if has_share {
-            next_available.add(self.more_in(resource, topology, quota.as_ref()));
+            next_available.add_reply(self.more_in(resource, topology, quota.as_ref()));
         }
-        let more_in = next_available.known();
+        let more_in = next_available.if_all_known();
         let Some((link, request_id)) = search.requester else {
             let refusal = more_in.filter(|_| search.missing > 0);
             let refusal = refusal.map(AcquireOutcome::Refused);
@@ -742,7 +752,7 @@
     }
 
     /// Starts another search for the requests that wait for this box's own share, unless
-    /// one is in progress or the other hubs had none recently.
+    /// one is in progress or a recent one ended before it had all units.
     fn search_for_waiting(
         &mut self,
         resource: LeasedResource,
@@ -752,8 +762,8 @@
     ) -> QuotaMessages {
         let is_own =
             |search: &Search| search.resource == resource && search.requester.is_none();
-        let is_asked = self.searches.values().any(is_own);
-        let Some(waiting) = self.waiting.get(&resource).filter(|_| !is_asked) else {
+        let is_searching = self.searches.values().any(is_own);
+        let Some(waiting) = self.waiting.get(&resource).filter(|_| !is_searching) else {
             return QuotaMessages::new();
         };
         let missing = waiting.len() as u32;
@@ -884,32 +894,33 @@
 impl QuotaMessage {
     /// Creates a message with a lease request.
     pub fn request(link: LinkId, request: QuotaLeaseRequest) -> Self {
-        let lending = LeaseMessages {
+        let lease_messages = LeaseMessages {
             requests: vec![request],
             ..LeaseMessages::default()
         };
         Self {
             link,
-            messages: lending,
+            messages: lease_messages,
             urgent: request.on_demand_count > 0,
         }
     }
 
     /// Creates a message with the reply to a lease request.
     pub fn reply(link: LinkId, reply: QuotaLeaseReply, urgent: bool) -> Self {
-        let lending = LeaseMessages {
+        let lease_messages = LeaseMessages {
             replies: vec![reply],
             ..LeaseMessages::default()
         };
         Self {
             link,
-            messages: lending,
+            messages: lease_messages,
             urgent,
         }
     }
 }
 
-/// Returns a quota with the history of this box's share of it; `None` if it has no share.
+/// Returns a quota with the history of this box's share of it; `None` if there is no
+/// quota or the box has no share of it.
 fn quota_with_history<'a>(
     quota: Option<&'a Quota>,
     topology: &QuotaTopology,
@@ -923,7 +934,7 @@
     ))
 }
 
-/// Returns the history of this box's share of quotas with an allocator.
+/// Returns the history of this box's share of the quotas that `allocator` allocates.
 fn history_of<'a>(
     share_history: &'a ShareHistory,
     data_centre_histories: &'a BTreeMap<DataCentreId, ShareHistory>,
@@ -931,7 +942,8 @@
 ) -> &'a ShareHistory {
     match allocator {
         QuotaAllocator::EachHub => share_history,
-        // Without a history for the data centre, each hub allocates its own share.
+        // Without a history for the data centre, the share of quotas that each hub
+        // allocates is used.
         QuotaAllocator::DataCentreHub(name) => {
             data_centre_histories.get(name).unwrap_or(share_history)
         }
@@ -959,15 +971,16 @@
     next_in + Duration::from_secs_f64(queue_s).min(MAX_REPORTED_WAIT)
 }
 
-/// Returns whether a request waits for a unit that is expected after `more_in` instead of
-/// being refused. Shares refill continuously, and for about this time hubs may divide
-/// them unevenly.
+/// Returns whether a unit that is expected after `more_in` is worth waiting for, instead
+/// of refusing the request. Shares refill continuously, and hubs may divide them unevenly
+/// for about `MAX_WAIT`.
 fn is_soon(more_in: Duration) -> bool {
     more_in <= MAX_WAIT
 }
 
-/// Returns whether more requests wait than the share refills while they may wait. The
-/// last ones are then refused at once, however much of the quota was used before.
+/// Returns whether at least as many requests wait as the share refills in `QUEUE_WINDOW`,
+/// and at least one. The last ones are then refused at once, however much of the quota
+/// was used before.
 ///
 /// A share that has changed recently, for example after boxes were lost, says little
 /// about how fast it will refill. At least `ASSUMED_SHARE` is assumed then, so that the
@@ -985,8 +998,9 @@
     waiting as f64 >= refill.max(1.0)
 }
 
-/// Returns whether boxes may prefetch quota of a resource. Servers take only a few
-/// requests a second, so a unit that a box holds unused would be missing at the others.
+/// Returns whether boxes may prefetch quota of a resource: only for accounts. Servers
+/// take only a few requests a second, so a unit that one box holds unused would be
+/// missing at the others.
 fn allows_prefetch(resource: LeasedResource) -> bool {
     matches!(resource, LeasedResource::Account(_))
 }
@@ -999,26 +1013,30 @@
 /// few milliseconds, or a few tens if it is busy. What a later reply grants is lost to
 /// the quota.
 const HUB_REPLY_TIMEOUT: Duration = Duration::from_millis(60);
-/// Maximum time for which a request waits for a unit that is sure to come. It is a small
+/// Time for which a request may wait for a unit that is expected. It applies when a
+/// refusal is known; the first waiting request has `MAX_WAIT_OF_FIRST`. It is a small
 /// part of the time in which a response is wanted, and a caller over its limit is refused
 /// within it.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// Maximum time for which the first waiting request waits: the next unit is its own.
+/// Time for which the first waiting request, the most urgent one, may wait when a refusal
+/// is known, because it gets the next unit.
 const MAX_WAIT_OF_FIRST: Duration = Duration::from_millis(600);
 /// Minimum refill rate, in units per second, that is assumed for the expected wait.
 const MIN_REFILL_PER_S: f64 = 0.01;
-/// Upper bound on the expected wait in the queue. It is only reported: no request waits
-/// as long.
+/// Upper bound on the queue's part of the expected wait. It is above `MAX_WAIT`, so it
+/// affects only the wait that is reported: no request waits as long.
 const MAX_REPORTED_WAIT: Duration = Duration::from_secs(10);
 /// Share that a hub may get in a fleet with few data centres, assumed for a share that
 /// has changed recently.
 const ASSUMED_SHARE: f64 = 0.5;
-/// Time over which the refill is compared with the number of waiting requests. A request
-/// that waits for an account's quota waits a little longer than this.
+/// Time over which the refill is compared with the number of waiting requests. While no
+/// refusal is known, a request for an account's quota may wait longer than this, until
+/// the caller of `acquire` stops waiting.
 const QUEUE_WINDOW: Duration = Duration::from_secs(1);
-/// Maximum duration of a search. What it finds is void if it arrives later than
-/// `ON_DEMAND_LEASE_TTL` after it was requested.
+/// Time after which a search asks no more hubs; a reply to the last lease request may
+/// still be awaited for `HUB_REPLY_TIMEOUT`. What it finds is void if it arrives later
+/// than `ON_DEMAND_LEASE_TTL` after it was requested.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(120);
-/// Time for which the other hubs are not asked again after none of them had any quota
-/// left.
+/// Time for which the other hubs are not asked again after a search ended before it had
+/// all units.
 const SEARCH_MISS_TTL: Duration = Duration::from_millis(100);
--- a/crates/wingspur-edge/src/forwarding.rs
+++ b/crates/wingspur-edge/src/forwarding.rs
@@ -41,7 +41,8 @@
     tried: Vec<ServerKey>,
     /// Number of attempts that ended without anything being sent to a server.
     unsent_attempts: u32,
-    /// Whether no further hedge is tried, because an earlier one was found not to help.
+    /// Whether no further hedge is tried, because the budget did not allow an earlier one
+    /// or no server was expected to respond in time.
     hedging_ruled_out: bool,
     /// A pending request to another box to lease the resend that a hedge needs.
     hedge_lease: Option<LeaseFuture>,
@@ -56,18 +57,18 @@
     quarantine_permit: QuarantinePermit,
     /// Time after which a quarantined request may get a permit again.
     next_permit_in: Option<Duration>,
-    /// Time until a rate-limited server should have quota again; `None` where no server
-    /// has named one.
+    /// Shortest time until a rate-limited server should have quota again, by the latest
+    /// requests for quota; `None` if none of them named a time.
     quota_in: Option<Duration>,
-    /// The last field, so that it is dropped after the attempts: its drop counts the
-    /// resends as arrived, and no attempt may be sent after that.
+    /// The last field, so that it is dropped after the attempts: its drop records in the
+    /// budget that the request has ended, and no attempt may be sent after that.
     resends: ResendReservation,
 }
 
 type LeaseFuture = Pin<Box<dyn Future<Output = bool> + Send>>;
 type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult> + Send>>;
 
-/// Permit to send a request in quarantine; each permit is for one server.
+/// Permit to send a quarantined request once, to one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum QuarantinePermit {
     None,
@@ -181,15 +182,15 @@
     }
 
     async fn send_first(&mut self) -> Result<(), ResultCode> {
-        self.wait_for_permission().await?;
-        self.send_next().await
+        self.wait_for_permit().await?;
+        self.send_to_next_server().await
     }
 
     /// Waits for a send permit if the request is in quarantine, that is, suspected of
     /// crashing servers.
     ///
     /// Fails with the result code for the caller if no permit is available in time.
-    async fn wait_for_permission(&mut self) -> Result<(), ResultCode> {
+    async fn wait_for_permit(&mut self) -> Result<(), ResultCode> {
         if !self.needs_permit() {
             return Ok(());
         }
@@ -219,7 +220,7 @@
         loop {
             let pick = self
                 .pick()
-                .or_else(|| self.limited_servers().into_iter().next());
+                .or_else(|| self.rate_limited_servers().into_iter().next());
             let pick = pick.ok_or_else(|| match self.shortest_backoff() {
                 Some(_) => ResultCode::ServersBackingOff,
                 None => ResultCode::NoServer,
@@ -255,8 +256,11 @@
         spawner.detach(async move { check_for_server_crash(&shared, &attempt).await });
     }
 
-    /// Picks the best server and starts an attempt there.
-    async fn send_next(&mut self) -> Result<(), ResultCode> {
+    /// Picks a server within the quotas, and starts an attempt there.
+    ///
+    /// The account is looked up again, because the caller's key may have been revoked
+    /// since the last attempt or while the request waited.
+    async fn send_to_next_server(&mut self) -> Result<(), ResultCode> {
         if self.remaining().is_zero() {
             return Err(ResultCode::DeadlineBeforeSend);
         }
@@ -269,11 +273,11 @@
         if pick.wait_ms > remaining_ms {
             return Err(ResultCode::DeadlineBeforeSend);
         }
-        self.start(pick);
+        self.start_attempt(pick);
         Ok(())
     }
 
-    fn start(&mut self, pick: Pick) {
+    fn start_attempt(&mut self, pick: Pick) {
         self.quarantine_permit = self.quarantine_permit.after_send();
         self.tried.push(pick.server.key());
         self.resends.sent += 1;
@@ -323,7 +327,7 @@
     /// some.
     async fn pick_within_quota(&mut self) -> Result<Pick, ResultCode> {
         let sampled = self
-            .sample_limited_servers()
+            .sample_rate_limited_servers()
             .into_iter()
             .take(MAX_SAMPLED_QUOTA_REQUESTS);
         if let Some(pick) = self.first_with_quota(sampled.collect()).await {
@@ -344,8 +348,8 @@
     /// Whether the wait for a slot at the picked server is long enough to prefer a
     /// draining server.
     ///
-    /// The threshold is the route's typical latency times one plus the priority: the more
-    /// urgent the request, the shorter.
+    /// The threshold is the route's typical latency times one plus the priority. A lower
+    /// number is a more urgent priority, so urgent requests have a shorter threshold.
     fn is_wait_long(&self, pick: &Pick) -> bool {
         let priority = f64::from(self.priority().min(MAX_PRIORITY_LEVEL));
         let typical_ms = self.route.stats.typical_latency().as_secs_f64() * 1000.0;
@@ -355,8 +359,8 @@
     /// Picks a draining server that may still take the request, if its response is
     /// expected sooner than that of `other`.
     ///
-    /// Returns `None` for a request that was sent before: it had its chance, and to a
-    /// draining server the resend would be new work.
+    /// Returns `None` for a request that was sent before: it has had an attempt, and a
+    /// resend would be new work for the draining server.
     fn pick_draining(&self, other: Option<&Pick>) -> Option<Pick> {
         if !self.tried.is_empty() {
             return None;
@@ -378,7 +382,7 @@
     async fn wait_for_available_server(&mut self) -> Result<Pick, ResultCode> {
         let wait_until = wingspur_clock::now() + MAX_QUOTA_WAIT.min(self.remaining() / 4);
         loop {
-            let limited = self.limited_servers();
+            let limited = self.rate_limited_servers();
             let pause = if limited.is_empty() {
                 // Spreads requests that wait for the end of the same backoff.
                 let backoff = self.shortest_backoff().ok_or(ResultCode::NoServer)?;
@@ -437,7 +441,7 @@
 
     /// Returns a sample of the rate-limited servers, to be asked for quota before any
     /// other server is picked.
-    fn sample_limited_servers(&self) -> Vec<Pick> {
+    fn sample_rate_limited_servers(&self) -> Vec<Pick> {
         let now = wingspur_clock::now();
         let pick_request = self.pick_request(now);
         let balancer = self.service.balancer.lock();
@@ -446,7 +450,7 @@
 
     /// Returns the rate-limited servers that the request may be sent to, the least likely
     /// to fail first.
-    fn limited_servers(&self) -> Vec<Pick> {
+    fn rate_limited_servers(&self) -> Vec<Pick> {
         let now = wingspur_clock::now();
         let pick_request = self.pick_request(now);
         let balancer = self.service.balancer.lock();
@@ -476,7 +480,7 @@
         ended.or(leased).or(hedge).await
     }
 
-    /// Returns when a hedge is sent if the first attempt has had no response by then;
+    /// Returns when a hedge is sent if the latest attempt has had no response by then;
     /// `None` if the request may not be hedged.
     fn hedge_at(&self) -> Option<Instant> {
         let (began, pick) = self.latest_attempt.as_ref().filter(|_| self.may_hedge())?;
@@ -515,8 +519,8 @@
         budget.check(kind, membership, wingspur_clock::now())
     }
 
-    /// Sends a hedge beside a slow attempt if it is likely to help. Asks other boxes to
-    /// lease the resend if this box has none left.
+    /// Sends a hedge beside a slow attempt if a server is expected to respond in time. If
+    /// this box has no resend left for it, asks other boxes to lease one.
     fn hedge(&mut self) {
         let budget = self.reserve_resend(ResendKind::Hedge);
         if budget.allowed {
@@ -531,7 +535,8 @@
     fn hedge_if_leased(&mut self, leased: bool) {
         self.hedge_lease = None;
         if !self.may_hedge() {
-            // The first attempt has ended meanwhile. The leased resend expires by itself.
+            // The request may not be hedged any more, for example because the attempt has
+            // ended meanwhile. A leased resend expires by itself.
             return;
         }
         let mut budget = self.check_budget(ResendKind::Hedge);
@@ -555,13 +560,13 @@
             self.resends.release_unsent();
             self.shared.metrics.count_unhedged(reason);
             self.log_decision("not hedged", reason, self.tried.len(), budget);
-            // What does not help now will not help later, so no further hedge is tried.
+            // Less time is left later, so no further hedge is tried.
             self.hedging_ruled_out = true;
             return;
         };
         self.log_decision("hedged", "silent", self.tried.len(), budget);
         self.shared.metrics.hedges.inc();
-        self.start(pick);
+        self.start_attempt(pick);
     }
 
     fn may_hedge(&self) -> bool {
@@ -576,6 +581,9 @@
 
     /// Sends the request again if the retry rules and the budget allow it, and counts the
     /// decision. Otherwise returns the result code for the caller.
+    ///
+    /// A request that no server has got yet is sent as a first attempt instead, without
+    /// these checks, until [`MAX_UNSENT_ATTEMPTS`] attempts could not be sent.
     async fn resend(
         &mut self,
         end: AttemptEnd,
@@ -607,7 +615,8 @@
         }
     }
 
-    /// Sends the request again if the retry budget allows it; all other rules already do.
+    /// Sends the request again if the retry budget allows it. The caller has checked all
+    /// other retry rules.
     async fn resend_in_budget(
         &mut self,
         reason: RetryReason,
@@ -625,12 +634,13 @@
             }
         }
         if !budget.allowed {
+            // Without budget this is always `Stop`; it gives the reason to count and log.
             let RetryDecision::Stop(reason) = self.retry_decision(end, false) else {
                 return Err(code);
             };
             return self.stop_retrying(reason, &budget, code);
         }
-        if let Err(code) = self.send_next().await {
+        if let Err(code) = self.send_to_next_server().await {
             self.resends.release_unsent();
             self.log_decision("not sent again", code.name(), tried, &budget);
             return Err(code);
@@ -747,7 +757,7 @@
         log_give_up(id, code, self.tried.len(), self.may_have_run, remaining);
         RequestError {
             code,
-            retry_after: certainly_not_run.then(|| self.retry_after(code)),
+            retry_after: certainly_not_run.then(|| self.schedule_retry_after(code)),
             upstream_response: response,
         }
     }
@@ -760,7 +770,7 @@
 
     /// Returns when the caller should send the request again: after its quarantine, or
     /// when the service is expected to have spare capacity for it.
-    fn retry_after(&self, code: ResultCode) -> Duration {
+    fn schedule_retry_after(&self, code: ResultCode) -> Duration {
         if let Some(after) = self.next_permit_in
             && code == ResultCode::Quarantined
         {
@@ -883,7 +893,8 @@
 /// Shortest interval between two rounds of quota requests, and the range of the random
 /// addition to the wait for a backoff.
 const QUOTA_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Wait that is named to callers of a service without servers, which should be back or
+/// Wait until a server is available that is assumed if neither a queue wait nor a time
+/// until quota is known, as for a service without servers. Servers should be back or
 /// announced within this time.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Fixed part of the cost of sending a request to another data centre, as a latency.
--- a/crates/wingspur-state/src/outlier_detector.rs
+++ b/crates/wingspur-state/src/outlier_detector.rs
@@ -1,10 +1,10 @@
-//! Outlier detection for a service: sums the boxes' evidence on each server and decides
-//! on ejections above the capacity floor.
+//! Outlier detection for a service: sums the boxes' evidence on each server, and ejects
+//! servers as long as enough capacity (the floor) stays available.
 //!
 //! Normally one box has this role for a service, but several may have it at a time. A
 //! verdict that a server is *suspected* takes no capacity away and needs no agreement. An
-//! *ejection* must first be written to the service's record in the store. However many
-//! detectors there are, that one record holds all ejections and keeps the floor.
+//! *ejection* must first be written to the service's record in the store. All detectors
+//! of the service share that record, so together they also keep to the floor.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -22,17 +22,18 @@
 pub struct OutlierDetector {
     tag: u64,
     false_ejections_per_server_day: f64,
-    /// Ejection threshold of the evidence for the number of boxes that currently report.
+    /// Evidence at which a server is suspected, for the number of boxes that currently
+    /// report and the current `noise_share`.
     threshold: f64,
     /// Smoothed share of boxes that have evidence against a healthy server.
-    busy_share: f64,
+    noise_share: f64,
     /// Slots that must stay available.
     floor_slots: u32,
     servers: Vec<MonitoredServer>,
     /// The servers of each data centre.
-    groups: Vec<Vec<ServerIndex>>,
+    servers_by_data_centre: Vec<Vec<ServerIndex>>,
     /// When each box last reported.
-    observers: HashMap<BoxId, Instant>,
+    reporting_boxes: HashMap<BoxId, Instant>,
     /// The store's record that this detector last read or wrote.
     record: Option<EjectionRecord>,
     last_tick: Option<Instant>,
@@ -42,7 +43,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EjectionRecord {
-    /// Names of the ejected servers, including those on probation.
+    /// Names of the ejected servers, including those on probation after an ejection.
     pub ejected: Vec<String>,
     /// Names of servers that have just returned; some boxes may still treat them as
     /// ejected.
@@ -55,8 +56,8 @@
     /// The server takes requests.
     #[serde(rename = "In")]
     Active,
-    /// The server takes requests, and for retry-safe ones boxes in other data centres
-    /// treat it as if it were in theirs, so that more boxes gather evidence.
+    /// The server takes requests. Boxes in other data centres also send it retry-safe
+    /// requests, as if it were local, so that more boxes gather evidence.
     Watched,
     /// The server is returning: it takes this share of its usual requests, retry-safe
     /// ones only.
@@ -79,7 +80,8 @@
     pub standings: Vec<(u16, OutlierStatus)>,
 }
 
-/// A change of a server's state, for logs and counters.
+/// A change of a server's state, for logs and counters. Some changes have none, such as
+/// those made when a record is applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OutlierEvent {
     /// A server has become suspected, or has failed on probation.
@@ -97,15 +99,18 @@
     draining: bool,
     /// The last report of each box on the server.
     by_box: BTreeMap<BoxId, BoxEvidence>,
-    /// Sum of the evidence of all boxes, under the alternative that fits best.
+    /// Evidence of all boxes, each counted up to a limit, summed for each alternative
+    /// (see [`Evidence`]); the largest of these sums.
     evidence: f64,
-    /// The same, but limited in how much it rises in one tick.
+    /// `evidence`, limited in how much it rises in one evaluation, and set to 0 when a
+    /// hold ends.
     ramped_evidence: f64,
     by_data_centre: BTreeMap<DataCentreId, DataCentreEvidence>,
     /// Since when `ramped_evidence` has been over the threshold.
     over_threshold_since: Option<Instant>,
     state: State,
-    /// Number of recent holds (suspicions or ejections); each doubles the next one.
+    /// Number of recent holds (suspicions or ejections); each doubles the next one, up to
+    /// `MAX_HOLD_DOUBLINGS` times.
     recent_holds: u32,
     /// When `recent_holds` last changed.
     holds_changed_at: Option<Instant>,
@@ -130,7 +135,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
     Active,
-    /// Suspected until the ejection is written to the record, or the hold is over.
+    /// Suspected until the ejection is written to the record, the evidence is gone, or
+    /// the hold is over.
     Suspected {
         until: Instant,
     },
@@ -163,11 +169,11 @@
             tag,
             false_ejections_per_server_day: allowed_false_ejections,
             threshold: ejection_threshold(allowed_false_ejections, 1, MIN_BUSY_SHARE),
-            busy_share: MIN_BUSY_SHARE,
+            noise_share: MIN_BUSY_SHARE,
             floor_slots: service.floor_slots(),
             servers: service.servers.iter().map(MonitoredServer::new).collect(),
-            groups: servers_by_data_centre(service),
-            observers: HashMap::new(),
+            servers_by_data_centre: servers_by_data_centre(service),
+            reporting_boxes: HashMap::new(),
             record: None,
             last_tick: None,
         };
@@ -182,9 +188,9 @@
 
     /// Replaces the evidence of a box on the servers that its report names.
     ///
-    /// A report with another tag is ignored. The evidence of one box counts for at most a
-    /// share of the threshold, so that where three or more boxes report, none can cause
-    /// an ejection alone.
+    /// A report with another tag is ignored. The evidence of one box counts only up to a
+    /// limit (see `max_share_per_box`), so that where three or more boxes report, none
+    /// can cause an ejection alone.
     pub fn record_report(
         &mut self,
         from: &BoxId,
@@ -195,7 +201,7 @@
         if report.service_tag != self.tag {
             return;
         }
-        self.observers.insert(from.clone(), now);
+        self.reporting_boxes.insert(from.clone(), now);
         let span_s = (f64::from(report.span_ms) / 1000.0).max(MIN_SPAN_S);
         for entry in &report.entries {
             let Some(server) = self.servers.get_mut(usize::from(entry.server)) else {
@@ -220,26 +226,26 @@
 
     /// Evaluates the evidence and returns the state changes.
     ///
-    /// Meant to be called every `EVIDENCE_TICK`; calling it less often does no harm.
-    /// Calls within `TICK_INTERVAL` of the last evaluation do nothing.
+    /// Meant to be called every `EVIDENCE_TICK`. Calls within `MIN_TICK_INTERVAL` of the
+    /// last evaluation do nothing.
     pub fn tick(&mut self, now: Instant) -> Vec<OutlierEvent> {
         let last = self.last_tick.unwrap_or(now);
-        if self.last_tick.is_some() && now.saturating_duration_since(last) < TICK_INTERVAL
+        if self.last_tick.is_some()
+            && now.saturating_duration_since(last) < MIN_TICK_INTERVAL
         {
             return Vec::new();
         }
         self.last_tick = Some(now);
-        self.observers.retain(|_, received| {
-            now.saturating_duration_since(*received) < OBSERVER_TTL
-        });
-        self.update_busy_share();
-        let boxes = self.observers.len().max(1);
+        self.reporting_boxes
+            .retain(|_, received| now.saturating_duration_since(*received) < REPORT_TTL);
+        self.update_noise_share();
+        let boxes = self.reporting_boxes.len().max(1);
         self.threshold = ejection_threshold(
             self.false_ejections_per_server_day,
             boxes,
-            self.busy_share,
+            self.noise_share,
         );
-        let max_per_box = self.threshold * self.share_of_one_box();
+        let max_per_box = self.threshold * self.max_share_per_box();
         for server in &mut self.servers {
             server.sum_evidence(max_per_box, self.threshold / TICKS_TO_CROSS, now);
         }
@@ -253,9 +259,9 @@
     /// Returns the record that should be written to the store, or `None` if it equals the
     /// stored one.
     ///
-    /// This is where the floor is kept: servers that are ejected, on probation or have
-    /// just returned all count as missing. Suspected servers with the most evidence are
-    /// ejected first.
+    /// This is where the floor is kept: servers that are ejected, on probation after an
+    /// ejection, or have just returned count as missing. Draining servers are left out.
+    /// Suspected servers with the most evidence are ejected first.
     pub fn pending_record(&self) -> Option<EjectionRecord> {
         let mut missing: u32 = self
             .servers
@@ -335,13 +341,14 @@
         }
     }
 
-    /// Whether the record lists a server as ejected; it may be on probation.
+    /// Whether this detector has a server as ejected, or on probation after an ejection.
+    /// The stored record may differ until the pending one is written.
     pub fn is_ejected(&self, server: ServerIndex) -> bool {
         self.servers[server].is_ejected()
     }
 
-    /// Returns the number of slots of servers that are neither ejected by the record nor
-    /// draining.
+    /// Returns the number of slots of servers that are neither ejected (see
+    /// [`Self::is_ejected`]) nor draining.
     pub fn available_slots(&self) -> u32 {
         let available = self
             .servers
@@ -353,30 +360,30 @@
     /// Updates the noise level of the service: the median over servers of the share of
     /// boxes that have evidence against one. A single unhealthy server does not change
     /// it, but trouble at most servers does.
-    fn update_busy_share(&mut self) {
-        let shares = self.servers.iter().filter_map(MonitoredServer::busy_share);
+    fn update_noise_share(&mut self) {
+        let shares = self.servers.iter().filter_map(MonitoredServer::noise_share);
         let mut shares: Vec<f64> = shares.collect();
         if shares.is_empty() {
             return;
         }
         let middle = shares.len() / 2;
         let median = *shares.select_nth_unstable_by(middle, f64::total_cmp).1;
-        self.busy_share += BUSY_WEIGHT * (median - self.busy_share);
+        self.noise_share += NOISE_WEIGHT * (median - self.noise_share);
     }
 
-    /// Whether too few boxes use a server that shows some evidence for a decision on it.
+    /// Whether a server shows some evidence but too few boxes use it to decide on it.
     /// Boxes of other data centres should then send it requests too.
     fn needs_observers(&self, server: &MonitoredServer) -> bool {
-        let enough = MIN_OBSERVERS.min(self.observers.len());
+        let enough = MIN_OBSERVERS.min(self.reporting_boxes.len());
         server.ramped_evidence >= self.threshold * RAISED_SCORE_RATIO
-            && server.observers() < enough
+            && server.observer_count() < enough
     }
 
     /// Returns the most that one box counts for, as a share of the threshold. A box that
-    /// is the only one to report can cause an ejection. Of three or more boxes, none
-    /// reaches even the lower threshold on probation.
-    fn share_of_one_box(&self) -> f64 {
-        match self.observers.len() {
+    /// is the only one to report can cause an ejection. One of two boxes cannot, but it
+    /// can end a probation with a new hold. One of three or more boxes can do neither.
+    fn max_share_per_box(&self) -> f64 {
+        match self.reporting_boxes.len() {
             0 | 1 => 2.0,
             2 => 0.7,
             _ => 0.4,
@@ -388,8 +395,11 @@
     fn update_suspicions(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
         let correlation_threshold = self.threshold * RAISED_SCORE_RATIO;
         let scores = self.servers.iter().map(MonitoredServer::correlation_score);
-        let correlated =
-            CorrelatedSuspicion::new(scores, &self.groups, correlation_threshold);
+        let correlated = CorrelatedSuspicion::new(
+            scores,
+            &self.servers_by_data_centre,
+            correlation_threshold,
+        );
         for (index, server) in self.servers.iter_mut().enumerate() {
             if server.ramped_evidence < self.threshold {
                 server.over_threshold_since = None;
@@ -405,7 +415,7 @@
                     };
                     events.push(OutlierEvent::Suspected(index));
                 }
-                State::Suspected { .. } if server.ramped_evidence < CLEARED_SCORE => {
+                State::Suspected { .. } if server.ramped_evidence < CLEARED_EVIDENCE => {
                     server.state = State::Active;
                     events.push(OutlierEvent::Returned(index));
                 }
@@ -414,7 +424,8 @@
         }
     }
 
-    /// Moves servers on between hold, probation and normal use.
+    /// Moves servers to the next state when their time in a state is over: from a hold to
+    /// probation, and from there to normal use or, on new evidence, into another hold.
     fn advance_states(&mut self, events: &mut Vec<OutlierEvent>, now: Instant) {
         let probation_threshold = self.threshold * PROBATION_THRESHOLD_SHARE;
         for (index, server) in self.servers.iter_mut().enumerate() {
@@ -519,7 +530,7 @@
     /// `HOLD_MEMORY`.
     fn sum_evidence(&mut self, max_per_box: f64, max_rise: f64, now: Instant) {
         self.by_box.retain(|_, box_evidence| {
-            now.saturating_duration_since(box_evidence.at) < OBSERVER_TTL
+            now.saturating_duration_since(box_evidence.at) < REPORT_TTL
         });
         let mut sums = Evidence::default();
         self.by_data_centre.clear();
@@ -535,12 +546,12 @@
             }
         }
         self.evidence = sums.into_iter().fold(0.0, f64::max);
-        // A single evaluation, however bad, never crosses the threshold.
+        // A single evaluation never raises it from 0 to the threshold, however bad.
         self.ramped_evidence = self.evidence.min(self.ramped_evidence + max_rise);
-        let hold_expired = self
+        let is_hold_forgotten = self
             .holds_changed_at
             .is_some_and(|at| now.saturating_duration_since(at) > HOLD_MEMORY);
-        if hold_expired && self.recent_holds > 0 {
+        if is_hold_forgotten && self.recent_holds > 0 {
             self.recent_holds -= 1;
             self.holds_changed_at = Some(now);
         }
@@ -548,7 +559,7 @@
 
     /// Returns the share of the boxes reporting on the server that have evidence against
     /// it, or `None` if none reports.
-    fn busy_share(&self) -> Option<f64> {
+    fn noise_share(&self) -> Option<f64> {
         let has_evidence =
             |box_evidence: &&BoxEvidence| box_evidence.sums.iter().any(|sum| *sum > 0.0);
         let count = self.by_box.values().filter(has_evidence).count();
@@ -557,7 +568,7 @@
     }
 
     /// Returns the number of boxes that use the server or have evidence against it.
-    fn observers(&self) -> usize {
+    fn observer_count(&self) -> usize {
         let has_observed = |box_evidence: &&BoxEvidence| {
             box_evidence.observations_per_s > 0.0
                 || box_evidence.sums != Evidence::default()
@@ -575,7 +586,8 @@
         }
     }
 
-    /// Records a hold that begins now and returns its end; each recent hold doubles it.
+    /// Records a hold that begins now and returns its end. Each recent hold doubles the
+    /// duration, up to `MAX_HOLD_DOUBLINGS` times.
     fn start_hold(&mut self, now: Instant) -> Instant {
         let hold = FIRST_HOLD * 2u32.pow(self.recent_holds.min(MAX_HOLD_DOUBLINGS));
         self.recent_holds += 1;
@@ -621,7 +633,7 @@
 /// Whether enough requests of a data centre show that a server is healthy.
 fn is_healthy(evidence: &DataCentreEvidence) -> bool {
     evidence.observations_per_s >= HEALTHY_MIN_REQUESTS_PER_S
-        && evidence.sum < HEALTHY_MAX_SCORE
+        && evidence.sum < HEALTHY_MAX_EVIDENCE
 }
 
 fn sorted_names<'a>(servers: impl Iterator<Item = &'a MonitoredServer>) -> Vec<String> {
@@ -631,28 +643,29 @@
 }
 
 /// Shortest time between two evaluations.
-const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of boxes using a server that is enough to decide on it.
 const MIN_OBSERVERS: usize = 3;
-/// Smallest number of evaluations in which the ramped evidence can reach the threshold.
+/// Smallest number of evaluations in which the ramped evidence can rise from 0 to the
+/// threshold.
 const TICKS_TO_CROSS: f64 = 3.0;
 /// Weight of an evaluation in the noise level, which follows changes within about 10 s.
-const BUSY_WEIGHT: f64 = 0.01;
+const NOISE_WEIGHT: f64 = 0.01;
 const MIN_SPAN_S: f64 = 0.05;
-const OBSERVER_TTL: Duration = Duration::from_secs(3);
+const REPORT_TTL: Duration = Duration::from_secs(3);
 /// Share of the threshold that ends a server's probation and starts a new hold.
 const PROBATION_THRESHOLD_SHARE: f64 = 0.5;
 /// Evidence below which a suspected server is cleared before its hold is over.
-const CLEARED_SCORE: f64 = 1.0;
+const CLEARED_EVIDENCE: f64 = 1.0;
 /// Evidence of a data centre below which it finds a server healthy, if it sends the
 /// server `HEALTHY_MIN_REQUESTS_PER_S` requests a second.
-const HEALTHY_MAX_SCORE: f64 = 2.0;
+const HEALTHY_MAX_EVIDENCE: f64 = 2.0;
 const HEALTHY_MIN_REQUESTS_PER_S: f64 = 2.0;
 const FIRST_HOLD: Duration = Duration::from_secs(5);
 const MAX_HOLD_DOUBLINGS: u32 = 6;
 /// Time after which one recent hold is forgotten.
 const HOLD_MEMORY: Duration = Duration::from_secs(600);
-/// Shares of its usual requests that a server takes in the stages of its probation.
+/// Fraction of its usual requests that a server takes in each stage of its probation.
 const PROBATION_SHARES: [f32; 3] = [0.02, 0.1, 0.4];
 const PROBATION_STAGE: Duration = Duration::from_secs(2);
 /// How long a returned server counts as missing: until every older verdict has expired.
