--- a/crates/wingspur-coordination/src/fleet_view.rs
+++ b/crates/wingspur-coordination/src/fleet_view.rs
@@ -1,4 +1,5 @@
-//! Size of the fleet, and whether all other boxes count this one.
+//! Size of the fleet, whether all other boxes count this one, which shares of the fleet's
+//! quotas it may use, and to which hubs it delegates them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -51,7 +52,8 @@
 /// State of the announcements, and the role that this box has by them.
 #[derive(Debug, Clone)]
 pub struct AnnouncementView {
-    /// Number of announced boxes, including this one.
+    /// Number of announced boxes, including this one. While this box has no link, at
+    /// least `reported_fleet_size`.
     pub announced_boxes: usize,
     /// Largest fleet size that an announced box reports; 0 if unknown.
     pub reported_fleet_size: usize,
@@ -77,6 +79,8 @@
     data_centre: DataCentreId,
     role: PeerRole,
     status: FleetStatus,
+    /// Latest moment at which the peer is known to have been running; at first, when the
+    /// link was added.
     last_seen: Instant,
     /// Latest moment at which the peer is known to have been running and receiving from
     /// this box.
@@ -166,22 +170,23 @@
         }
     }
 
-    /// Applies the list of boxes that another hub counts.
+    /// Applies what another hub reports of itself and its members: first all of them,
+    /// then changes.
     pub fn receive_membership(
         &mut self,
         id: LinkId,
-        note: &MembershipUpdate,
-        known: &AnnouncementView,
+        update: &MembershipUpdate,
+        announcements: &AnnouncementView,
         now: Instant,
     ) {
-        if *note != MembershipUpdate::default() {
-            self.registry.receive(id, note, now);
-            self.fleet_size(known, now);
+        if *update != MembershipUpdate::default() {
+            self.registry.receive(id, update, now);
+            self.fleet_size(announcements, now);
         }
     }
 
-    /// Returns the changes to the boxes that this hub counts which the hub on the link
-    /// has not been sent yet; empty for other links.
+    /// Returns the changes to this hub and its members that the hub on the link has not
+    /// been sent yet, and marks them as sent; empty for other links.
     pub fn membership_updates_for(&mut self, id: LinkId) -> MembershipUpdate {
         match self.links.get(&id).map(|link| link.role) {
             Some(PeerRole::Hub) => self.registry.updates_for(id),
@@ -197,14 +202,14 @@
         &mut self,
         id: LinkId,
         status: FleetStatus,
-        known: &AnnouncementView,
+        announcements: &AnnouncementView,
         as_of: Option<Instant>,
         now: Instant,
     ) {
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let counts = |note: &FleetStatus| (note.boxes, note.counted);
+        let counts = |status: &FleetStatus| (status.boxes, status.counted);
         // A hub with a hundred members receives thousands of frames per second, so the
         // size is recomputed only on a change.
         let changed = counts(&link.status) != counts(&status);
@@ -223,23 +228,24 @@
             self.connectivity.note(at);
         }
         if changed {
-            self.fleet_size(known, now);
+            self.fleet_size(announcements, now);
         }
     }
 
+    /// Records the present number of boxes and, on a hub, its contact with other hubs.
     /// Returns the status to send on links now, for each role of the peer.
     pub fn outgoing_notes(
         &mut self,
-        known: &AnnouncementView,
+        announcements: &AnnouncementView,
         now: Instant,
     ) -> OutgoingFleetNotes {
-        self.record_contact(known, now);
-        let age = self.connectivity.age(now).filter(|_| known.is_hub);
+        self.record_contact(announcements, now);
+        let age = self.connectivity.age(now).filter(|_| announcements.is_hub);
         let contact_age_ms =
             age.map(|age| age.as_millis().min(u128::from(u32::MAX)) as u32);
         OutgoingFleetNotes {
             to_member: FleetStatus {
-                boxes: self.fleet_size(known, now) as u32,
+                boxes: self.fleet_size(announcements, now) as u32,
                 hub_contact_age_ms: contact_age_ms,
                 ..FleetStatus::default()
             },
@@ -252,8 +258,13 @@
         }
     }
 
-    /// Returns the number of boxes in the fleet, as far as this box knows.
-    pub fn fleet_size(&mut self, known: &AnnouncementView, now: Instant) -> usize {
+    /// Records the present number of boxes, and returns the number of boxes in the fleet
+    /// as far as this box knows.
+    pub fn fleet_size(
+        &mut self,
+        announcements: &AnnouncementView,
+        now: Instant,
+    ) -> usize {
         let linked = self.registry.count(now);
         let own_hub = self.links_with_role(PeerRole::OwnHub);
         let own_hub_size = own_hub.map(|link| link.status.boxes).max();
@@ -263,22 +274,25 @@
             .map(|link| link.status.counted)
             .max();
         let reported = own_hub_size.max(other_hubs_size).unwrap_or(0);
-        let counted = known.announced_boxes.max(linked).max(reported as usize);
+        let counted = announcements
+            .announced_boxes
+            .max(linked)
+            .max(reported as usize);
         self.size_tracker.record(counted, now)
     }
 
     /// Returns the fleet size and this box's membership state for a budget that is shared
-    /// over `window`.
+    /// over `window`. On a hub, also records its contact with other hubs.
     pub fn membership(
         &mut self,
         window: Duration,
-        known: &AnnouncementView,
+        announcements: &AnnouncementView,
         now: Instant,
     ) -> FleetMembership {
-        self.record_contact(known, now);
+        self.record_contact(announcements, now);
         let span = required_contact_time(window);
-        // If counts are not kept for the whole span, the slack would be divided by too
-        // few boxes.
+        // If counts are not kept for the whole span, the slack of the retry budget would
+        // be divided by too few boxes.
         let membership = match span <= MAX_HOLD {
             true => self.connectivity.membership_state(window, now),
             false => MembershipState::Disconnected,
@@ -289,12 +303,14 @@
             boxes: self
                 .size_tracker
                 .max_within(span, now)
-                .max(known.announced_boxes),
+                .max(announcements.announced_boxes),
             state: membership,
         }
     }
 
-    /// Returns the fleet status for a frame that is sent now on a link.
+    /// Returns the fleet status for a frame that is sent now on a link. On the link to
+    /// its hub, this box delegates its share with it, or renews the delegation, unless
+    /// another hub may still use the share.
     pub fn note_for_link(
         &mut self,
         id: LinkId,
@@ -302,20 +318,24 @@
         now: Instant,
     ) -> FleetStatus {
         let role = self.links.get(&id).map_or(PeerRole::Hub, |link| link.role);
-        let mut note = notes.note_for(role);
-        note.delegates_shares =
+        let mut status = notes.note_for(role);
+        status.delegates_shares =
             role == PeerRole::OwnHub && self.delegation.delegate_to(id, now);
-        note
+        status
     }
 
-    /// Returns the fraction of a fleet-wide quota that this box may use: its own share
-    /// and those that members delegate to it, divided by the number of boxes. The shares
-    /// of all boxes never add up to more than the quota, as long as no box counts fewer
-    /// boxes than have a share.
-    pub fn share(&mut self, known: &AnnouncementView, now: Instant) -> f64 {
-        self.record_contact(known, now);
-        self.fleet_size(known, now);
-        if !self.may_use_share(known, now) {
+    /// Returns the fraction of a fleet-wide quota that this box may use; 0 if it may use
+    /// none now. Also records the present number of boxes and, on a hub, its contact with
+    /// other hubs.
+    ///
+    /// The fraction is the number of shares that this box holds, divided by the number of
+    /// boxes: one for itself, unless a hub uses it, and one for each member that
+    /// delegates to it. The shares of all boxes never add up to more than the quota, as
+    /// long as no box counts fewer boxes than have a share.
+    pub fn share(&mut self, announcements: &AnnouncementView, now: Instant) -> f64 {
+        self.record_contact(announcements, now);
+        self.fleet_size(announcements, now);
+        if !self.may_use_share(announcements, now) {
             return 0.0;
         }
         let is_delegated = |link: &&ObservedLink| {
@@ -330,15 +350,15 @@
         let shares = delegating + usize::from(self.delegation.is_free(now));
         let counted = self.size_tracker.max_within(MAX_HOLD, now);
         let boxes = counted
-            .max(known.announced_boxes)
-            .max(known.reported_fleet_size)
+            .max(announcements.announced_boxes)
+            .max(announcements.reported_fleet_size)
             .max(shares);
         shares as f64 / boxes as f64
     }
 
     /// Returns the fraction that this box may use of the limits of the servers in a data
-    /// centre: its own share, unless it is delegated to another hub, and the shares that
-    /// other hubs delegate to it.
+    /// centre: what `share` returns, unless it is delegated to another hub, and the
+    /// shares that other hubs delegate to it. The sum is at most 1.
     ///
     /// Each box's share is used by one hub at a time, except for `DELEGATION_TTL` after a
     /// member has moved from one hub to another: the former hub may have delegated the
@@ -346,11 +366,15 @@
     pub fn share_for(
         &mut self,
         data_centre: &DataCentreId,
-        known: &AnnouncementView,
+        announcements: &AnnouncementView,
         now: Instant,
     ) -> f64 {
         let is_free = self.delegation_for(data_centre).is_free(now);
-        let own = if is_free { self.share(known, now) } else { 0.0 };
+        let own = if is_free {
+            self.share(announcements, now)
+        } else {
+            0.0
+        };
         let hubs = self.links_with_role(PeerRole::Hub);
         let delegated = hubs.filter_map(|link| link.delegated_shares.get(data_centre));
         let delegated = delegated
@@ -386,23 +410,29 @@
         there.or(first).map(|(id, _)| **id)
     }
 
-    /// Returns the shares that this box, if it is a hub, delegates to the hub on a link.
+    /// Delegates the shares of this box to the hub on a link, for each data centre for
+    /// which that hub is the allocator, and returns them. Leaves out shares that another
+    /// hub may still use. Empty unless both boxes are hubs.
     pub fn delegate_shares(
         &mut self,
         id: LinkId,
-        known: &AnnouncementView,
+        announcements: &AnnouncementView,
         now: Instant,
     ) -> Vec<DelegatedShare> {
-        let is_hub = self
+        let is_peer_hub = self
             .links
             .get(&id)
             .is_some_and(|link| link.role == PeerRole::Hub);
-        if !is_hub || !known.is_hub {
+        if !is_peer_hub || !announcements.is_hub {
             return Vec::new();
         }
-        let own_share = self.share(known, now);
+        let own_share = self.share(announcements, now);
         let mut delegated = Vec::new();
-        for name in known.data_centres.iter().filter(|_| own_share > 0.0) {
+        for name in announcements
+            .data_centres
+            .iter()
+            .filter(|_| own_share > 0.0)
+        {
             let is_allocator = self.allocator_for(name, now) == Some(id);
             if is_allocator && self.delegation_for(name).delegate_to(id, now) {
                 delegated.push(DelegatedShare {
@@ -445,36 +475,39 @@
             .expect("the delegation was inserted above")
     }
 
-    /// Returns the maximum age of the newest state received from any other box; `None` if
-    /// none was received.
+    /// Returns an upper bound of the age of the newest state received on the present
+    /// links; `None` if it is known for none of them.
     pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
         let as_of = self.links.values().filter_map(|link| link.as_of);
         let newest = as_of.max()?;
         Some(now.saturating_duration_since(newest))
     }
 
-    /// Whether this box knows a lower bound of the fleet size: from the announcements, or
-    /// from the links of its hub once these have been up for long enough. A box that is
-    /// cut off from the store and from a data centre stops using its share before the
-    /// others cease to count it.
-    fn may_use_share(&self, known: &AnnouncementView, now: Instant) -> bool {
+    /// Whether this box may use its share. It must know a lower bound of the fleet size:
+    /// from the announcements, or from the links of its hub once these have been up for
+    /// long enough. Besides, it must have been in contact recently, or have a view of the
+    /// announcements that is recent enough: a box that is cut off from the store and from
+    /// a data centre stops using its share before the others cease to count it.
+    fn may_use_share(&self, announcements: &AnnouncementView, now: Instant) -> bool {
         let in_contact = self
             .connectivity
             .age(now)
             .is_some_and(|age| age <= MAX_CONTACT_AGE);
         let is_size_known =
-            known.reported_fleet_size > 1 || self.connectivity.is_settled(now);
-        let store_age = known.age.unwrap_or(Duration::MAX);
+            announcements.reported_fleet_size > 1 || self.connectivity.is_settled(now);
+        let store_age = announcements.age.unwrap_or(Duration::MAX);
         is_size_known && (in_contact || store_age <= MAX_USE_WITHOUT_STORE)
     }
 
     /// On a hub, records when it was last in contact with the hubs of all data centres.
-    fn record_contact(&mut self, known: &AnnouncementView, now: Instant) {
-        let is_current = known.age.is_some_and(|age| age <= MAX_ANNOUNCEMENTS_AGE);
-        if !known.is_hub || !is_current {
+    fn record_contact(&mut self, announcements: &AnnouncementView, now: Instant) {
+        let is_current = announcements
+            .age
+            .is_some_and(|age| age <= MAX_ANNOUNCEMENTS_AGE);
+        if !announcements.is_hub || !is_current {
             return;
         }
-        if known.is_acting_hub && known.data_centres.is_empty() {
+        if announcements.is_acting_hub && announcements.data_centres.is_empty() {
             // The hub that this box replaces may still be running, with members that no
             // box here receives anything from.
             return;
@@ -485,7 +518,7 @@
             there.map(|link| link.last_seen).max()
         };
         let last_seen: Option<Vec<Instant>> =
-            known.data_centres.iter().map(last_seen).collect();
+            announcements.data_centres.iter().map(last_seen).collect();
         if let Some(last_seen) = last_seen {
             self.connectivity
                 .note(last_seen.into_iter().min().unwrap_or(now));
--- a/crates/wingspur-edge/src/links.rs
+++ b/crates/wingspur-edge/src/links.rs
@@ -34,12 +34,13 @@
     recent_changes: RecentChanges,
     active: BTreeMap<LinkId, ActiveLink>,
     fleet: FleetView,
-    /// What the announced boxes say of the fleet, and when that was computed.
+    /// The view of the announcements that was computed last, and when.
     announced: Option<(Instant, Arc<AnnouncementView>)>,
     next_id: LinkId,
     /// The catalog snapshot that was built last, and when.
     snapshot_cache: Option<(Instant, Arc<CatalogSnapshotUpdate>)>,
-    /// Limits the rate of updates and catalog snapshots to what the box's link can carry.
+    /// Limits the rate of updates and catalog snapshots to what the box's network link
+    /// can carry.
     pacer: UpdatePacer,
     /// Whether this box is stopping.
     stopping: bool,
@@ -92,7 +93,8 @@
         self.is_unlinked() && self.planner.size() == 1
     }
 
-    /// Whether this box has just started and knows nothing of the catalog.
+    /// Whether this box knows nothing of the history of the store's current era yet, as
+    /// after its start.
     pub fn is_starting(&self) -> bool {
         self.position().is_start()
     }
@@ -112,20 +114,21 @@
         &mut self.planner
     }
 
-    /// How fresh this box's view of the store is, and whether it should read the store
-    /// itself.
+    /// The tracker of how fresh this box's view of the store is, which also decides
+    /// whether this box should read the store itself.
     pub fn watch_state(&mut self) -> &mut CatalogFreshnessTracker {
         &mut self.freshness
     }
 
-    /// Whether this box is the hub of its data centre, as far as it knows.
+    /// Whether this box is the hub of its data centre, as far as it knows: it plans no
+    /// link as a member.
     pub fn is_hub(&self, now: Instant) -> bool {
         let plan = self.planner.plan(now);
         !plan.iter().any(|link| link.role == LinkRole::Member)
     }
 
-    /// Adds a link and returns its id. `opened_as` is this box's role if it opened the
-    /// link, `peer_role` the other side's role if that one did.
+    /// Adds a link and returns its id. `opened_as` is this box's role if this box opened
+    /// the link, `peer_role` the other side's role if the other side opened it.
     pub fn add(
         &mut self,
         peer: BoxRecord,
@@ -142,7 +145,8 @@
         };
         self.rollup.add_link(id, kind);
         if kind == LinkKind::Hub {
-            // A member may not be announced, so the planner must not take it for a hub.
+            // A member is possibly not announced, so the planner must not take it for a
+            // hub.
             self.planner.upsert(peer.clone());
         }
         self.planner.note_reached(&peer.id);
@@ -305,7 +309,9 @@
         self.recent_changes.since(position)
     }
 
-    /// Queues the state to be sent once to the other side of a new link.
+    /// Queues the state to be sent once to the other side of a new link. With
+    /// `peer_is_new`, the health of the servers waits while the pacer delays the catalog
+    /// snapshot for that box.
     pub fn queue_initial_state(&mut self, id: LinkId, mut initial_state: InitialState) {
         if let Some(link) = self.active.get_mut(&id) {
             link.suspects.append(&mut initial_state.suspects);
@@ -319,9 +325,10 @@
         }
     }
 
-    /// Queues an observation about a request during which a server ended, for all links
-    /// whose peer does not receive it another way. Returns whether it came from this box
-    /// or one of its members.
+    /// Queues an observation about a request that was in flight at a server that ended,
+    /// for all links whose peer does not receive it another way. It is dropped on links
+    /// with `MAX_QUEUED_SUSPECT_UPDATES` queued. Returns whether it came from this box or
+    /// one of its members.
     pub fn broadcast_suspect(
         &mut self,
         update: &SuspectUpdate,
@@ -416,9 +423,10 @@
         overdue.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the frames that are due now: those with updates, and heartbeats on links
-    /// without a recent frame. `bundle_version` is the version of this box's active
-    /// bundle.
+    /// Takes what is queued and due, and returns it as frames to send now. A link without
+    /// a frame for `HEARTBEAT_INTERVAL` gets one in any case. A link with a full window
+    /// of unacknowledged frames gets only such heartbeats, without the queued updates.
+    /// `bundle_version` is the version of this box's active bundle.
     pub fn take_frames(
         &mut self,
         bundle_version: BundleVersion,
@@ -428,8 +436,8 @@
         let freshness = self.freshness.state(now);
         let urgent_updates = std::mem::take(&mut self.urgent);
         let local_gap = self.local_gap();
-        let known = self.announced(now);
-        let fleet = self.fleet.outgoing_notes(&known, now);
+        let announcements = self.announced(now);
+        let fleet = self.fleet.outgoing_notes(&announcements, now);
         let frames_per_s = self.active.len() as f64 / local_gap.as_secs_f64();
         let mut frames = Vec::new();
         // The link with the oldest updates goes first, since the pacer may not allow
@@ -450,16 +458,19 @@
             let accepts_updates = link.accepts_server_updates(&self.pacer, now);
             let updates_due =
                 updates_due_in(*id, link, gap, &self.rollup, &self.pacer, now);
-            let due = !full && updates_due.is_some_and(|due| due.is_zero());
+            let has_due_updates = !full && updates_due.is_some_and(|due| due.is_zero());
             let catalog_due = link.catalog_due_in(&self.pacer, now);
             let catalog_due = catalog_due.is_some_and(|due| due.is_zero());
-            let urgent = catalog_due
+            let has_other_content = catalog_due
                 || link.wants_snapshot
                 || (link.initial_state.is_some() && accepts_updates)
                 || (urgent_updates && !link.suspects.is_empty())
                 || (self.stopping && !link.leaving_sent)
                 || link.sent_era < freshness.era;
-            if !due && (!urgent || full) && age < HEARTBEAT_INTERVAL {
+            if !has_due_updates
+                && (!has_other_content || full)
+                && age < HEARTBEAT_INTERVAL
+            {
                 continue;
             }
             link.last_sent_at = now;
@@ -479,8 +490,8 @@
                 PeerRole::Member | PeerRole::Hub => resend_budgets.aggregate.clone(),
             };
             frame.lease_messages = std::mem::take(&mut link.lease_messages);
-            frame.delegated_shares = self.fleet.delegate_shares(*id, &known, now);
-            if due {
+            frame.delegated_shares = self.fleet.delegate_shares(*id, &announcements, now);
+            if has_due_updates {
                 let max_servers = match self.pacer.update_delay(now).is_zero() {
                     true => self.pacer.max_servers_per_frame(frames_per_s),
                     false => 0,
@@ -555,10 +566,11 @@
         LOCAL_GAP.max(Duration::from_secs(1) * links / MAX_FRAMES_PER_S)
     }
 
-    /// Returns the number of boxes in the fleet, as far as this one knows.
+    /// Records the present number of boxes, and returns the number of boxes in the fleet
+    /// as far as this one knows.
     pub fn fleet_boxes(&mut self, now: Instant) -> usize {
-        let known = self.announced(now);
-        self.fleet.fleet_size(&known, now)
+        let announcements = self.announced(now);
+        self.fleet.fleet_size(&announcements, now)
     }
 
     /// Returns this box's contact with the fleet and the largest fleet size within
@@ -569,21 +581,21 @@
         window: Duration,
         now: Instant,
     ) -> FleetMembership {
-        let known = self.announced(now);
-        self.fleet.membership(window, &known, now)
+        let announcements = self.announced(now);
+        self.fleet.membership(window, &announcements, now)
     }
 
-    /// Returns what the announced boxes say of the fleet; at most `ANNOUNCED_MAX_AGE`
-    /// old.
+    /// Returns the view of the announcements, which was computed at most
+    /// `ANNOUNCED_MAX_AGE` ago.
     fn announced(&mut self, now: Instant) -> Arc<AnnouncementView> {
-        if let Some((at, known)) = &self.announced
+        if let Some((at, announcements)) = &self.announced
             && now.saturating_duration_since(*at) < ANNOUNCED_MAX_AGE
         {
-            return known.clone();
+            return announcements.clone();
         }
-        let known = Arc::new(self.read_announced(now));
-        self.announced = Some((now, known.clone()));
-        known
+        let announcements = Arc::new(self.read_announced(now));
+        self.announced = Some((now, announcements.clone()));
+        announcements
     }
 
     fn read_announced(&self, now: Instant) -> AnnouncementView {
@@ -593,45 +605,48 @@
         };
         let is_hub = self.is_hub(now);
         let freshness = self.freshness.state(now);
-        let known = freshness.reader.is_some() && !self.is_starting();
+        let is_age_known = freshness.reader.is_some() && !self.is_starting();
         AnnouncementView {
             announced_boxes: self.planner.size().max(reported),
             reported_fleet_size: self.planner.reported_fleet_size(),
             data_centres: self.planner.other_data_centres(),
             is_hub,
             is_acting_hub: is_hub && self.planner.rank() > 0,
-            age: known.then(|| Duration::from_millis(freshness.age_ms.into())),
+            age: is_age_known.then(|| Duration::from_millis(freshness.age_ms.into())),
         }
     }
 
     /// Returns this box's role in quota leasing: its hub, the allocators that it asks and
-    /// its share, and for a hub also its share and the allocator for each data centre.
+    /// its share. Without a link to a hub of its own, also its share and the allocator
+    /// for each data centre.
     pub fn quota_standing(&mut self, now: Instant) -> QuotaTopology {
         let own_hub = self.own_hub();
         let allocators = own_hub.map_or_else(|| self.other_hubs(), |hub| vec![hub]);
-        let known = self.announced(now);
-        let others = known.data_centres.iter();
+        let announcements = self.announced(now);
+        let others = announcements.data_centres.iter();
         let names = others.chain(std::iter::once(&self.own.data_centre));
         let names = names.filter(|_| own_hub.is_none());
         let fleet = &mut self.fleet;
         let data_centres = names.map(|name| DataCentreQuota {
             data_centre: name.clone(),
-            share: fleet.share_for(name, &known, now),
+            share: fleet.share_for(name, &announcements, now),
             allocator: fleet.allocator_for(name, now),
         });
         let data_centres = data_centres.collect();
         QuotaTopology {
             own_hub,
             allocators,
-            share: self.fleet.share(&known, now),
+            share: self.fleet.share(&announcements, now),
             data_centres,
         }
     }
 
-    /// Returns the earliest and the latest moment of an observation that a frame on a
-    /// link reports with an age. The earliest assumes that the frame was composed when
-    /// the other side's state was last proven current, the latest that it took no time to
-    /// arrive.
+    /// Returns the earliest and the latest moment at which an observation may have been
+    /// made that a frame on a link reports with the age `age`.
+    ///
+    /// For the latest, the frame is taken to have arrived without delay. For the
+    /// earliest, it is taken to have been composed at the moment that
+    /// `LinkClock::peer_state_as_of` returns; if that is unknown, both are the same.
     pub fn observation_window(
         &self,
         id: LinkId,
@@ -658,8 +673,8 @@
         }
     }
 
-    /// Returns the maximum age of the newest state received from any other box; `None`
-    /// before the first.
+    /// Returns an upper bound of the age of the newest state received on the present
+    /// links; `None` if it is known for none of them.
     pub fn peer_state_age(&self, now: Instant) -> Option<Duration> {
         self.fleet.peer_state_age(now)
     }
@@ -671,7 +686,8 @@
         own_hub.map(|(id, _)| *id)
     }
 
-    /// Whether this box reports to a hub that has a catalog.
+    /// Whether this box has a link to its hub and that hub knows the servers, as far as
+    /// this box can tell.
     pub fn hub_has_catalog(&self) -> bool {
         let hub = self.own_hub().and_then(|id| self.active.get(&id));
         hub.is_some_and(|hub| hub.has_catalog)
@@ -684,9 +700,9 @@
         hubs.map(|(id, _)| *id).collect()
     }
 
-    /// Returns a frame with nothing but lease messages if the message is urgent. A
-    /// message that is not urgent is queued for the next regular frame, and `None` is
-    /// returned; likewise if the link was removed.
+    /// Returns a frame with only the lease messages if they are urgent. Otherwise queues
+    /// them for the next regular frame and returns `None`. If the link was removed, drops
+    /// them and returns `None`.
     ///
     /// The frame is sent apart from the regular ones, since requests wait for it. It
     /// carries no timestamps, so the other side does not acknowledge it.
@@ -712,41 +728,42 @@
         })
     }
 
-    /// Returns the fleet size by which connections and budgets are divided among the
-    /// boxes.
+    /// Records the present number of boxes, and returns the fleet size by which
+    /// connections and budgets are divided among the boxes.
     pub fn fleet_size(&mut self, now: Instant) -> FleetSize {
         let boxes = self.fleet_boxes(now);
         self.planner.fleet_size(boxes)
     }
 
-    /// Records what the other side of a link reports of itself: how many boxes it counts,
-    /// which bundle it has, which shares it delegates, and how fresh its view of the
-    /// store was at the moment that the frame's timestamps prove.
+    /// Records what the other side of a link reports in a frame: its bundle's version,
+    /// how fresh its view of the store is, its fleet status, the boxes that it counts and
+    /// the shares that it delegates. The frame's timestamps may prove a moment at or
+    /// after which this was true; without one, the freshness and the shares are ignored.
     pub fn note_frame(&mut self, id: LinkId, frame: &Frame, now: Instant) {
         let Some(link) = self.active.get_mut(&id) else {
             return;
         };
         link.bundle_version = frame.bundle_version;
-        let known = frame.catalog_freshness.position;
-        link.has_catalog |= !known.is_start();
+        let peer_position = frame.catalog_freshness.position;
+        link.has_catalog |= !peer_position.is_start();
         link.catalog
-            .drop_known_snapshot(known, frame.bundle_version);
+            .drop_known_snapshot(peer_position, frame.bundle_version);
         link.clock.receive(&frame.timestamps);
         let confirmed_at = link.clock.peer_state_as_of();
         if let Some(confirmed_at) = confirmed_at {
             self.freshness
                 .receive(id, &frame.catalog_freshness, confirmed_at);
         }
-        let known = self.announced(now);
+        let announcements = self.announced(now);
         self.fleet
-            .receive_membership(id, &frame.membership, &known, now);
+            .receive_membership(id, &frame.membership, &announcements, now);
         self.fleet
-            .receive(id, frame.fleet, &known, confirmed_at, now);
+            .receive(id, frame.fleet, &announcements, confirmed_at, now);
         self.fleet
             .receive_delegated_shares(id, &frame.delegated_shares, confirmed_at);
     }
 
-    /// Records that the other side closed a link in order: it does not use this box's
+    /// Records that the other side closed a link properly: it does not use this box's
     /// share any more.
     pub fn record_orderly_close(&mut self, id: LinkId, now: Instant) {
         self.fleet.release_share(id, now);
@@ -822,7 +839,9 @@
 /// Gap between updates to a box of the same data centre. A request takes several times as
 /// long, so a view of that age still shows which servers are busy.
 const LOCAL_GAP: Duration = Duration::from_millis(50);
-/// Most frames that a hub sends a second: with 4 kB each, a tenth of a 100 Mbit/s link.
+/// Frames a second, over all links, above which the gap between updates in a data centre
+/// grows: with 4 kB each, a tenth of a 100 Mbit/s network link. Urgent updates, catalog
+/// updates, heartbeats and updates to other data centres may exceed it.
 const MAX_FRAMES_PER_S: u32 = 320;
 /// The usual gap between updates is divided by this when updates are urgent.
 const URGENT_GAP_DIVISOR: u32 = 5;
@@ -830,11 +849,11 @@
 /// byte.
 const REMOTE_GAP: Duration = Duration::from_millis(100);
 /// Most suspect updates that are queued for one link. An update beyond that is dropped:
-/// the store has a record of the request, or it is one server end of many. When 40
+/// the store has a record of the request, or the update is one of many endings. When 40
 /// servers end at once, 400 requests are in flight at them.
 const MAX_QUEUED_SUSPECT_UPDATES: usize = 1024;
-/// Maximum age of a cached snapshot: it says for how long its entries are still in doubt,
-/// and that time shrinks while the snapshot waits.
+/// Maximum age of a cached snapshot. The snapshot says for how long its entries are still
+/// in doubt, and that time shrinks while the snapshot waits.
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(100);
 /// Gap between frames on a link without updates. A view of the store is known to be at
 /// most 1.3 s old if the reader's last response from the store is at most 0.7 s old,
@@ -842,7 +861,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// How soon a link with a full window is checked again.
 const FULL_WINDOW_RECHECK: Duration = Duration::from_millis(50);
-/// A peer that has left a frame unacknowledged for so long does not read, or cannot be
+/// A peer that has left a frame unacknowledged for this long does not read, or cannot be
 /// reached.
 const ACK_TIMEOUT: Duration = Duration::from_secs(3);
 /// Shortest time that `next_tick` returns.
--- a/crates/wingspur-state/src/suspects.rs
+++ b/crates/wingspur-state/src/suspects.rs
@@ -67,7 +67,7 @@
 pub struct StoredQuarantine {
     /// The position in the store's history at which the entry was written.
     pub position: StorePosition,
-    /// How many trials of the request were permitted since it is in quarantine.
+    /// Number of trials of the request that have been permitted since it was quarantined.
     pub tries: u32,
     /// The source that counted the latest of these trials.
     pub counted_by: SourceId,
@@ -138,7 +138,8 @@
         updates.collect()
     }
 
-    /// Records that this box has answered a request completely.
+    /// Records that this box has answered a request completely. This alone does not clear
+    /// the request; `apply_update` with `SuspectEvent::AnsweredWhole` does.
     ///
     /// Returns whether other boxes should be notified, because the request is suspected.
     pub fn record_complete_answer(
@@ -153,10 +154,10 @@
     /// Returns when this box last answered a quarantined request completely, if the other
     /// boxes should be notified of that answer; otherwise `None`.
     ///
-    /// They should where the answer came shortly enough before a server ended to clear
-    /// that ending, and is later than the latest known one. A popular page is in flight
-    /// at several servers at any time. When these end together, all its requests may be
-    /// lost, and no later answer is left that could clear it.
+    /// They should be notified if the answer clears an ending, since it came at most
+    /// `CLEARING_WINDOW` before it, and is later than the latest answer known here. A
+    /// popular page is in flight at several servers at any time. When these end together,
+    /// all requests for it may be lost, so no later answer can clear it.
     pub fn answered_before(
         &self,
         request: RequestFingerprint,
@@ -165,7 +166,7 @@
         let answered = self.answered.last.get(&request).copied()?;
         let is_quarantined = self.is_quarantined(request, now);
         let suspect = self.suspects.get(&request)?;
-        let is_new = suspect.answered.is_none_or(|known| known < answered);
+        let is_new = suspect.answered.is_none_or(|latest| latest < answered);
         (is_quarantined && is_new && suspect.would_clear(answered)).then_some(answered)
     }
 
@@ -217,8 +218,8 @@
         suspect.map_or(0, |suspect| suspect.recent_endings(now))
     }
 
-    /// Returns the store's entry of a request; `None` if there is none, or if the request
-    /// has been answered completely since.
+    /// Returns the store's entry of a request; `None` if this box knows of none, or if a
+    /// complete answer has cleared the request.
     pub fn quarantine(&self, request: RequestFingerprint) -> Option<StoredQuarantine> {
         self.suspects.get(&request)?.active_quarantine().copied()
     }
@@ -254,13 +255,13 @@
         max_duration: Duration,
     ) -> Option<Instant> {
         let suspect = self.suspects.get(&request)?;
-        let known = suspect
+        let stored = suspect
             .active_quarantine()
-            .filter(|known| known.tries > 0)?;
+            .filter(|stored| stored.tries > 0)?;
         let is_over = suspect
             .counted_endings()
-            .any(|ending| ending.at > known.learned_at);
-        (!is_over).then(|| known.learned_at + max_duration)
+            .any(|ending| ending.at > stored.learned_at);
+        (!is_over).then(|| stored.learned_at + max_duration)
     }
 
     /// Applies the store's entry of a request; an entry that is not newer than the known
@@ -278,8 +279,9 @@
         });
     }
 
-    /// Merges the entries of a restored store, and returns those that it has lost and
-    /// that must be written again.
+    /// Merges `listed`, the entries of a restored store of the era `era`, into the known
+    /// ones. Returns the known entries that the restored store lacks or holds with fewer
+    /// trials, except those of cleared requests; these must be written again.
     ///
     /// Trials that were counted stay counted, and a quarantine that the restored store
     /// lacks continues.
@@ -290,16 +292,17 @@
     ) -> Vec<(RequestFingerprint, StoredQuarantine)> {
         for (request, known) in listed {
             let suspect = self.suspects.entry(*request).or_default();
-            // A quarantine that ended after the copy was made is removed here already;
-            // only the answer that cleared it is known.
-            let heard = match (suspect.quarantine, suspect.answered) {
+            // An entry that was removed after the restored copy was made is no longer
+            // known here, but the answer that cleared it may be. The entry counts as
+            // learned at that answer, so that it stays cleared.
+            let effective_learned_at = match (suspect.quarantine, suspect.answered) {
                 (None, Some(answered)) => answered,
                 _ => known.learned_at,
             };
             self.apply_quarantine(
                 *request,
                 StoredQuarantine {
-                    learned_at: heard,
+                    learned_at: effective_learned_at,
                     ..*known
                 },
             );
@@ -368,8 +371,9 @@
         updates.take(MAX_INITIAL_UPDATES).collect()
     }
 
-    /// Drops endings and answers past their retention, and requests of which nothing is
-    /// left.
+    /// Drops the endings that are older than `SUSPECT_RETENTION` and the recent answers
+    /// that can no longer clear one. Drops each request without an ending, a store entry
+    /// or an answer within `ANSWER_RETENTION`.
     pub fn evict_expired(&mut self, now: Instant) {
         self.answered.evict_expired(now);
         self.suspects.retain(|_, suspect| {
@@ -383,19 +387,21 @@
         });
     }
 
-    /// Returns the number of requests of which an ending, answer or quarantine is known.
+    /// Returns the number of requests of which an ending, the store's entry or an answer
+    /// that cleared one is remembered. Interrupted attempts and the answers of
+    /// `record_complete_answer` do not count.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns whether nothing is known of any request.
+    /// Returns whether `len` is 0.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Drops one request if a new one would exceed `MAX_SUSPECTS`: the one under which
-    /// the fewest servers have ended, and of several the one whose latest ending is the
-    /// oldest. Requests without an entry in the store go first.
+    /// Drops one request if adding `request` would exceed `MAX_SUSPECTS`. Requests
+    /// without an entry in the store go first, then those under which the fewest servers
+    /// have ended recently, then those whose latest ending is the oldest.
     fn evict_if_full(&mut self, request: RequestFingerprint, now: Instant) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
@@ -430,7 +436,7 @@
     /// Adds an ending; returns `false` if its server is counted already or the ending is
     /// cleared by an answer.
     fn add(&mut self, ending: Ending) -> bool {
-        let is_known = |known: &Ending| known.server == ending.server;
+        let is_known = |other: &Ending| other.server == ending.server;
         if self.endings.iter().any(is_known) || !self.counts(&ending) {
             return false;
         }
@@ -474,8 +480,8 @@
     /// completely since, or so shortly before that it evidently does not end every
     /// server.
     fn counts(&self, ending: &Ending) -> bool {
-        let clears = |answered| ending.at > answered + CLEARING_WINDOW;
-        self.answered.is_none_or(clears)
+        let outlasts = |answered| ending.at > answered + CLEARING_WINDOW;
+        self.answered.is_none_or(outlasts)
     }
 
     /// Returns whether a complete answer at this instant would clear any ending.
@@ -542,8 +548,8 @@
 impl SuspectMessage {
     /// Converts a message received now to an update on the local clock.
     ///
-    /// The transit time counts as zero: the clocks of the sending and of this box need
-    /// not agree.
+    /// The age counts from now, without the time in transit, which is not known since the
+    /// clocks of the two boxes need not agree.
     pub fn to_update(&self, now: Instant) -> SuspectUpdate {
         let age = Duration::from_millis(self.age_ms.into());
         SuspectUpdate {
@@ -558,21 +564,22 @@
     now.saturating_duration_since(at)
 }
 
-/// Number of servers that ended under a request from which it needs a permit. One ended
-/// server is counted for every request that runs beside the one to blame. A third ended
-/// server is allowed before permits are counted; if every box knows of the second one,
-/// the third is that of the first permit.
+/// A request needs a permit once this many servers have ended under it. One ending is not
+/// enough: it is counted for every request that was in flight at that server. A third
+/// ended server is allowed before permits are counted; if every box knows of the second
+/// one, the third is that of the first permit.
 pub const QUARANTINE_THRESHOLD: usize = 2;
-/// How long an ending counts and a quarantine lasts. A caller that sends the request
-/// again after a longer pause starts from zero.
+/// How long an ending counts, and how long the store keeps the entry of a quarantine
+/// after it was written. A caller that sends the request again after a longer pause
+/// starts from zero.
 pub const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
 /// A complete answer clears endings up to this long after it, since a popular page is
-/// answered several times a second. With a longer time, a request that ends servers only
-/// since they were replaced by others would be detected later.
+/// answered several times a second. With a longer time, it would take longer to detect a
+/// request that the former servers answered and that ends those that replaced them.
 const CLEARING_WINDOW: Duration = Duration::from_secs(2);
-/// A store entry of which a box learns up to this long after a complete answer may have
-/// been written before the answer was known, and does not count. Only requests that were
-/// answered completely profit from this.
+/// A store entry of which a box learns up to this long after a complete answer does not
+/// count, since it may have been written before the answer was known. Requests without a
+/// complete answer are not affected.
 const MAX_RECORD_DELAY: Duration = Duration::from_secs(10);
 /// An update about an ending reaches a box within this time, faster than a store entry.
 const MAX_UPDATE_DELAY: Duration = Duration::from_secs(3);
@@ -582,13 +589,13 @@
 /// How long the last complete answer of a suspected request is kept: longer than updates
 /// about earlier endings are in transit.
 const ANSWER_RETENTION: Duration = Duration::from_secs(30);
-/// A server that ends while its connections break off has disappeared from the store
+/// A server whose connections break off because it ends has disappeared from the store
 /// within this time: its entry expires after three heartbeats, some five seconds.
 const BROKEN_ATTEMPT_TTL: Duration = Duration::from_secs(10);
 /// Endings kept for each request; more of them would change nothing.
 const MAX_ENDINGS: usize = 8;
 /// Requests that are remembered: 40 servers that end at once leave some 400; 2,048 take a
-/// quarter of a megabyte.
+/// quarter of a megabyte. Entries of the store are added beyond this number.
 const MAX_SUSPECTS: usize = 2048;
 /// Interrupted attempts that are remembered: when a rack of 40 servers is lost, a box of
 /// a small fleet has some hundred.
