--- a/tests/tests/listings.rs
+++ b/tests/tests/listings.rs
@@ -241,5 +241,8 @@
     let known = read(0).unwrap().expect("the frame is complete");
     assert_eq!(known.servers[0].data_centre, "svc");
     let error = read(1).unwrap_err().to_string();
-    assert!(error.contains("points at name 1 of 1"), "{error}");
+    assert!(
+        error.contains("refers to name index 1, but the list has 1 names"),
+        "{error}"
+    );
 }
