--- a/tests/tests/budget_bound.rs
+++ b/tests/tests/budget_bound.rs
@@ -1,12 +1,6 @@
-//! The bound of the retry budget, over every span of its window and under all faults.
-//!
-//! Guards against boxes that start after a loss of all boxes and take the time before
-//! their start for one in which nothing was spent: the slack of 60 was so spent twice,
-//! and a service of 40 boxes got 208 resends in ten seconds for 698 requests, where 200
-//! are allowed.
-//!
-//! Only the decisions are simulated, in virtual time and with seeds: boxes of four data
-//! centres, requests, their resends, and the updates between boxes.
+//! Simulates retry budgets in virtual time. Guards against more resends in a window than
+//! allowed, for example if boxes that start after a loss of all boxes assume that nothing
+//! was spent before, and so spend the slack twice.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
--- a/tests/tests/ending_requests.rs
+++ b/tests/tests/ending_requests.rs
@@ -1,7 +1,6 @@
-//! Guards against a request that ends every server which runs it. Its caller got a 502
-//! and repeated it; boxes judged only servers and tried the next one 56 ms later. Sent to
-//! 13 more after the third, it ended 28 in 15 s in a service of nine, with up to 13
-//! requests each.
+//! Guards against a request that ends every server that runs it: its caller gets a 502
+//! and repeats it, and boxes that judge only servers try the next one each time. A
+//! harmless request that was in flight at those servers must still be served.
 
 mod edge;
 
--- a/tests/tests/fleet_play/mod.rs
+++ b/tests/tests/fleet_play/mod.rs
@@ -1,7 +1,6 @@
-//! Simulates a fleet in virtual time: boxes of three data centres, hubs that allocate
-//! quotas and lease them, members as lease clients, requests, faults, and messages in
-//! transit. The decisions are those of the real code; everything else follows from a
-//! seed.
+//! Simulates a fleet in virtual time: boxes of three data centres, hubs that allocate and
+//! lease quotas, members as lease clients, requests, faults and messages in transit. The
+//! decisions are made by the production code; a seed determines the rest.
 #![allow(dead_code, reason = "each suite uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/tests/tests/once_only_explorer.rs
+++ b/tests/tests/once_only_explorer.rs
@@ -1,7 +1,6 @@
 //! Guards against an operation that runs twice: explores the states of the real
-//! `ShardLog` with two boxes, three callers of one operation and a model of the store.
-//! Messages are lost, writes take effect late, owners pause and are replaced, and
-//! segments are merged and deleted.
+//! `ShardLog` with two boxes and a model of the store, while messages are lost, writes
+//! take effect late, owners change, and segments are merged and deleted.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/tests/tests/quarantine_bound.rs
+++ b/tests/tests/quarantine_bound.rs
@@ -1,9 +1,6 @@
-//! How often a request that ends servers is sent after three servers have ended under it,
-//! and how many other requests are refused because of it: with all faults alone and in
-//! pairs, and with up to three such requests at once.
-//!
-//! By hand: `WINGSPUR_SEEDS=50 WINGSPUR_BOXES=8,40,113,450 cargo test --release -p
-//! wingspur-tests --test quarantine_bound -- --nocapture`.
+//! Guards against requests that end servers being sent too often after three servers have
+//! ended, and against refusing other requests because of them. Simulates all faults alone
+//! and in pairs, with up to three such requests at once.
 
 mod quarantine;
 
@@ -35,6 +32,8 @@
     pairs.collect()
 }
 
+/// Numbers of boxes. Longer runs: `WINGSPUR_SEEDS=50 WINGSPUR_BOXES=8,40,113,450 cargo
+/// test --release -p wingspur-tests --test quarantine_bound -- --nocapture`.
 fn fleets() -> Vec<usize> {
     let value = std::env::var("WINGSPUR_BOXES").unwrap_or("8,40".to_owned());
     let sizes = value.split(',').map(|size| size.parse());
--- a/tests/tests/restore_play/mod.rs
+++ b/tests/tests/restore_play/mod.rs
@@ -1,7 +1,5 @@
-//! Simulates a fleet in virtual time whose store is restored from older copies.
-//!
-//! Boxes decide with the production code and exchange its updates; a seed decides the
-//! rest.
+//! Simulates a fleet in virtual time whose store is restored from older copies. Boxes
+//! decide with the production code and exchange its updates; a seed determines the rest.
 
 mod fleet;
 mod store;
--- a/tests/tests/server_words.rs
+++ b/tests/tests/server_words.rs
@@ -1,9 +1,6 @@
-//! Guards against boxes that ignore a server's announcement of draining or backoff. A
-//! draining server got 17 more requests while the store was unavailable for 13 s, one of
-//! them 3.5 s after the sending box had passed on its announcement, because its entry
-//! still said `ready`. Of 44 requests refused in 5 s, one box sent 3 to a server 1.0 to
-//! 1.1 s after it had asked for 3 s of backoff, because a single refusal hardly affects a
-//! server's health.
+//! Guards against boxes that ignore a server's announcement of draining or backoff, for
+//! example because its entry still says `ready` or a single refusal hardly affects its
+//! health.
 
 mod edge;
 
--- a/tests/tests/store_restore_play.rs
+++ b/tests/tests/store_restore_play.rs
@@ -1,13 +1,12 @@
 //! Simulates fleets whose store is restored from an older copy. Guards against boxes that
 //! lose or delay acknowledged changes, or leave open servers unused meanwhile.
-//!
-//! `WINGSPUR_SEEDS` sets the number of seeds, as in `WINGSPUR_SEEDS=500 cargo test
-//! --release -p wingspur-tests --test store_restore_play -- --nocapture`.
 
 mod restore_play;
 
 use restore_play::{Outcome, Play, Setting};
 
+/// Number of seeds. Longer runs: `WINGSPUR_SEEDS=500 cargo test --release -p
+/// wingspur-tests --test store_restore_play -- --nocapture`.
 fn seeds() -> u64 {
     let seed_count = std::env::var("WINGSPUR_SEEDS").unwrap_or("12".to_owned());
     seed_count.parse().expect("WINGSPUR_SEEDS holds a number")
--- a/tests/tests/words_play.rs
+++ b/tests/tests/words_play.rs
@@ -1,7 +1,6 @@
-//! Simulates, in virtual time, services whose servers drain or ask for backoff. Guards
-//! against requests sent despite an announcement, and against servers refused or left
-//! idle without one. The balancing code is the real one; a seed draws the settings and
-//! all else.
+//! Simulates services whose servers drain or ask for backoff, in virtual time and with
+//! the real balancing code. Guards against requests sent despite an announcement, and
+//! against servers refused or left idle without one.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
